--- a/pkg/coordinator/locate.go
+++ b/pkg/coordinator/locate.go
@@ -59,7 +59,7 @@
 
 // find looks for servers that hold what a request needs among those that this node does not know, and
 // gets to know them. It returns one, "" if there is none or nobody can tell.
-func (m *Member) find(ctx context.Context, w relay.Wish) string {
+func (m *Member) find(ctx context.Context, w relay.LoadRequest) string {
 	if m.Nearest == nil || w.Missing != "" {
 		return ""
 	}
--- a/pkg/coordinator/quotas.go
+++ b/pkg/coordinator/quotas.go
@@ -147,7 +147,7 @@
 
 // admitted is an answer for package relay; err: why the holder could not be asked.
 func admitted(a quota.Answer, err error) relay.Admission {
-	return relay.Admission{Granted: a.Granted, Promised: a.Promised, After: a.After, Room: a.Room, Err: err}
+	return relay.Admission{Granted: a.Granted, Reserved: a.Promised, After: a.After, Room: a.Room, Err: err}
 }
 
 // drawFromDeputy has the deputy decide, which may be this node.
--- a/pkg/coordinator/wishes.go
+++ b/pkg/coordinator/wishes.go
@@ -16,12 +16,12 @@
 	at      time.Time
 	done    chan struct{} // closed when the answer is here
 	short   bool          // it told of a server that turns requests away
-	outlook relay.Outlook
+	outlook relay.LoadStatus
 	err     error
 }
 
 // Wake implements relay.Waker.
-func (m *Member) Wake(ctx context.Context, w relay.Wish) (relay.Outlook, error) {
+func (m *Member) Wake(ctx context.Context, w relay.LoadRequest) (relay.LoadStatus, error) {
 	key := demandKey{w.Service, w.Need.String()}
 	m.mu.Lock()
 	known := m.wishes[key]
@@ -41,7 +41,7 @@
 	select {
 	case <-known.done:
 	case <-ctx.Done():
-		return relay.Outlook{}, ctx.Err()
+		return relay.LoadStatus{}, ctx.Err()
 	}
 	o := known.outlook
 	o.Age = m.Time.Since(known.at)
@@ -64,9 +64,9 @@
 const maxWishes = 1024
 
 // tellWish looks for a server that this node does not know, and asks the holder if there is none.
-func (m *Member) tellWish(ctx context.Context, w relay.Wish) (relay.Outlook, error) {
+func (m *Member) tellWish(ctx context.Context, w relay.LoadRequest) (relay.LoadStatus, error) {
 	if server := m.find(ctx, w); server != "" {
-		return relay.Outlook{Server: server}, nil
+		return relay.LoadStatus{Server: server}, nil
 	}
 	outlook, err := m.askHolder(ctx, w)
 	if err == nil && outlook.Server != "" && m.Cover != nil {
@@ -81,7 +81,7 @@
 const meetAgain = 250 * time.Millisecond
 
 // askHolder tells the holder of a wish.
-func (m *Member) askHolder(ctx context.Context, w relay.Wish) (relay.Outlook, error) {
+func (m *Member) askHolder(ctx context.Context, w relay.LoadRequest) (relay.LoadStatus, error) {
 	answer, err := ask[WishAnswer](ctx, m, WishMessage{
 		Service: w.Service, Need: w.Need.String(), Priority: w.Priority,
 		Left: m.Time.Until(w.Deadline), RequestID: w.RequestID, Missing: w.Missing, Gone: w.Gone,
@@ -92,7 +92,7 @@
 	}
 	if err != nil {
 		m.lost(err)
-		return relay.Outlook{}, err
+		return relay.LoadStatus{}, err
 	}
-	return relay.Outlook{Server: answer.Server, ReadyIn: answer.ReadyIn}, nil
+	return relay.LoadStatus{Server: answer.Server, ReadyIn: answer.ReadyIn}, nil
 }
--- a/pkg/coordinator/world_test.go
+++ b/pkg/coordinator/world_test.go
@@ -476,7 +476,7 @@
 func (n *worldNode) serves(need string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	o, err := n.member.Wake(ctx, relay.Wish{
+	o, err := n.member.Wake(ctx, relay.LoadRequest{
 		Service: "s", Need: backend.ParseNeed(need), Priority: 1, Deadline: time.Now().Add(20 * time.Second), RequestID: need,
 	})
 	return err == nil && o.Server != ""
--- a/pkg/relay/access.go
+++ b/pkg/relay/access.go
@@ -6,42 +6,40 @@
 	"time"
 )
 
-// The header with a caller's key, and what stands before the key.
+// The header with a caller's key and the prefix of the key.
 const (
 	headerKey = "Authorization"
 	bearer    = "Bearer "
 )
 
-// KeyAge bounds how old the table of keys may be by which requests are let in: a key that
-// was taken away may not let anybody in for longer, also at a node that is cut off. The
-// zero value bounds nothing.
+// KeyAge limits the age of the key table used to admit requests: a revoked key must stop working in
+// time, even at a node that is cut off. The zero value sets no limit.
 type KeyAge struct {
-	Age  func() (time.Duration, bool) // of the table, at most; false: not known
-	Most time.Duration
+	Age func() (time.Duration, bool) // maximum age of the table; false: unknown
+	Max time.Duration
 }
 
-// check tells whether keys may be looked up, how old the table may be, and otherwise when
-// to come back.
+// check reports whether keys may be looked up, the age of the table, and otherwise the retry time.
 func (k KeyAge) check() (age, after time.Duration, ok bool) {
-	if k.Most <= 0 {
+	if k.Max <= 0 {
 		return 0, 0, true
 	}
 	age, known := k.Age()
 	switch {
 	case !known:
-		return 0, leastOldWait, false
-	case age <= k.Most:
+		return 0, minStaleKeysWait, false
+	case age <= k.Max:
 		return age, 0, true
 	}
-	return age, min(max(age-k.Most, leastOldWait), mostOldWait), false
+	return age, min(max(age-k.Max, minStaleKeysWait), maxStaleKeysWait), false
 }
 
-// When a request comes back that a node could not let in since its table was too old:
-// another node may let it in at once, unless the store is away from all. As long as the
-// table was too old already, so long it is likely to stay so.
+// Limits of the retry time for requests that a node can't admit because its table is too old.
+// Another node may admit them at once unless the store is unreachable for all. The wait grows with
+// the time that the table has been too old, since it is likely to stay so for as long.
 const (
-	leastOldWait = 50 * time.Millisecond
-	mostOldWait  = 2 * time.Second
+	minStaleKeysWait = 50 * time.Millisecond
+	maxStaleKeysWait = 2 * time.Second
 )
 
 // Refusals of requests without a valid key.
@@ -51,8 +49,7 @@
 	unknownKey = refusal{status: http.StatusUnauthorized, reason: "unknown key"}
 )
 
-// presentedKey returns the key that a request carries, or the refusal of one that carries
-// none or more than one.
+// presentedKey returns the key of a request, or the refusal if there is none or more than one.
 func presentedKey(h http.Header) ([]byte, refusal) {
 	values := h[headerKey]
 	if len(values) == 0 {
@@ -65,8 +62,8 @@
 	return []byte(key), refusal{}
 }
 
-// identify finds the tenant in whose name the request is made. If it returns false, the
-// request is answered. A public route needs no key; a known one counts there as well.
+// identify finds the tenant on whose behalf the request is made. If it returns false, the request
+// was answered. A public route needs no key, but a known key counts there as well.
 func (c *call) identify() bool {
 	if c.table.Tenants() == nil {
 		return true
@@ -87,12 +84,12 @@
 	return false
 }
 
-// Ranks of requests at servers that know ranks from 0 to lowestPriority: tenants go before
-// each other first, and the requests of one by the priority of their routes. usualRank is
-// that of the most urgent requests of most tenants.
+// Ranks of requests at servers, from 0 to lowestPriority. Requests are ordered by tenant first,
+// then by the priority of their routes. defaultRank is the rank of the most urgent requests of most
+// tenants.
 const (
-	routeRanks = 3
-	usualRank  = 3
+	routeRanks  = 3
+	defaultRank = 3
 )
 
 // rank returns the rank of the request among all that wait at a server.
@@ -100,12 +97,12 @@
 	if c.tenant == nil {
 		return min(c.route.Priority, lowestPriority)
 	}
-	rank := usualRank + routeRanks*c.tenant.Step() + min(c.route.Priority, routeRanks-1)
+	rank := defaultRank + routeRanks*c.tenant.Step() + min(c.route.Priority, routeRanks-1)
 	return min(max(rank, 0), lowestPriority)
 }
 
-// priority returns the priority of the request for loads of models: each step of a tenant
-// counts as one of a route.
+// priority returns the priority of the request for loading models. Each step of a tenant counts as
+// one step of a route.
 func (c *call) priority() int {
 	if c.tenant == nil {
 		return c.route.Priority
--- a/pkg/relay/access_test.go
+++ b/pkg/relay/access_test.go
@@ -11,7 +11,7 @@
 	"martenwheel.dev/pkg/tenant"
 )
 
-// withTenants has the site's requests need keys.
+// withTenants adds tenants to the site, so that requests need keys.
 func (s *site) withTenants(tenants ...*tenant.Tenant) {
 	s.t.Helper()
 	all, err := tenant.NewTable(tenants)
@@ -24,7 +24,7 @@
 	s.relay.Headers.Reserved = map[string]bool{"X-Own": true}
 }
 
-// ask sends a request with header lines, each "name: value".
+// ask sends a request with the header lines, each "name: value".
 func (s *site) ask(id string, lines ...string) answer {
 	s.t.Helper()
 	r := s.request(s.t.Context(), http.MethodGet, "/p/x", id, "")
@@ -35,7 +35,7 @@
 	return s.do(r)
 }
 
-// TestUNASKEDOnlyHoldersOfKeysAreServed is the table of what callers may present.
+// TestUNASKEDOnlyHoldersOfKeysAreServed checks which keys are accepted and how others are refused.
 func TestUNASKEDOnlyHoldersOfKeysAreServed(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -63,17 +63,17 @@
 				t.Errorf("the caller got %d %q, want %d with %q", got.status, got.body, c.status, c.reason)
 			}
 			if served := len(s.arrivals()) > 0; served != (c.status == http.StatusOK) {
-				t.Errorf("served: %t", served)
+				t.Errorf("the request was served: %t", served)
 			}
 			if c.status == http.StatusUnauthorized && (strings.Contains(got.body, "key-a") || strings.Contains(got.body, "kkk")) {
-				t.Errorf("the answer shows a key: %q", got.body)
+				t.Errorf("the answer reveals a key: %q", got.body)
 			}
 		})
 	}
 }
 
-// TestUNASKEDWhatGoesOnToServers: the tenant's name whatever the caller sent, neither the
-// key nor what the system alone sets.
+// TestUNASKEDWhatGoesOnToServers checks that servers get the tenant's name whatever the caller
+// sent, and neither the key nor headers that only the system sets.
 func TestUNASKEDWhatGoesOnToServers(t *testing.T) {
 	var head http.Header
 	s := newSite(t, route.Route{Kind: route.Safe}, func(w http.ResponseWriter, r *http.Request, got seen) {
@@ -86,43 +86,45 @@
 		t.Fatalf("the answer is %+v", got)
 	}
 	for name, want := range map[string]string{"Authorization": "", "X-Tenant": "a", "X-Own": "", "X-Priority": "", "X-Else": "kept"} {
-		if told := strings.Join(head.Values(name), ","); told != want {
-			t.Errorf("the server got %s: %q, want %q", name, told, want)
+		if value := strings.Join(head.Values(name), ","); value != want {
+			t.Errorf("the server got %s: %q, want %q", name, value, want)
 		}
 	}
 }
 
-// TestWithoutTenantsAnAuthorizationIsTheServers: it is no business of the site.
-func TestWithoutTenantsAnAuthorizationIsTheServers(t *testing.T) {
-	var told string
+// TestAuthorizationIsForwardedWithoutTenants checks that the header is passed on if no tenants
+// exist.
+func TestAuthorizationIsForwardedWithoutTenants(t *testing.T) {
+	var value string
 	s := newSite(t, route.Route{Kind: route.Safe}, func(w http.ResponseWriter, r *http.Request, got seen) {
-		told = r.Header.Get("Authorization")
+		value = r.Header.Get("Authorization")
 		sealed(http.StatusOK, "fine")(w, r, got)
 	})
-	if got := s.ask("id", "Authorization: Bearer mine"); got.status != http.StatusOK || told != "Bearer mine" {
-		t.Errorf("the answer is %+v, the server got %q", got, told)
+	if got := s.ask("id", "Authorization: Bearer mine"); got.status != http.StatusOK || value != "Bearer mine" {
+		t.Errorf("the answer is %+v, the server got %q", got, value)
 	}
 }
 
-// TestCONFIGNobodyIsLetInByAnOldTable: a node that can't know whether a key was taken away
-// refuses, says when to come back and serves again as soon as it knows.
+// TestCONFIGNobodyIsLetInByAnOldTable checks that a node whose key table is too old refuses
+// requests with a retry time, as it can't know whether a key was revoked, and serves again with a
+// recent table.
 func TestCONFIGNobodyIsLetInByAnOldTable(t *testing.T) {
 	s := newSite(t, route.Route{Kind: route.Safe}, sealed(http.StatusOK, "fine"))
 	s.withTenants(&tenant.Tenant{Name: "a", Keys: []string{"key-a"}})
 	var age time.Duration
 	known := true
-	s.relay.Keys = KeyAge{Age: func() (time.Duration, bool) { return age, known }, Most: 5 * time.Second}
+	s.relay.Keys = KeyAge{Age: func() (time.Duration, bool) { return age, known }, Max: 5 * time.Second}
 	for _, c := range []struct {
 		age    time.Duration
 		known  bool
 		status int
-		after  time.Duration // at most
+		after  time.Duration // maximum
 	}{
 		{4900 * time.Millisecond, true, http.StatusOK, 0},
-		{5001 * time.Millisecond, true, http.StatusServiceUnavailable, leastOldWait},
+		{5001 * time.Millisecond, true, http.StatusServiceUnavailable, minStaleKeysWait},
 		{5600 * time.Millisecond, true, http.StatusServiceUnavailable, 600 * time.Millisecond},
-		{time.Hour, true, http.StatusServiceUnavailable, mostOldWait},
-		{0, false, http.StatusServiceUnavailable, leastOldWait},
+		{time.Hour, true, http.StatusServiceUnavailable, maxStaleKeysWait},
+		{0, false, http.StatusServiceUnavailable, minStaleKeysWait},
 		{time.Second, true, http.StatusOK, 0},
 	} {
 		age, known = c.age, c.known
@@ -137,8 +139,8 @@
 	}
 }
 
-// TestRankOfTenantsBeforeThatOfRoutes: at a server, requests of a tenant that goes first
-// pass all of another, and those of one go by their routes.
+// TestRankOfTenantsBeforeThatOfRoutes checks that requests are ranked by tenant first, and those of
+// one tenant by their routes.
 func TestRankOfTenantsBeforeThatOfRoutes(t *testing.T) {
 	first, usual, last := &tenant.Tenant{Name: "first"}, &tenant.Tenant{Name: "usual", Priority: 1}, &tenant.Tenant{Name: "last", Priority: 2}
 	if _, err := tenant.NewTable([]*tenant.Tenant{first, usual, {Name: "other", Priority: 1}, last}); err != nil {
@@ -156,7 +158,7 @@
 	}
 	for i, got := range ranks {
 		if got != i {
-			t.Fatalf("the ranks are %v, want them to rise by one from zero", ranks)
+			t.Fatalf("the ranks are %v, want them to increase by one from zero", ranks)
 		}
 	}
 	if got := rank(nil, 12); got != lowestPriority {
@@ -167,12 +169,12 @@
 func TestTokensOfARequest(t *testing.T) {
 	for text, want := range map[string]float64{"1460,80": 1540, "1460": 1460, " 7 , 8 ": 15, "": -1, "a,b": -1, "-5,10": -1, "1,,2": -1, "1e9,2": -1, "99999999999999999999,1": -1} {
 		if got := tokens(text); got != want {
-			t.Errorf("%q tells %g tokens, want %g", text, got, want)
+			t.Errorf("%q parsed as %g tokens, want %g", text, got, want)
 		}
 	}
 }
 
-// FuzzPresentedKey: no header yields a key of its own making or ends the process.
+// FuzzPresentedKey checks that no header crashes the parser or yields a key that was not sent.
 func FuzzPresentedKey(f *testing.F) {
 	f.Add("Bearer abc", "")
 	f.Add("bearer abc", "Bearer d")
@@ -190,7 +192,7 @@
 			t.Fatalf("%q gives the key %q", one, key)
 		}
 		if fault.status != 0 && fault != noKey && fault != badKey {
-			t.Fatalf("refused with a reason that depends on what was sent: %q", fault.reason)
+			t.Fatalf("the reason of the refusal depends on the request: %q", fault.reason)
 		}
 	})
 }
--- a/pkg/relay/affinity.go
+++ b/pkg/relay/affinity.go
@@ -9,21 +9,22 @@
 	"martenwheel.dev/pkg/traffic/routing"
 )
 
-// Whether a request went to the replica that it prefers, in logs and metrics.
+// Whether a request went to its preferred replica, in logs and metrics.
 const (
 	preferenceTaken  = "taken"     // the request went to the replica that it prefers
-	preferencePassed = "passed on" // that one failed, was tried or was loaded beyond its share
+	preferencePassed = "passed on" // the preferred one failed, was tried or exceeded its share of load
 	preferenceNone   = "none"      // the request prefers none
 )
 
-// mixes are what the relay saw lately of long and short requests, by service. The zero value is
-// ready to use. Safe for concurrent use.
+// mixes holds the recent mix of long and short requests by service. The zero value is ready to use.
+// It is safe for concurrent use.
 type mixes struct {
 	mu       sync.Mutex
 	services map[string]*affinity.Mix
 }
 
-// of returns the mix of a service. It keeps one for each: services are those of configurations.
+// of returns the mix of a service. Entries are never removed, since services come from
+// configurations.
 func (m *mixes) of(service string) *affinity.Mix {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -38,62 +39,64 @@
 	return mix
 }
 
-// shape works out which replicas the request prefers, if its route says that its requests
-// share parts of their prompts and it tells them.
-func (c *call) shape() {
+// computeAffinity determines which replicas the request prefers, if its route declares that
+// requests share prompt parts and the request names them.
+func (c *call) computeAffinity() {
 	if !c.route.Sticky || c.engine == nil || c.need.Model == "" || len(c.prompt.Parts()) == 0 {
 		return
 	}
-	c.shaped = affinity.Of(c.need.Model, c.need.Adapter, &c.prompt, affinity.Terms{
+	c.affinityReq = affinity.Of(c.need.Model, c.need.Adapter, &c.prompt, affinity.Terms{
 		Target: c.route.Target, GapTarget: c.route.GapTarget, EventTokens: c.engine.EventTokens,
 	})
-	c.relay.mixes.of(c.service).Note(c.arrived, &c.shaped)
+	c.relay.mixes.of(c.service).Note(c.arrived, &c.affinityReq)
 }
 
-// picking is what a choice works on. It is kept between choices, so that they allocate nothing.
-type picking struct {
+// choiceBuffers holds the working data of a choice. Buffers are reused so that choices allocate
+// nothing.
+type choiceBuffers struct {
 	members    []*backend.Member
-	candidates []routing.Candidate // the members, as package routing sees them
-	replicas   []affinity.Replica  // the members, as package affinity sees them
-	asked      routing.Request
+	candidates []routing.Candidate // members converted for package routing
+	replicas   []affinity.Replica  // members converted for package affinity
+	request    routing.Request
 }
 
-var pickings = sync.Pool{New: func() any { return &picking{} }}
+var choiceBufferPool = sync.Pool{New: func() any { return &choiceBuffers{} }}
 
-// reset empties it and lets go of what it points to.
-func (p *picking) reset() {
+// reset empties the buffers and drops their pointers.
+func (p *choiceBuffers) reset() {
 	clear(p.members)
 	p.members, p.candidates, p.replicas = p.members[:0], p.candidates[:0], p.replicas[:0]
-	p.asked = routing.Request{Tried: p.asked.Tried[:0]}
+	p.request = routing.Request{Tried: p.request.Tried[:0]}
 }
 
-// prefer marks the candidate that the request prefers, if it prefers one. The caller holds the
-// relay's mu.
-func (c *call) prefer(p *picking) (affinity.Choice, bool) {
-	if !c.shaped.Shares() && c.shaped.Lane() == affinity.AnyLane {
+// markPreferred marks the candidate that the request prefers, if any. The caller holds the relay's
+// mu.
+func (c *call) markPreferred(p *choiceBuffers) (affinity.Choice, bool) {
+	if !c.affinityReq.Shares() && c.affinityReq.Lane() == affinity.AnyLane {
 		return affinity.Choice{}, false
 	}
 	for i := range p.candidates {
-		p.replicas = append(p.replicas, replica(&p.asked, &p.candidates[i]))
+		p.replicas = append(p.replicas, replica(&p.request, &p.candidates[i]))
 	}
-	p.barFar()
-	choice, prefers := c.shaped.Choose(c.relay.random, c.relay.mixes.of(c.service).Lanes(), p.replicas)
+	p.barRemoteRegions()
+	choice, prefers := c.affinityReq.Choose(c.relay.random, c.relay.mixes.of(c.service).Lanes(), p.replicas)
 	if !prefers {
 		return choice, false
 	}
 	preferred := &p.candidates[choice.Taken]
-	if c.shaped.Shares() {
-		preferred.Affinity = c.shaped.Strength()
+	if c.affinityReq.Shares() {
+		preferred.Affinity = c.affinityReq.Strength()
 	} else {
 		preferred.Lane = 1
 	}
 	return choice, true
 }
 
-// barFar keeps requests from preferring a replica in another region while their own has some: what
-// they share is then kept once in each region, in place of sending prompts over the links between.
-func (p *picking) barFar() {
-	near := func(i int) bool { return p.candidates[i].Region == p.asked.Region }
+// barRemoteRegions keeps requests from preferring a replica in another region while their own
+// region has one. Shared prompt parts are then cached once in each region instead of being sent
+// between regions.
+func (p *choiceBuffers) barRemoteRegions() {
+	near := func(i int) bool { return p.candidates[i].Region == p.request.Region }
 	for i := range p.replicas {
 		if near(i) && !p.replicas[i].Barred {
 			for j := range p.replicas {
@@ -104,18 +107,18 @@
 	}
 }
 
-// replica is a candidate as package affinity sees it.
-func replica(asked *routing.Request, candidate *routing.Candidate) affinity.Replica {
-	near := routing.ConnectedScorer{}.Score(asked, candidate)*weightConnected +
-		routing.ZoneScorer{}.Score(asked, candidate)*weightZone
+// replica converts a candidate for package affinity.
+func replica(request *routing.Request, candidate *routing.Candidate) affinity.Replica {
+	near := routing.ConnectedScorer{}.Score(request, candidate)*weightConnected +
+		routing.ZoneScorer{}.Score(request, candidate)*weightZone
 	return affinity.Replica{
 		Life: affinity.LifeOf(string(candidate.Server)), Load: candidate.Usage.Requests, Slowness: candidate.Slowness,
-		Near: near / (weightConnected + weightZone), Barred: candidate.Ejected || slices.Contains(asked.Tried, candidate.Server),
+		Near: near / (weightConnected + weightZone), Barred: candidate.Ejected || slices.Contains(request.Tried, candidate.Server),
 	}
 }
 
-// noteChoice keeps for the log whether the request went where it prefers to.
-func (c *call) noteChoice(choice affinity.Choice, prefers bool, chosen int) {
+// recordChoice records for the log whether the request went to its preferred replica.
+func (c *call) recordChoice(choice affinity.Choice, prefers bool, chosen int) {
 	switch {
 	case !prefers:
 		c.record.preference = preferenceNone
@@ -126,26 +129,26 @@
 	}
 }
 
-// pick chooses among candidates.
-func (c *call) pick(p *picking) (int, bool) {
+// pick chooses among the candidates.
+func (c *call) pick(p *choiceBuffers) (int, bool) {
 	r := c.relay
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.setChooser()
-	choice, prefers := c.prefer(p)
-	i, found := r.chooser.Choose(r.random, &p.asked, p.candidates)
+	r.initChooser()
+	choice, prefers := c.markPreferred(p)
+	i, found := r.chooser.Choose(r.random, &p.request, p.candidates)
 	if found {
-		c.noteChoice(choice, prefers, i)
+		c.recordChoice(choice, prefers, i)
 	}
 	return i, found
 }
 
-// notePace notes the pace of a server that streamed the answer; where long prompts make pauses that
-// count, other nodes are told of it as well.
-func (c *call) notePace(m *backend.Member) {
-	pace := c.record.pace()
-	c.relay.Servers.Paced(m.ID, c.need.Model, pace)
-	if c.shaped.Lane() != affinity.AnyLane {
-		c.relay.Servers.Report(backend.Pace{Server: m.ID, Model: c.need.Model, PerEvent: pace})
+// reportSpeed records the speed of a server that streamed the answer. Where long prompts cause
+// noticeable pauses, other nodes are informed as well.
+func (c *call) reportSpeed(m *backend.Member) {
+	perEvent := c.record.timePerEvent()
+	c.relay.Servers.Paced(m.ID, c.need.Model, perEvent)
+	if c.affinityReq.Lane() != affinity.AnyLane {
+		c.relay.Servers.Report(backend.Pace{Server: m.ID, Model: c.need.Model, PerEvent: perEvent})
 	}
 }
--- a/pkg/relay/affinity_load_test.go
+++ b/pkg/relay/affinity_load_test.go
@@ -16,8 +16,8 @@
 	"martenwheel.dev/pkg/traffic/routing"
 )
 
-// with is the choice before there were preferences, with candidates that prefer notes.
-func with(prefer func(c *call, candidates []routing.Candidate)) way {
+// selectWith chooses without the relay's preferences, after prefer modified the candidates.
+func selectWith(prefer func(c *call, candidates []routing.Candidate)) strategy {
 	return func(c *call) *backend.Member {
 		var members []*backend.Member
 		var candidates []routing.Candidate
@@ -33,12 +33,12 @@
 	}
 }
 
-func nothing(*call, []routing.Candidate) {}
+func noPreference(*call, []routing.Candidate) {}
 
-// byKey prefers servers by rendezvous hashing, whatever their lanes and paces.
+// byKey prefers servers by rendezvous hashing, regardless of their lanes and speeds.
 func byKey(key func(c *call) string) func(*call, []routing.Candidate) {
 	return func(c *call, candidates []routing.Candidate) {
-		if !c.shaped.Shares() {
+		if !c.affinityReq.Shares() {
 			return
 		}
 		first := slices.MaxFunc(indices(candidates), func(a, b int) int {
@@ -64,18 +64,18 @@
 func firstPart(c *call) string { return c.need.String() + c.prompt.Parts()[0].ID }
 func modelOnly(c *call) string { return c.need.String() }
 
-// strictLanes gives a part of the replicas, in an order, to long requests and the others to
-// short ones.
+// strictLanes reserves a share of the replicas, in the given order, for long requests and the
+// others for short ones.
 func strictLanes(share float64, order func(*routing.Candidate) float64, affine bool) func(*call, []routing.Candidate) {
 	return func(c *call, candidates []routing.Candidate) {
-		if len(candidates) < 2 || c.shaped.Lane() == affinity.AnyLane {
+		if len(candidates) < 2 || c.affinityReq.Lane() == affinity.AnyLane {
 			return
 		}
 		list := indices(candidates)
 		slices.SortFunc(list, func(a, b int) int { return cmp.Compare(order(&candidates[b]), order(&candidates[a])) })
 		n := min(max(int(math.Round(share*float64(len(list)))), 1), len(list)-1)
 		own := list[:n]
-		if c.shaped.Lane() == affinity.ShortLane {
+		if c.affinityReq.Lane() == affinity.ShortLane {
 			own = list[n:]
 		}
 		var within []routing.Candidate
@@ -92,23 +92,23 @@
 	}
 }
 
-// byPlace is the order of lanes.
+// byPlace is the standard order of replicas in lanes.
 func byPlace(candidate *routing.Candidate) float64 {
 	return affinity.Place(affinity.LifeOf(string(candidate.Server)))
 }
 
-// slowForShort is the order of lanes with slow servers at the short end.
+// slowForShort is the order of lanes with slow servers at the end for short requests.
 func slowForShort(candidate *routing.Candidate) float64 {
 	return byPlace(candidate) - max(candidate.Slowness, 1)
 }
 
-// Parts of the replicas that long requests get.
+// Shares of the replicas for long requests.
 const (
-	half      = 0.5
-	byReading = 0.9 // of what is read in the load of long prompts
+	halfShare = 0.5
+	readShare = 0.9 // share of the prompt tokens in the load of long prompts
 )
 
-// ownIndex prefers where this node sent the shared parts before.
+// ownIndex prefers the servers to which this node sent the shared parts before.
 func ownIndex() func(*call, []routing.Candidate) {
 	type place struct {
 		relay  *Relay
@@ -116,7 +116,7 @@
 	}
 	indexes := make(map[place]*prefixcache.Index)
 	return func(c *call, candidates []routing.Candidate) {
-		if !c.shaped.Shares() {
+		if !c.affinityReq.Shares() {
 			return
 		}
 		var prefixes []uint64
@@ -138,11 +138,11 @@
 	}
 }
 
-// kept is the way that the relay goes.
-func kept(c *call) *backend.Member { return c.choose() }
+// relayChoice is the choice of the relay.
+func relayChoice(c *call) *backend.Member { return c.choose() }
 
-// without is the relay's way with a part of what the request prefers taken away.
-func without(what func(c *call)) way {
+// without is the choice of the relay after what disabled part of the preferences.
+func without(what func(c *call)) strategy {
 	return func(c *call) *backend.Member {
 		what(c)
 		return c.choose()
@@ -152,81 +152,82 @@
 func noLanes(c *call) { *c.relay.mixes.of(c.service) = affinity.Mix{} }
 
 func noParts(c *call) {
-	if c.shaped.Shares() {
-		c.shaped = affinity.Request{}
+	if c.affinityReq.Shares() {
+		c.affinityReq = affinity.Request{}
 	}
 }
 
-// total plays a load by several seeds.
-func (l load) total(choose func() way) result {
+// runSeeds simulates a load with several seeds.
+func (l load) runSeeds(newStrategy func() strategy) result {
 	const seeds = 5
 	sum := result{kinds: make([]tally, len(l.kinds))}
 	for seed := range uint64(seeds) {
-		r := l.play(seed+1, choose())
+		r := l.simulate(seed+1, newStrategy())
 		for i, k := range r.kinds {
 			t := &sum.kinds[i]
-			t.asked, t.inTime, t.byFirst, t.byPause = t.asked+k.asked, t.inTime+k.inTime, t.byFirst+k.byFirst, t.byPause+k.byPause
+			t.asked, t.inTime, t.lateFirst, t.latePause = t.asked+k.asked, t.inTime+k.inTime, t.lateFirst+k.lateFirst, t.latePause+k.latePause
 		}
 		sum.read += r.read
-		sum.again += r.again
+		sum.reread += r.reread
 		sum.busiest += r.busiest / seeds
 	}
 	return sum
 }
 
-// describe is a line of a table: for each kind in time, late by the first event and by a pause.
+// describe formats a result: for each kind the share in time, and the numbers late by the first
+// event and by a pause.
 func (l load) describe(r result) string {
 	text := ""
 	for i, t := range r.kinds {
-		text += fmt.Sprintf(" %s %.1f%% %d %d |", l.kinds[i].name, 100*t.share(), t.byFirst, t.byPause)
+		text += fmt.Sprintf(" %s %.1f%% %d %d |", l.kinds[i].name, 100*t.share(), t.lateFirst, t.latePause)
 	}
-	return text + fmt.Sprintf(" read %.1fM, again %.2fM, busiest %.2f", float64(r.read)/1e6, float64(r.again)/1e6, r.busiest)
+	return text + fmt.Sprintf(" read %.1fM, again %.2fM, busiest %.2f", float64(r.read)/1e6, float64(r.reread)/1e6, r.busiest)
 }
 
-func always(w way) func() way { return func() way { return w } }
+func fixedStrategy(w strategy) func() strategy { return func() strategy { return w } }
 
-// ways are compared side by side; the first is the standing one, the second the relay's.
-var ways = []struct {
+// strategies are compared with each other. The first is the baseline, the second the relay's.
+var strategies = []struct {
 	name   string
-	choose func() way
+	choose func() strategy
 }{
-	{"random of two", always(with(nothing))},
-	{"kept", always(kept)},
-	{"kept, no lanes", always(without(noLanes))},
-	{"kept, no shared parts", always(without(noParts))},
-	{"last shared part alone", always(with(byKey(lastPart)))},
-	{"first shared part alone", always(with(byKey(firstPart)))},
-	{"model alone", always(with(byKey(modelOnly)))},
-	{"lanes by halves alone", always(with(strictLanes(half, byPlace, false)))},
-	{"lanes by halves, last part", always(with(strictLanes(half, byPlace, true)))},
-	{"lanes by shares, last part", always(with(strictLanes(byReading, byPlace, true)))},
-	{"slow for short, last part", always(with(strictLanes(half, slowForShort, true)))},
-	{"where this node sent it", func() way { return with(ownIndex()) }},
+	{"random of two", fixedStrategy(selectWith(noPreference))},
+	{"kept", fixedStrategy(relayChoice)},
+	{"kept, no lanes", fixedStrategy(without(noLanes))},
+	{"kept, no shared parts", fixedStrategy(without(noParts))},
+	{"last shared part alone", fixedStrategy(selectWith(byKey(lastPart)))},
+	{"first shared part alone", fixedStrategy(selectWith(byKey(firstPart)))},
+	{"model alone", fixedStrategy(selectWith(byKey(modelOnly)))},
+	{"lanes by halves alone", fixedStrategy(selectWith(strictLanes(halfShare, byPlace, false)))},
+	{"lanes by halves, last part", fixedStrategy(selectWith(strictLanes(halfShare, byPlace, true)))},
+	{"lanes by shares, last part", fixedStrategy(selectWith(strictLanes(readShare, byPlace, true)))},
+	{"slow for short, last part", fixedStrategy(selectWith(strictLanes(halfShare, slowForShort, true)))},
+	{"where this node sent it", func() strategy { return selectWith(ownIndex()) }},
 }
 
-// noise is by how much the shares of answers in time of five seeds differ by luck alone.
+// noise is the random variation of the share of answers in time over five seeds.
 const noise = 0.01
 
-// TestLongPromptsBesideQuestions: by the relay's choice callers of no kind are served worse
-// than by the standing one, whether nodes know each other's paces or not, drafts and questions
-// better, and shared parts are read again much less.
+// TestLongPromptsBesideQuestions checks that the relay's choice serves no kind of request worse
+// than the baseline, with or without shared speeds, that it serves drafts and questions better, and
+// that far fewer shared parts are read again.
 func TestLongPromptsBesideQuestions(t *testing.T) {
 	for _, l := range []struct {
 		name string
 		load load
 	}{{"drafts", longPrompts()}, {"reviews", reviews()}} {
-		for _, told := range []bool{false, true} {
+		for _, shared := range []bool{false, true} {
 			load := l.load
-			load.told = told
+			load.shareSpeeds = shared
 			gain := 0.01
-			if told {
-				gain = 0.005 // less is left to gain
+			if shared {
+				gain = 0.005 // less can be gained
 			}
-			t.Run(fmt.Sprintf("%s/told=%v", l.name, told), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s/told=%v", l.name, shared), func(t *testing.T) {
 				t.Parallel()
 				var results []result
-				for _, w := range ways {
-					results = append(results, load.total(w.choose))
+				for _, w := range strategies {
+					results = append(results, load.runSeeds(w.choose))
 					t.Logf("%-26s %s", w.name, load.describe(results[len(results)-1]))
 				}
 				load.compare(t, results[0], results[1], gain)
@@ -235,30 +236,30 @@
 	}
 }
 
-// compare reports where the relay's way is worse than the standing one, and if it gains less
-// for drafts and questions, or saves less than a third of what is read again.
-func (l load) compare(t *testing.T, standing, kept result, gain float64) {
+// compare fails if the relay's choice is worse than the baseline, gains less than gain for drafts
+// and questions, or saves less than a third of the tokens read again.
+func (l load) compare(t *testing.T, baseline, current result, gain float64) {
 	t.Helper()
-	for i := range kept.kinds {
-		least := standing.kinds[i].share() + gain
+	for i := range current.kinds {
+		minShare := baseline.kinds[i].share() + gain
 		if l.kinds[i].rare {
-			least = standing.kinds[i].share() - noise
+			minShare = baseline.kinds[i].share() - noise
 		}
-		if kept.kinds[i].share() < least {
-			t.Errorf("%ss: %.3f in time, %.3f by the standing choice", l.kinds[i].name,
-				kept.kinds[i].share(), standing.kinds[i].share())
+		if current.kinds[i].share() < minShare {
+			t.Errorf("%ss: %.3f in time, %.3f by the baseline", l.kinds[i].name,
+				current.kinds[i].share(), baseline.kinds[i].share())
 		}
 	}
-	if kept.again*3 > standing.again*2 {
-		t.Errorf("%d tokens read again, %d by the standing choice", kept.again, standing.again)
+	if current.reread*3 > baseline.reread*2 {
+		t.Errorf("%d tokens read again, %d by the baseline", current.reread, baseline.reread)
 	}
 }
 
-// TestEachPreferenceIsWorthIt: without lanes questions are late more often, without affinity
-// drafts are, and more is read again.
+// TestEachPreferenceIsWorthIt checks that without lanes more questions are late, and that without
+// affinity more drafts are late and more tokens are read again.
 func TestEachPreferenceIsWorthIt(t *testing.T) {
 	l := longPrompts()
-	both, noLanes, noParts := l.total(always(kept)), l.total(always(without(noLanes))), l.total(always(without(noParts)))
+	both, noLanes, noParts := l.runSeeds(fixedStrategy(relayChoice)), l.runSeeds(fixedStrategy(without(noLanes))), l.runSeeds(fixedStrategy(without(noParts)))
 	const draft, question = 0, 2
 	if gain := both.kinds[question].share() - noLanes.kinds[question].share(); gain < 3*noise {
 		t.Errorf("lanes gain %.3f of the questions", gain)
@@ -266,92 +267,92 @@
 	if gain := both.kinds[draft].share() - noParts.kinds[draft].share(); gain < noise {
 		t.Errorf("affinity gains %.3f of the drafts", gain)
 	}
-	if both.again*2 > noParts.again {
-		t.Errorf("%d tokens read again with affinity, %d without", both.again, noParts.again)
+	if both.reread*2 > noParts.reread {
+		t.Errorf("%d tokens read again with affinity, %d without", both.reread, noParts.reread)
 	}
 }
 
-// TestToldPacesServeBetter: if nodes tell each other of the paces of servers, callers of all
-// kinds are served in time more often than if each knows its own streams, and than by the
-// standing choice also far beyond what the fleet can bear.
-func TestToldPacesServeBetter(t *testing.T) {
-	for _, crowd := range []float64{1, 1.4, 1.8, 2.4} {
-		alone := longPrompts()
-		alone.perSecond *= crowd
-		told := alone
-		told.told = true
-		standing, before, after := alone.total(always(with(nothing))), alone.total(always(kept)), told.total(always(kept))
-		t.Logf("%.1f times the load, random of two: %s", crowd, alone.describe(standing))
-		t.Logf("%.1f times the load, each alone:    %s", crowd, alone.describe(before))
-		t.Logf("%.1f times the load, told:          %s", crowd, told.describe(after))
+// TestSharedSpeedsImproveService checks that if nodes exchange the speeds of servers, more requests
+// of all kinds are in time than if each node knows only its own streams, and than with the baseline
+// even far beyond the capacity.
+func TestSharedSpeedsImproveService(t *testing.T) {
+	for _, factor := range []float64{1, 1.4, 1.8, 2.4} {
+		separate := longPrompts()
+		separate.perSecond *= factor
+		shared := separate
+		shared.shareSpeeds = true
+		baseline, before, after := separate.runSeeds(fixedStrategy(selectWith(noPreference))), separate.runSeeds(fixedStrategy(relayChoice)), shared.runSeeds(fixedStrategy(relayChoice))
+		t.Logf("%.1f times the load, random of two: %s", factor, separate.describe(baseline))
+		t.Logf("%.1f times the load, separate speeds:%s", factor, separate.describe(before))
+		t.Logf("%.1f times the load, shared speeds:  %s", factor, shared.describe(after))
 		for i := range before.kinds {
-			if gain := after.kinds[i].share() - standing.kinds[i].share(); gain < noise {
-				t.Errorf("%.1f times the load: %ss gain %.3f", crowd, alone.kinds[i].name, gain)
+			if gain := after.kinds[i].share() - baseline.kinds[i].share(); gain < noise {
+				t.Errorf("%.1f times the load: %ss gain %.3f", factor, separate.kinds[i].name, gain)
 			}
-			if gain := after.kinds[i].share() - before.kinds[i].share(); crowd < 2 && gain < noise {
-				t.Errorf("%.1f times the load: %ss gain %.3f by being told", crowd, alone.kinds[i].name, gain)
+			if gain := after.kinds[i].share() - before.kinds[i].share(); factor < 2 && gain < noise {
+				t.Errorf("%.1f times the load: %ss gain %.3f by shared speeds", factor, separate.kinds[i].name, gain)
 			}
 		}
 	}
 }
 
-// TestNodesWithOldLists: a third of the engines restart with nothing kept, and half of the
-// nodes learn of it later or by a try that fails.
-func TestNodesWithOldLists(t *testing.T) {
-	for _, behind := range []time.Duration{0, time.Second, 5 * time.Second} {
+// TestStaleServerLists restarts a third of the engines with empty caches, while half of the nodes
+// learn of it later or by a failed attempt.
+func TestStaleServerLists(t *testing.T) {
+	for _, staleFor := range []time.Duration{0, time.Second, 5 * time.Second} {
 		l := longPrompts()
-		l.reborn, l.behind = 15*time.Second, behind
-		standing, kept := l.total(always(with(nothing))), l.total(always(kept))
-		t.Logf("%v behind: random of two: %s", behind, l.describe(standing))
-		t.Logf("%v behind: kept:          %s", behind, l.describe(kept))
-		l.compare(t, standing, kept, 0.01)
+		l.restartAt, l.staleFor = 15*time.Second, staleFor
+		baseline, current := l.runSeeds(fixedStrategy(selectWith(noPreference))), l.runSeeds(fixedStrategy(relayChoice))
+		t.Logf("%v stale: random of two: %s", staleFor, l.describe(baseline))
+		t.Logf("%v stale: relay:         %s", staleFor, l.describe(current))
+		l.compare(t, baseline, current, 0.01)
 	}
 }
 
-// TestShortPromptsAreServedAsBefore: where prompts share little and are quick to read,
-// callers get what they got.
+// TestShortPromptsAreServedAsBefore checks that prompts that share little and are read quickly are
+// not served worse than by the baseline.
 func TestShortPromptsAreServedAsBefore(t *testing.T) {
 	for _, slots := range []int{12, 64} {
 		for _, eventTokens := range []int{1, 2, 4} {
 			l := shortPrompts(slots, eventTokens)
-			standing, kept := l.total(always(with(nothing))), l.total(always(kept))
-			t.Logf("%d slots, events of %d: random of two: %s", slots, eventTokens, l.describe(standing))
-			t.Logf("%d slots, events of %d: kept:          %s", slots, eventTokens, l.describe(kept))
-			if kept.kinds[0].share() < standing.kinds[0].share()-noise {
-				t.Errorf("%d slots, events of %d: %.3f in time, %.3f before", slots, eventTokens,
-					kept.kinds[0].share(), standing.kinds[0].share())
+			baseline, current := l.runSeeds(fixedStrategy(selectWith(noPreference))), l.runSeeds(fixedStrategy(relayChoice))
+			t.Logf("%d slots, events of %d: random of two: %s", slots, eventTokens, l.describe(baseline))
+			t.Logf("%d slots, events of %d: relay:         %s", slots, eventTokens, l.describe(current))
+			if current.kinds[0].share() < baseline.kinds[0].share()-noise {
+				t.Errorf("%d slots, events of %d: %.3f in time, %.3f by the baseline", slots, eventTokens,
+					current.kinds[0].share(), baseline.kinds[0].share())
 			}
 		}
 	}
 }
 
-// TestNoPreferenceChoosesAsBefore: with the same random numbers the choice is the same as
-// before if the route doesn't say that its requests share parts, if they don't tell them, or
-// if they are too short to matter.
+// TestNoPreferenceChoosesAsBefore checks that the same servers as in the baseline are chosen if the
+// route does not declare shared parts, if requests do not name them, or if they are too short to
+// matter.
 func TestNoPreferenceChoosesAsBefore(t *testing.T) {
 	notSticky := longPrompts()
 	for i := range notSticky.kinds {
 		notSticky.kinds[i].route.Sticky = false
 	}
 	short := shortPrompts(24, 2)
-	short.kinds[0].session = 80 // none is so far above the mean that it matters
+	short.kinds[0].session = 80 // no prompt is long enough above the mean to matter
 	notTold := func(c *call) *backend.Member {
-		c.shaped, c.prompt = affinity.Request{}, prompt.Prompt{}
-		c.shape()
+		c.affinityReq, c.prompt = affinity.Request{}, prompt.Prompt{}
+		c.computeAffinity()
 		return c.choose()
 	}
 	for _, test := range []struct {
 		name   string
 		load   load
-		choose way
-	}{{"not sticky", notSticky, kept}, {"not told", longPrompts(), notTold}, {"short", short, kept}} {
-		before, after := test.load.play(1, with(nothing)), test.load.play(1, test.choose)
+		choose strategy
+	}{{"not sticky", notSticky, relayChoice}, {"not told", longPrompts(), notTold}, {"short", short, relayChoice}} {
+		before, after := test.load.simulate(1, selectWith(noPreference)), test.load.simulate(1, test.choose)
 		if !slices.Equal(before.choices, after.choices) {
-			t.Errorf("%s: other servers were chosen", test.name)
+			t.Errorf("%s: servers other than those of the baseline were chosen", test.name)
 		}
 	}
-	before, after := longPrompts().play(1, with(nothing)), longPrompts().play(1, kept)
+	before, after := longPrompts().simulate(1, selectWith(noPreference)), longPrompts().simulate(1, relayChoice)
 	if slices.Equal(before.choices, after.choices) {
-		t.Error("preferences change nothing")
+		t.Error("preferences did not change any choice")
 	}
 }
--- a/pkg/relay/affinity_test.go
+++ b/pkg/relay/affinity_test.go
@@ -17,7 +17,7 @@
 	"martenwheel.dev/pkg/route"
 )
 
-// stickySite is a site whose servers all hold the model "m".
+// stickySite returns a site whose servers all hold the model "m".
 func stickySite(t *testing.T, log *bytes.Buffer, answers ...answerer) (*site, *prometheus.Registry) {
 	r := streamRoute(true)
 	r.Sticky, r.Target, r.GapTarget, r.MaxAttempts = true, 800*time.Millisecond, 300*time.Millisecond, 3
@@ -34,7 +34,7 @@
 	return s, registry
 }
 
-// askWith sends a request with prompt parts; the answer is whole when it returns.
+// askWith sends a request with prompt parts and waits for the complete answer.
 func (s *site) askWith(id, parts string) {
 	s.t.Helper()
 	r := s.request(s.t.Context(), http.MethodPost, "/p/x", id, "x")
@@ -44,13 +44,13 @@
 		r.Header.Set("X-Parts", parts)
 	}
 	if got := s.do(r); got.status != http.StatusOK {
-		s.t.Fatalf("%s: %d", id, got.status)
+		s.t.Fatalf("request %s: status %d", id, got.status)
 	}
-	s.settle()
+	s.awaitIdle()
 }
 
-// counts returns the counter of choices.
-func counts(t *testing.T, registry *prometheus.Registry) map[string]float64 {
+// choiceCounts returns the counters of choices.
+func choiceCounts(t *testing.T, registry *prometheus.Registry) map[string]float64 {
 	t.Helper()
 	families, err := registry.Gather()
 	if err != nil {
@@ -70,8 +70,8 @@
 
 const sharedParts = "5c1e07a2:2520,91bd3f06:3780,e4402b7d:2900"
 
-// TestSharedPartsGoToOneServer, and requests that tell none have no preference; a line and a
-// counter tell both.
+// TestSharedPartsGoToOneServer checks that requests with the same shared parts go to one server,
+// that requests without parts have no preference, and that log and metrics show both.
 func TestSharedPartsGoToOneServer(t *testing.T) {
 	log := &bytes.Buffer{}
 	s, registry := stickySite(t, log, events(3, 3, nil), events(3, 3, nil), events(3, 3, nil), events(3, 3, nil))
@@ -84,8 +84,8 @@
 		}
 	}
 	s.askWith("other", "")
-	if got := counts(t, registry); got[preferenceTaken] != 8 || got[preferenceNone] != 1 {
-		t.Errorf("choices %v", got)
+	if got := choiceCounts(t, registry); got[preferenceTaken] != 8 || got[preferenceNone] != 1 {
+		t.Errorf("choices are %v", got)
 	}
 	if line := log.String(); !strings.Contains(line, `"preferred":"taken"`) || !strings.Contains(line, `"lane":"long"`) ||
 		!strings.Contains(line, `"shared_tokens":6300`) {
@@ -93,8 +93,8 @@
 	}
 }
 
-// TestPreferredServerThatFailsIsPassedOver: while it is avoided all go to the second one in
-// the order.
+// TestPreferredServerThatFailsIsPassedOver checks that all requests go to the second server in the
+// order while the preferred one is avoided.
 func TestPreferredServerThatFailsIsPassedOver(t *testing.T) {
 	s, registry := stickySite(t, &bytes.Buffer{}, events(3, 3, nil), events(3, 3, nil), events(3, 3, nil), events(3, 3, nil))
 	s.askWith("first", sharedParts)
@@ -109,13 +109,13 @@
 			t.Errorf("%s went to %s, the first one to %s", got.id, got.server, rest[0].server)
 		}
 	}
-	if got := counts(t, registry); got[preferencePassed] != 4 {
-		t.Errorf("choices %v", got)
+	if got := choiceCounts(t, registry); got[preferencePassed] != 4 {
+		t.Errorf("choices are %v", got)
 	}
 }
 
-// wideCall is a call before many servers of which some hold its model.
-func wideCall(servers, holders int) *call {
+// callWithServers returns a call with many servers, some of which hold its model.
+func callWithServers(servers, holders int) *call {
 	var list []*backend.Server
 	for i := range servers {
 		model := "m"
@@ -130,13 +130,13 @@
 	c := &call{relay: r, request: request{service: "s", arrived: time.Now(), need: backend.Need{Model: "m"}, engine: &route.Engine{EventTokens: 6},
 		route:  &route.Route{Kind: route.Stream, Sticky: true, Target: 800 * time.Millisecond, GapTarget: 300 * time.Millisecond},
 		prompt: prompt.Parse(prompt.Fields{Tokens: "9200,54", Parts: sharedParts})}}
-	c.shape()
+	c.computeAffinity()
 	return c
 }
 
-// TestChoiceAllocatesNothing once its slices have grown.
+// TestChoiceAllocatesNothing checks that choices do not allocate once the buffers have grown.
 func TestChoiceAllocatesNothing(t *testing.T) {
-	c := wideCall(150, 150)
+	c := callWithServers(150, 150)
 	if n := testing.AllocsPerRun(200, func() { c.choose() }); n >= 1 {
 		t.Errorf("%v allocations for a choice", n)
 	}
@@ -146,9 +146,9 @@
 	for _, holders := range []int{11, 150} {
 		for _, prefers := range []bool{true, false} {
 			b.Run(fmt.Sprintf("150servers/%dreplicas/prefers=%v", holders, prefers), func(b *testing.B) {
-				c := wideCall(150, holders)
+				c := callWithServers(150, holders)
 				if !prefers {
-					c.shaped = affinity.Request{}
+					c.affinityReq = affinity.Request{}
 				}
 				b.ReportAllocs()
 				for b.Loop() {
@@ -159,22 +159,22 @@
 	}
 }
 
-// TestPacesAreReportedWherePausesCount: other nodes are told of the pace of a stream whose
-// pauses long prompts can make late, and of no other.
-func TestPacesAreReportedWherePausesCount(t *testing.T) {
-	c := wideCall(2, 2)
+// TestSpeedsAreReportedForLongPrompts checks that the speed of a stream is reported to other nodes
+// only if long prompts can delay its events.
+func TestSpeedsAreReportedForLongPrompts(t *testing.T) {
+	c := callWithServers(2, 2)
 	m := c.choose()
 	c.record.try(m.ID, time.Now())
 	for i := range 20 {
-		c.record.sent(time.Unix(100, 0).Add(time.Duration(i)*30*time.Millisecond), 10, 1)
+		c.record.eventsSent(time.Unix(100, 0).Add(time.Duration(i)*30*time.Millisecond), 10, 1)
 	}
-	c.notePace(m)
+	c.reportSpeed(m)
 	if got := c.relay.Servers.TakeReports(9); len(got) != 1 || got[0].Server != m.ID || got[0].Model != "m" || got[0].PerEvent <= 0 {
-		t.Errorf("reported %+v", got)
+		t.Errorf("reported %+v, want one speed of the server", got)
 	}
-	c.shaped = affinity.Request{}
-	c.notePace(m)
+	c.affinityReq = affinity.Request{}
+	c.reportSpeed(m)
 	if got := c.relay.Servers.TakeReports(9); len(got) != 0 {
-		t.Errorf("reported %+v", got)
+		t.Errorf("reported %+v, want nothing", got)
 	}
 }
--- a/pkg/relay/budget.go
+++ b/pkg/relay/budget.go
@@ -7,39 +7,39 @@
 	"martenwheel.dev/pkg/clock"
 )
 
-// BudgetConfig bounds how often requests are sent to a second server, over all
-// nodes: in each window, Ratio of the requests and Slack more.
+// BudgetConfig limits how often requests are retried at another server, over all nodes: in each
+// window, Ratio of the requests plus Slack.
 type BudgetConfig struct {
 	Ratio  float64
-	Window time.Duration // zero: no bound
+	Window time.Duration // zero: no limit
 	Slack  float64
 }
 
-// budgetSlots is the number of parts of a window.
+// budgetSlots is the number of slots of a window.
 const budgetSlots = 20
 
-// budget counts the requests and repeats of one service on this node. Each node
-// keeps to its share of the bound without asking the others, and so do the lives of a
-// node together: what an earlier life of it spent is not known.
+// budget counts the requests and retries of one service on this node. Each node keeps to its share
+// of the limit without asking the others. The share holds for all incarnations of a node together,
+// although a new one does not know what its predecessor spent.
 //
-// A repeat is covered by the requests of the last window and, for the rest, by an
-// account of slack that fills over time. The account of a life begins empty and takes
-// what is left of the share beyond its size a whole window to fill: the most that is
-// taken from it in any window, by an earlier life and by this one, is the share.
+// A retry is covered by the requests of the last window and otherwise taken from a slack account
+// that fills over time. The account of an incarnation begins empty, holds only part of the share,
+// and gains the rest within a window: what an earlier and this incarnation together take in any
+// window is at most the share.
 type budget struct {
 	slots [budgetSlots]struct {
 		number   int64
 		requests int
-		covered  float64 // repeats that requests cover
-		slack    float64 // repeats taken from the account
+		covered  float64 // retries that requests cover
+		slack    float64 // retries taken from the slack account
 	}
 	slack slackAccount
 }
 
-// budgets hold those of all services. Safe for concurrent use.
+// budgets holds the budgets of all services. It is safe for concurrent use.
 type budgets struct {
 	mu       sync.Mutex
-	began    time.Time // from when accounts of slack fill
+	began    time.Time // when the slack accounts begin to fill
 	services map[string]*budget
 }
 
@@ -55,7 +55,7 @@
 	return s
 }
 
-// arrive counts a request at a node whose accounts fill from a time on; zero: from now.
+// arrive counts a request. The slack accounts of the node fill from began on; zero: from now.
 func (b *budgets) arrive(cfg BudgetConfig, began, now time.Time, service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -69,9 +69,9 @@
 	s.slots[s.slot(cfg, now)].requests++
 }
 
-// repeat takes a repeat out of the budget of a node among n, false if it is
-// spent. While n is not known (zero), only requests cover repeats.
-func (b *budgets) repeat(cfg BudgetConfig, now time.Time, service string, n int) bool {
+// takeRetry takes a retry from the budget of one of n nodes. It returns false if the budget is
+// spent. While n is unknown (zero), only requests cover retries.
+func (b *budgets) takeRetry(cfg BudgetConfig, now time.Time, service string, n int) bool {
 	if cfg.Window <= 0 {
 		return true
 	}
@@ -81,20 +81,19 @@
 	at := s.slot(cfg, now)
 	s.fill(cfg, now, n)
 	covered := min(s.covers(cfg, at), 1)
-	if covered+s.slack.repeats < 1-spendTolerance {
+	if covered+s.slack.retries < 1-spendTolerance {
 		return false
 	}
 	s.slots[at].covered += covered
 	s.slots[at].slack += 1 - covered
-	s.slack.repeats = max(s.slack.repeats-(1-covered), 0)
+	s.slack.retries = max(s.slack.retries-(1-covered), 0)
 	return true
 }
 
-// spendTolerance is for the rounding of sums of fractions of repeats.
+// spendTolerance allows for rounding in sums of fractional retries.
 const spendTolerance = 1e-9
 
-// covers returns how many repeats the requests of the window that ends with a slot
-// still cover.
+// covers returns how many retries the requests of the window that ends with slot at still cover.
 func (b *budget) covers(cfg BudgetConfig, at int) float64 {
 	requests, covered := 0, 0.0
 	for _, slot := range b.slots {
@@ -103,27 +102,27 @@
 			covered += slot.covered
 		}
 	}
-	return max(budgetCaution*cfg.Ratio*float64(requests)-covered, 0)
+	return max(budgetSafetyFactor*cfg.Ratio*float64(requests)-covered, 0)
 }
 
-// fill brings the account of slack up to date for a node among n.
+// fill updates the slack account for one of n nodes.
 func (b *budget) fill(cfg BudgetConfig, now time.Time, n int) {
 	share := 0.0
 	if n > 0 {
-		share = budgetCaution * (1 - lentShare) * cfg.Slack / float64(n)
+		share = budgetSafetyFactor * (1 - lentShare) * cfg.Slack / float64(n)
 	}
 	b.slack.fill(now, cfg.Window, share)
 }
 
-// borrowed notes a repeat that the holder lent.
+// borrowed records a retry that the coordinator lent.
 func (b *budgets) borrowed(cfg BudgetConfig, now time.Time, service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.of(service)
-	s.slots[s.slot(cfg, now)].slack++ // to be given back if the repeat reaches no server
+	s.slots[s.slot(cfg, now)].slack++ // returned by giveBack if the retry reaches no server
 }
 
-// giveBack returns a repeat that reached no server.
+// giveBack returns a retry that reached no server.
 func (b *budgets) giveBack(cfg BudgetConfig, now time.Time, service string) {
 	if cfg.Window <= 0 {
 		return
@@ -139,7 +138,7 @@
 		}
 		part := min(slot.slack, left)
 		slot.slack -= part
-		s.slack.repeats += part
+		s.slack.retries += part
 		left -= part
 		part = min(slot.covered, left)
 		slot.covered -= part
@@ -147,15 +146,15 @@
 	}
 }
 
-// budgetCaution keeps a node below its share: the others may not know yet of a
-// node that came.
-const budgetCaution = 0.8
+// budgetSafetyFactor keeps a node below its share, since the others may not know yet of a node that
+// joined.
+const budgetSafetyFactor = 0.8
 
-// budgetEpoch is where the numbers of slots begin. The time of day, which may step, would
-// end windows early or late.
+// budgetEpoch is the start of slot numbering. With the time of day, a clock step would end windows
+// too early or too late.
 var budgetEpoch = clock.Now()
 
-// slot returns the slot of now, emptied if it is of an earlier window.
+// slot returns the index of the current slot, emptied if it belongs to an earlier window.
 func (b *budget) slot(cfg BudgetConfig, now time.Time) int {
 	width := max(cfg.Window/budgetSlots, time.Millisecond)
 	number := int64(now.Sub(budgetEpoch) / width)
--- a/pkg/relay/budget_test.go
+++ b/pkg/relay/budget_test.go
@@ -16,45 +16,45 @@
 	"martenwheel.dev/pkg/route"
 )
 
-// testBudget is the bound of a site with many nodes.
+// testBudget is the budget of a site with many nodes.
 var testBudget = BudgetConfig{Ratio: 0.2, Window: 10 * time.Second, Slack: 430}
 
-// budgetFleet is nodes that share a bound, each with what it knows of the others.
+// budgetFleet simulates nodes that share a budget, each with its own knowledge of their number.
 type budgetFleet struct {
 	cfg     BudgetConfig
 	nodes   []*budgetNode
-	pool    SlackPool // of the holder
+	pool    SlackPool // of the coordinator
 	now     time.Time
 	arrived []time.Time // requests at all nodes
-	repeats []time.Time
+	retries []time.Time
 }
 
-// budgetNode is one life of a node.
+// budgetNode is one incarnation of a node.
 type budgetNode struct {
-	budgets budgets
-	began   time.Time
-	knows   int // nodes; zero: not told yet
+	budgets    budgets
+	startedAt  time.Time
+	knownNodes int // number of nodes; zero: unknown
 }
 
-// newBudgetFleet starts nodes that come after earlier lives.
+// newBudgetFleet starts nodes that replace earlier incarnations.
 func newBudgetFleet(n int) *budgetFleet {
 	f := &budgetFleet{cfg: testBudget, now: time.Unix(1000, 0), pool: SlackPool{Budget: testBudget}}
 	f.pool.Begin(f.now)
 	for range n {
-		f.nodes = append(f.nodes, &budgetNode{began: f.now, knows: n})
+		f.nodes = append(f.nodes, &budgetNode{startedAt: f.now, knownNodes: n})
 	}
 	return f
 }
 
-// request has a request come to a node, which would send it to so many more servers.
+// request simulates a request at a node with the given number of attempted retries.
 func (f *budgetFleet) request(i, more int) {
 	n := f.nodes[i]
-	n.budgets.arrive(f.cfg, n.began, f.now, "s")
+	n.budgets.arrive(f.cfg, n.startedAt, f.now, "s")
 	f.arrived = append(f.arrived, f.now)
 	for range more {
-		own := n.budgets.repeat(f.cfg, f.now, "s", n.knows)
+		own := n.budgets.takeRetry(f.cfg, f.now, "s", n.knownNodes)
 		if own || f.pool.Lend(f.now, "s") {
-			f.repeats = append(f.repeats, f.now)
+			f.retries = append(f.retries, f.now)
 		}
 		if !own {
 			n.budgets.borrowed(f.cfg, f.now, "s")
@@ -62,16 +62,18 @@
 	}
 }
 
-// kill replaces a node by a life that knows so many nodes.
-func (f *budgetFleet) kill(i, knows int) { f.nodes[i] = &budgetNode{began: f.now, knows: knows} }
+// restart replaces a node by a new incarnation that knows knownNodes nodes.
+func (f *budgetFleet) restart(i, knownNodes int) {
+	f.nodes[i] = &budgetNode{startedAt: f.now, knownNodes: knownNodes}
+}
 
-// worst returns by how much the repeats of any window exceed its bound, zero or less if
-// they don't. Requests of the window before count as well, as callers that come back.
-func (f *budgetFleet) worst() float64 {
+// worstExcess returns by how much the retries of any window exceed the limit; zero or less if none
+// does. Requests of the window before count as well, for callers that return.
+func (f *budgetFleet) worstExcess() float64 {
 	over := -f.cfg.Slack
-	for _, end := range f.repeats {
+	for _, end := range f.retries {
 		from := end.Add(-f.cfg.Window)
-		over = max(over, float64(within(f.repeats, from, end))-f.cfg.Slack-
+		over = max(over, float64(within(f.retries, from, end))-f.cfg.Slack-
 			f.cfg.Ratio*float64(max(within(f.arrived, from, end), within(f.arrived, from.Add(-f.cfg.Window), from))))
 	}
 	return over
@@ -88,12 +90,12 @@
 	return n
 }
 
-// TestBudgetOfNodesThatStartTogether: a hundred nodes that know nobody yet keep to the
-// bound together, whatever they are asked to repeat.
+// TestBudgetOfNodesThatStartTogether checks that a hundred nodes that do not know each other yet
+// keep to the common limit, however many retries they attempt.
 func TestBudgetOfNodesThatStartTogether(t *testing.T) {
 	f := newBudgetFleet(100)
 	for i := range f.nodes {
-		f.kill(i, unknownFleet)
+		f.restart(i, unknownNodes)
 	}
 	for range 20 {
 		f.now = f.now.Add(200 * time.Millisecond)
@@ -101,29 +103,29 @@
 			f.request(i, 3)
 		}
 	}
-	if over := f.worst(); over > 0 {
-		t.Errorf("%d repeats, %.0f over the bound", len(f.repeats), over)
+	if over := f.worstExcess(); over > 0 {
+		t.Errorf("%d retries, %.0f over the limit", len(f.retries), over)
 	}
 }
 
-// unknownFleet is what a node knows of the fleet before a holder told it.
-const unknownFleet = 0
+// unknownNodes is the number of nodes before a coordinator reported it.
+const unknownNodes = 0
 
-// TestBudgetOutlivesKills: nodes spend their shares, half of them are killed and come back
-// among servers that fail, and the bound holds for both lives together.
-func TestBudgetOutlivesKills(t *testing.T) {
+// TestBudgetHoldsAcrossRestarts restarts half of the nodes after all spent their shares, while
+// servers fail. The limit must hold for both incarnations together.
+func TestBudgetHoldsAcrossRestarts(t *testing.T) {
 	f := newBudgetFleet(100)
 	f.now = f.now.Add(f.cfg.FillTime())
 	for step := range 60 {
 		f.now = f.now.Add(200 * time.Millisecond)
 		if step == 10 {
 			for i := range f.nodes[:55] {
-				f.kill(i, unknownFleet)
+				f.restart(i, unknownNodes)
 			}
 		}
 		if step == 15 {
 			for i := range f.nodes[:55] {
-				f.nodes[i].knows = 100
+				f.nodes[i].knownNodes = 100
 			}
 		}
 		for i := range f.nodes {
@@ -132,16 +134,16 @@
 			}
 		}
 	}
-	if over := f.worst(); over > 0 {
-		t.Errorf("%d repeats, %.0f over the bound", len(f.repeats), over)
+	if over := f.worstExcess(); over > 0 {
+		t.Errorf("%d retries, %.0f over the limit", len(f.retries), over)
 	}
-	if len(f.repeats) < 250 {
-		t.Errorf("only %d repeats: a budget that nobody may use", len(f.repeats))
+	if len(f.retries) < 250 {
+		t.Errorf("only %d retries: the budget can't be used", len(f.retries))
 	}
 }
 
-// TestBudgetHoldsForAnyViews: whatever requests come where and whoever is killed, as long
-// as no node takes the fleet for smaller than it is.
+// TestBudgetHoldsForAnyViews simulates random requests and restarts. The limit must hold as long as
+// no node underestimates the number of nodes.
 func TestBudgetHoldsForAnyViews(t *testing.T) {
 	parameters := gopter.DefaultTestParameters()
 	parameters.MinSuccessfulTests = 40
@@ -156,24 +158,23 @@
 				f.now = f.now.Add(time.Duration(random.IntN(100)) * time.Millisecond)
 				i := random.IntN(size)
 				if random.Float64() < kills/10 {
-					f.pool.Begin(f.now) // another holder
+					f.pool.Begin(f.now) // a new coordinator
 				}
 				if random.Float64() < kills {
-					f.kill(i, unknownFleet)
+					f.restart(i, unknownNodes)
 				} else if random.IntN(4) == 0 {
-					f.nodes[i].knows = size + random.IntN(size)
+					f.nodes[i].knownNodes = size + random.IntN(size)
 				}
 				f.request(i, random.IntN(30))
 			}
-			return f.worst() <= 0
+			return f.worstExcess() <= 0
 		},
 		gen.UInt64(), gen.IntRange(1, 60), gen.Float64Range(0, 0.3),
 	))
 	properties.TestingRun(t)
 }
 
-// TestBudgetIsLent: one node of many has all the failures, and the budget of the others
-// is there for it.
+// TestBudgetIsLent checks that one node with all the failures can use the budget of the others.
 func TestBudgetIsLent(t *testing.T) {
 	f := newBudgetFleet(100)
 	f.now = f.now.Add(f.cfg.FillTime())
@@ -181,38 +182,38 @@
 		f.now = f.now.Add(100 * time.Millisecond)
 		f.request(0, 10)
 	}
-	if len(f.repeats) != 100 {
-		t.Errorf("%d of 100 repeats were made", len(f.repeats))
+	if len(f.retries) != 100 {
+		t.Errorf("%d of 100 retries were made", len(f.retries))
 	}
-	if over := f.worst(); over > 0 {
-		t.Errorf("%.0f repeats over the bound", over)
+	if over := f.worstExcess(); over > 0 {
+		t.Errorf("%.0f retries over the limit", over)
 	}
 }
 
-// TestBudgetGivesBack: a repeat that reached no server may be made again.
+// TestBudgetGivesBack checks that a retry that reached no server can be used again.
 func TestBudgetGivesBack(t *testing.T) {
 	f := newBudgetFleet(1)
 	n := f.nodes[0]
 	f.now = f.now.Add(f.cfg.FillTime())
-	n.budgets.arrive(f.cfg, n.began, f.now, "s")
+	n.budgets.arrive(f.cfg, n.startedAt, f.now, "s")
 	spent := 0
-	for n.budgets.repeat(f.cfg, f.now, "s", 1) {
+	for n.budgets.takeRetry(f.cfg, f.now, "s", 1) {
 		spent++
 	}
-	if want := int(slackBurst * budgetCaution * (1 - lentShare) * f.cfg.Slack); spent != want {
-		t.Errorf("%d repeats, want %d", spent, want)
+	if want := int(slackBurst * budgetSafetyFactor * (1 - lentShare) * f.cfg.Slack); spent != want {
+		t.Errorf("%d retries, want %d", spent, want)
 	}
 	for range 3 {
 		n.budgets.giveBack(f.cfg, f.now, "s")
 	}
 	for i := range 4 {
-		if got := n.budgets.repeat(f.cfg, f.now, "s", 1); got != (i < 3) {
-			t.Errorf("repeat %d after three were given back: %v", i+1, got)
+		if got := n.budgets.takeRetry(f.cfg, f.now, "s", 1); got != (i < 3) {
+			t.Errorf("retry %d after three were given back is allowed: %v", i+1, got)
 		}
 	}
 }
 
-// lender lends a number of repeats, or fails.
+// lender lends a number of retries, or fails.
 type lender struct {
 	left  int
 	err   error
@@ -226,10 +227,9 @@
 	return l.left >= 0, l.err
 }
 
-// TestRequestsBorrowRepeats: a node without a budget of its own sends a request to a
-// second server if the holder lends a repeat, and asks a holder that has none just once
-// for a while.
-func TestRequestsBorrowRepeats(t *testing.T) {
+// TestRequestsBorrowRetries checks that a node without a budget of its own retries a request if the
+// coordinator lends a retry, and that it pauses after a coordinator had none.
+func TestRequestsBorrowRetries(t *testing.T) {
 	cases := []struct {
 		name   string
 		lender *lender
@@ -244,22 +244,22 @@
 			s := newSite(t, route.Route{Kind: route.Safe, MaxAttempts: 2}, raw(""), sealed(http.StatusOK, "good"))
 			s.relay.Budget = BudgetConfig{Window: 10 * time.Second}
 			s.relay.Lender = c.lender
-			for range 4 { // so that the first one is tried first
+			for range 4 { // makes the first server the first choice
 				s.relay.Servers.Snapshot().Member("server-1").Begin(time.Now(), "")
 			}
 			if got := s.get("id"); got.status != c.status {
 				t.Errorf("status %d, want %d", got.status, c.status)
 			}
 			if n := c.lender.asked.Load(); n != 1 {
-				t.Errorf("the holder was asked %d times", n)
+				t.Errorf("the coordinator was asked %d times, want 1", n)
 			}
 		})
 	}
 }
 
-// TestRequestsBeforeASuspensionCoverNoRepeats: a node slept for two windows after a hundred
-// requests. By a clock that stood still meanwhile they would cover repeats as it wakes.
-func TestRequestsBeforeASuspensionCoverNoRepeats(t *testing.T) {
+// TestRequestsBeforeASuspensionCoverNoRetries suspends a node for two windows after a hundred
+// requests. By a clock that does not count the suspension, they would still cover retries.
+func TestRequestsBeforeASuspensionCoverNoRetries(t *testing.T) {
 	for name, test := range map[string]struct {
 		passed time.Duration
 		want   bool
@@ -270,8 +270,8 @@
 			for range 100 {
 				b.arrive(testBudget, now, now, "s")
 			}
-			if got := b.repeat(testBudget, now.Add(test.passed), "s", 0); got != test.want {
-				t.Errorf("a repeat is covered: %v, want %v", got, test.want)
+			if got := b.takeRetry(testBudget, now.Add(test.passed), "s", 0); got != test.want {
+				t.Errorf("a retry is covered: %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/pkg/relay/whole.go
+++ b/pkg/relay/buffered.go
@@ -12,25 +12,25 @@
 	"martenwheel.dev/pkg/backend"
 )
 
-// maxWholeBytes bounds an answer that is held until it is whole.
-const maxWholeBytes = 4 << 20
+// maxBufferedBytes limits an answer that is held until it is complete.
+const maxBufferedBytes = 4 << 20
 
-// passWhole reads an answer to its end and passes it on unchanged. Nothing goes
-// out before it is whole, so that a broken one may be repeated.
-func (c *call) passWhole(ctx context.Context, a *backend.Answer) (verdict, error) {
-	a.ReadWithin(c.left())
-	body, err := io.ReadAll(io.LimitReader(a, maxWholeBytes+1))
-	if err == nil && len(body) > maxWholeBytes {
+// relayBuffered reads an answer to its end and passes it on unchanged. Nothing is sent before the
+// answer is complete, so that the request may be retried if it breaks off.
+func (c *call) relayBuffered(ctx context.Context, a *backend.Answer) (attemptResult, error) {
+	a.ReadWithin(c.timeLeft())
+	body, err := io.ReadAll(io.LimitReader(a, maxBufferedBytes+1))
+	if err == nil && len(body) > maxBufferedBytes {
 		err = errors.New("the answer is too large")
 	}
 	if err != nil {
 		if ctx.Err() != nil {
-			return gone, context.Cause(ctx)
+			return aborted, context.Cause(ctx)
 		}
-		return mayRun, err
+		return mayHaveRun, err
 	}
-	if c.mayRepeatFailure(a.Status) {
-		return answered, errors.Errorf("status %d", a.Status)
+	if c.mayRetryFailure(a.Status) {
+		return failedAnswer, errors.Errorf("status %d", a.Status)
 	}
 	c.sendHead(a)
 	if c.http.Method != http.MethodHead {
@@ -39,25 +39,24 @@
 	c.w.WriteHeader(a.Status)
 	c.record.firstByte = c.relay.Time.Since(c.arrived)
 	if _, err := c.w.Write(body); err != nil {
-		return gone, err
+		return aborted, err
 	}
 	c.record.bytes += len(body)
 	return served, nil
 }
 
-// mayRepeatFailure tells whether a failure of the server is to be tried again
-// elsewhere rather than passed on.
-func (c *call) mayRepeatFailure(status int) bool {
-	return status >= http.StatusInternalServerError && c.mayRunAgain() && c.left() > repeatWorthwhile
+// mayRetryFailure reports whether to retry a server's failure elsewhere rather than pass it on.
+func (c *call) mayRetryFailure(status int) bool {
+	return status >= http.StatusInternalServerError && c.mayRunAgain() && c.timeLeft() > minRetryTime
 }
 
-// mayRunAgain tells whether the request may go to one more server.
+// mayRunAgain reports whether the request may go to another server.
 func (c *call) mayRunAgain() bool {
 	return c.route.Repeatable() && c.runs < max(c.route.MaxAttempts, 1)
 }
 
-// repeatWorthwhile is the least time for which a repeat is sent.
-const repeatWorthwhile = 30 * time.Millisecond
+// minRetryTime is the minimum remaining time for a retry.
+const minRetryTime = 30 * time.Millisecond
 
 // sendHead copies the head of a server's answer.
 func (c *call) sendHead(a *backend.Answer) {
@@ -69,7 +68,7 @@
 		}
 	}
 	if _, told := a.Header["Content-Type"]; !told {
-		h["Content-Type"] = nil // not to be guessed
+		h["Content-Type"] = nil // prevents guessing
 	}
 	if _, told := a.Header["Date"]; !told {
 		h["Date"] = nil
--- a/pkg/relay/call.go
+++ b/pkg/relay/call.go
@@ -21,13 +21,13 @@
 	"martenwheel.dev/pkg/tenant"
 )
 
-// errDeadline ends a request whose time is over.
+// errDeadline ends a request whose deadline passed.
 var errDeadline = errors.New("relay: the time of the request is over")
 
-// defaultTimeout bounds requests that neither the caller nor the route bounds.
+// defaultTimeout applies to requests that neither the caller nor the route bounds.
 const defaultTimeout = time.Minute
 
-// call is one request of a caller on its way.
+// call is one request of a caller in progress.
 type call struct {
 	relay *Relay
 	w     http.ResponseWriter
@@ -35,74 +35,73 @@
 
 	request
 	progress
-	moves
-	turn   *turn // of a suspected request that runs; nil: it needs none
-	place  place // among all requests to crowded servers
-	slot   slot  // at a server that limits its requests
+	migrationState
+	trial  *trial // permission to run a suspected request; nil: not needed
+	place  place  // admission at overloaded servers
+	slot   slot   // send slot at a rate-limited server
 	record record
 }
 
-// request is what the caller asks for and what bounds it, as it was accepted.
+// request is what the caller asks for and its limits, as accepted.
 type request struct {
 	arrived  time.Time
-	deadline time.Time // of the whole answer
+	deadline time.Time // for the whole answer
 
-	table   *route.Table
-	route   *route.Route
-	tenant  *tenant.Tenant // in whose name it is made; nil: nobody's
-	asks    quota.Request  // of the tenant's quota
-	charged bool           // the quota was charged with it
-	service string
-	engine  *route.Engine
+	table    *route.Table
+	route    *route.Route
+	tenant   *tenant.Tenant // on whose behalf it is made; nil: no tenant
+	quotaReq quota.Request  // what the request takes from the tenant's quota
+	charged  bool           // the quota was charged for the request
+	service  string
+	engine   *route.Engine
 
 	id          string
-	target      string // path and query as they came
-	head        []byte // header lines that go on
+	target      string // path and query as received
+	head        []byte // header lines that are forwarded
 	body        []byte
-	fingerprint quarantine.Fingerprint // once the body was read
+	fingerprint quarantine.Fingerprint // set after the body was read
 	need        backend.Need
-	prompt      prompt.Prompt // of a request to an engine
-	shaped      affinity.Request
+	prompt      prompt.Prompt // only for requests to an engine
+	affinityReq affinity.Request
 }
 
-// progress is what became of the request at servers so far.
+// progress is the state of the attempts at servers so far.
 type progress struct {
-	tried     []string // servers that did not serve it
-	lacking   lacking  // server that could not serve what is needed, though it was believed to hold it
-	sends     int
-	misses    int  // tries after which no server had run it
-	runs      int  // servers that may have run it
-	round     int  // of the run that begins next, see quarantine.End
-	doubts    int  // rounds more, the same
-	again     bool // see quarantine.Run
-	headSent  bool
-	lastEvent string // that the caller has, by its id
+	tried           []string // servers that did not serve the request
+	shortage        shortage // servers that could not serve it though they were believed to hold the model
+	sends           int
+	misses          int  // attempts that no server ran
+	runs            int  // servers that may have run it
+	round           int  // round of the next run, see quarantine.End
+	suspectedRounds int  // additional rounds by suspicion, see quarantine.End
+	again           bool // see quarantine.Run
+	headSent        bool
+	lastEvent       string // ID of the last event sent to the caller
 }
 
-// moves is how a stream goes on at another server.
-type moves struct {
-	ride       *ride // that the next server goes on with; nil: none
-	broken     error // why its source sends no more
-	resumption resumption
-	vainMoves  int             // targets that did not go on with it
-	backup     *backend.Member // that gets copies of the run that begins; nil: none
+// migrationState is the state of a stream that continues at another server.
+type migrationState struct {
+	handedOver  *activeStream // stream that the next server continues; nil: none
+	breakErr    error         // why the source stopped sending
+	resumption  resumption
+	failedMoves int             // targets that failed to continue it
+	backup      *backend.Member // receives copies of the next run; nil: none
 }
 
-// lacking is a server that does not hold what a request needs; gone: it refused the
-// connection. short is one that holds it and turns requests away for some time.
-type lacking struct {
+// shortage names servers that could not serve a request: server does not hold the model (gone: it
+// refused the connection), short holds it but rejects requests for shortFor.
+type shortage struct {
 	server   string
 	gone     bool
 	short    string
 	shortFor time.Duration
 }
 
-// accept reads and checks the request. If it returns false, the request is
-// answered.
+// accept reads and checks the request. If it returns false, the request was answered.
 func (c *call) accept() bool {
 	c.id = c.http.Header.Get(c.relay.Headers.RequestID)
 	c.record.id = c.id
-	age, after, young := c.relay.Keys.check() // before the table is read, which may be newer
+	age, after, keysValid := c.relay.Keys.check() // before reading the table, which may be newer
 	c.record.keysAge = age
 	c.table = c.relay.Routes()
 	if c.table == nil || !c.relay.Servers.Known() {
@@ -119,7 +118,7 @@
 		c.refuse(noRoute)
 		return false
 	}
-	if !young && c.table.Tenants() != nil && !c.route.Public {
+	if !keysValid && c.table.Tenants() != nil && !c.route.Public {
 		c.refuse(refusal{http.StatusServiceUnavailable, reasonOldKeys, after})
 		return false
 	}
@@ -127,7 +126,7 @@
 		return false
 	}
 	c.fingerprint = quarantine.FingerprintOf(c.http.Method, c.http.Host, c.target, c.body)
-	if c.quarantined() { // before anything is done for it
+	if c.quarantined() { // checked before any work is done
 		c.refuseQuarantined()
 		return false
 	}
@@ -138,7 +137,7 @@
 	return c.resolve()
 }
 
-// caller returns the address that the request came from, without its port.
+// caller returns the address of the caller without its port.
 func (c *call) caller() string {
 	host, _, err := net.SplitHostPort(c.http.RemoteAddr)
 	if err != nil {
@@ -147,7 +146,7 @@
 	return host
 }
 
-// readBody reads the whole body within the table's bounds.
+// readBody reads the whole body within the limit of the table.
 func (c *call) readBody() bool {
 	limit := c.table.Limits().BodyBytes
 	if limit > 0 && c.http.ContentLength > limit {
@@ -159,7 +158,7 @@
 	}
 	var err error
 	if c.body, err = io.ReadAll(reader); err != nil {
-		c.record.end(outcomeUnread, err)
+		c.record.setOutcome(outcomeUnread, err)
 		panic(http.ErrAbortHandler)
 	}
 	if limit > 0 && int64(len(c.body)) > limit {
@@ -168,15 +167,15 @@
 	return true
 }
 
-// refuseBody refuses a body that is too large. It reads on for a while first: a
-// connection that closes with bytes unread is reset, and the answer with it.
+// refuseBody refuses a body that is too large. It first reads on for a while: closing a connection
+// with unread bytes resets it and loses the answer.
 func (c *call) refuseBody(limit int64) bool {
-	_, _ = io.CopyN(io.Discard, c.http.Body, limit) // what is left decides nothing
+	_, _ = io.CopyN(io.Discard, c.http.Body, limit) // the result does not matter
 	c.refuse(tooLarge)
 	return false
 }
 
-// resolve works out what the request needs and how long it may take.
+// resolve determines what the request needs and its deadline.
 func (c *call) resolve() bool {
 	c.service = c.relay.splits.Pick(c.route)
 	if s := c.table.Service(c.service); s != nil {
@@ -190,10 +189,10 @@
 			c.refuse(badDeadline)
 			return false
 		}
-		given := time.Duration(ms * float64(time.Millisecond))
-		c.record.given = given
-		if wait <= 0 || given < wait {
-			wait = given
+		timeout := time.Duration(ms * float64(time.Millisecond))
+		c.record.callerTimeout = timeout
+		if wait <= 0 || timeout < wait {
+			wait = timeout
 		}
 	}
 	if wait <= 0 {
@@ -204,28 +203,27 @@
 		c.need = backend.ParseNeed(h.Get(c.relay.Headers.Model))
 		c.prompt = prompt.Parse(prompt.Fields{Tokens: h.Get(c.relay.Headers.Tokens),
 			Parts: h.Get(c.relay.Headers.Parts), Likely: h.Get(c.relay.Headers.Likely)})
-		c.shape()
+		c.computeAffinity()
 	}
 	c.lastEvent = h.Get(c.relay.Headers.LastEvent)
 	c.head = c.forwardedHead()
 	return true
 }
 
-// hopByHop are the headers that belong to one connection, and those that the
-// relay writes itself.
+// hopByHop holds the headers that belong to a single connection or that the relay writes itself.
 var hopByHop = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Content-Length": true, "Expect": true, "Host": true,
 }
 
-// forwardedHead renders the header lines that go on as they came.
+// forwardedHead renders the header lines that are forwarded unchanged.
 func (c *call) forwardedHead() []byte {
 	dropped := connectionHeaders(c.http.Header)
 	own := c.relay.Headers
 	b := make([]byte, 0, 512)
 	b = append(b, "Host: "+c.http.Host+"\r\n"...)
 	for name, values := range c.http.Header {
-		if hopByHop[name] || dropped[name] || own.sets(name) || name == headerKey && c.table.Tenants() != nil {
+		if hopByHop[name] || dropped[name] || own.setByRelay(name) || name == headerKey && c.table.Tenants() != nil {
 			continue
 		}
 		for _, v := range values {
@@ -238,7 +236,7 @@
 	return b
 }
 
-// connectionHeaders returns the headers that Connection names.
+// connectionHeaders returns the headers that the Connection header names.
 func connectionHeaders(h http.Header) map[string]bool {
 	var named map[string]bool
 	for _, line := range h.Values("Connection") {
@@ -259,7 +257,7 @@
 	return append(b, "\r\n"...)
 }
 
-// message is the request as it goes to one server.
+// message returns the request as it is sent to a server.
 func (c *call) message(m *backend.Member) *backend.Message {
 	own := c.relay.Headers
 	left := max(c.relay.Time.Until(c.deadline)-answerTime, time.Millisecond)
@@ -288,21 +286,21 @@
 	}
 }
 
-// answerTime is left for a server's own word that the time is over.
+// answerTime is reserved for a server's own report that the deadline passed.
 const answerTime = 10 * time.Millisecond
 
-// lowestPriority is the least urgent that servers know.
+// lowestPriority is the least urgent priority that servers know.
 const lowestPriority = 9
 
-// left returns the time that the request still has; zero before its bounds are known.
-func (c *call) left() time.Duration {
+// timeLeft returns the time until the deadline; zero before the deadline is known.
+func (c *call) timeLeft() time.Duration {
 	if c.deadline.IsZero() {
 		return 0
 	}
 	return c.relay.Time.Until(c.deadline)
 }
 
-// callerGone tells whether the caller hung up.
+// callerGone reports whether the caller closed the connection.
 func (c *call) callerGone(ctx context.Context) bool {
 	cause := context.Cause(ctx)
 	return cause != nil && !errors.Is(cause, errDeadline) && !errors.Is(cause, errStopping)
--- a/pkg/relay/ending_test.go
+++ b/pkg/relay/cancel_test.go
@@ -8,9 +8,9 @@
 	"martenwheel.dev/pkg/route"
 )
 
-// Requests that a stopping node can't see to their end get an answer that tells the truth: the
-// one that a server has may have run, the one that waits for a model has not.
-func TestEndAnswersWhatIsUnderWay(t *testing.T) {
+// TestCancelAllAnswersRequests checks the answers to requests that a stopping node can't complete:
+// one at a server may have run, one that waits for its model has not.
+func TestCancelAllAnswersRequests(t *testing.T) {
 	held := make(chan struct{})
 	defer close(held)
 	silent := func(http.ResponseWriter, *http.Request, seen) { <-held }
@@ -33,7 +33,7 @@
 			for test.site.relay.InFlight() == 0 || len(test.site.arrivals()) < test.sent {
 				time.Sleep(time.Millisecond)
 			}
-			test.site.relay.End()
+			test.site.relay.CancelAll()
 			if got := <-answers; got.status != test.status {
 				t.Errorf("status %d, %v, want %d", got.status, got.err, test.status)
 			}
--- a/pkg/relay/choose.go
+++ b/pkg/relay/choose.go
@@ -12,22 +12,21 @@
 	"martenwheel.dev/pkg/traffic/routing"
 )
 
-// How often a waiting request looks again without news.
+// Intervals at which a waiting request checks for servers and asks for its model.
 const (
-	lookInterval = 100 * time.Millisecond
+	pollInterval = 100 * time.Millisecond
 	wakeInterval = 250 * time.Millisecond
-	// wakeTimeout bounds one question to the waker.
+	// wakeTimeout bounds one call of the waker.
 	wakeTimeout = time.Second
 )
 
-// acquire waits for a server that may get the request. It returns nil when the
-// request was answered.
+// acquire waits for a server that may get the request. It returns nil if the request was answered.
 func (c *call) acquire(ctx context.Context) *backend.Member {
 	began := c.relay.Time.Now()
 	defer func() { c.record.waited += c.relay.Time.Since(began) }()
-	var askedAt time.Time
-	outlooks := make(chan asked, 1)
-	asking := false
+	var requestedAt time.Time
+	results := make(chan wakeResult, 1)
+	requestPending := false
 	for {
 		changed := c.relay.Servers.Changed()
 		if c.relay.stopped(c.route.Kind, false) {
@@ -37,23 +36,23 @@
 		if m := c.choose(); m != nil {
 			return m
 		}
-		resting := c.resting(c.relay.Time.Now())
-		if c.record.waitFor = c.lacks(); resting != nil {
-			c.record.waitFor = lacksRest
+		backoff := c.firstBackoffEnd(c.relay.Time.Now())
+		if c.record.waitFor = c.waitReason(); backoff != nil {
+			c.record.waitFor = waitsForBackoff
 		}
-		if c.need.Model != "" && c.record.waitFor != lacksServer && !asking && c.relay.Time.Since(askedAt) >= wakeInterval {
-			askedAt, asking = c.relay.Time.Now(), true
-			go c.ask(ctx, c.lackingOr(resting), outlooks)
+		if c.need.Model != "" && c.record.waitFor != waitsForServer && !requestPending && c.relay.Time.Since(requestedAt) >= wakeInterval {
+			requestedAt, requestPending = c.relay.Time.Now(), true
+			go c.requestLoad(ctx, c.shortageWith(backoff), results)
 		}
-		if f, refused := c.judgePlain(resting); refused {
+		if f, refused := c.evaluateWithoutModel(backoff); refused {
 			c.refuse(f)
 			return nil
 		}
-		if c.leavesSoon() {
+		if c.callerLeavesSoon() {
 			c.refuse(c.notServed(reasonLoading, max(c.record.readyIn, defaultRetryAfter)))
 			return nil
 		}
-		timer := time.NewTimer(lookInterval)
+		timer := time.NewTimer(pollInterval)
 		select {
 		case <-ctx.Done():
 			timer.Stop()
@@ -61,10 +60,10 @@
 			return nil
 		case <-changed:
 		case <-timer.C:
-		case a := <-outlooks:
-			asking = false
+		case a := <-results:
+			requestPending = false
 			c.record.wakeError = a.err
-			if f, refused := c.judge(a.outlook, resting); refused {
+			if f, refused := c.evaluateStatus(a.status, backoff); refused {
 				timer.Stop()
 				c.refuse(f)
 				return nil
@@ -74,112 +73,113 @@
 	}
 }
 
-// leavesSoon tells whether the caller is about to leave without an answer. A request
-// that was to be ready by now and is not is given up.
-func (c *call) leavesSoon() bool {
-	if c.need.Model == "" || c.headSent || c.record.waitFor == lacksServer {
+// callerLeavesSoon reports whether the caller is about to leave without an answer, although the
+// model was expected to be ready by now.
+func (c *call) callerLeavesSoon() bool {
+	if c.need.Model == "" || c.headSent || c.record.waitFor == waitsForServer {
 		return false
 	}
-	return c.leavesBy(c.relay.Time.Now())
+	return c.callerLeavesBy(c.relay.Time.Now())
 }
 
-// leavesBy tells whether the caller is about to leave without an answer by a time.
-func (c *call) leavesBy(at time.Time) bool {
+// callerLeavesBy reports whether the caller is about to leave without an answer at the given time.
+func (c *call) callerLeavesBy(at time.Time) bool {
 	return at.Sub(c.arrived) > c.patience()-impatienceMargin
 }
 
-// impatienceMargin is the time for a refusal to reach a caller before it leaves.
-const impatienceMargin = 2 * lookInterval
+// impatienceMargin is the time that a refusal needs to reach the caller before it leaves.
+const impatienceMargin = 2 * pollInterval
 
-// What a waiting request lacks, in logs.
+// Reasons for waiting, in logs.
 const (
-	lacksServer  = "server" // that may get it now
-	lacksModel   = "model"
-	lacksAdapter = "adapter" // of a model that a server holds
-	lacksRest    = "rest"    // the servers that could get it want nothing for a while
+	waitsForServer  = "server" // no server that may get the request now
+	waitsForModel   = "model"
+	waitsForAdapter = "adapter" // a server holds the model without the adapter
+	waitsForBackoff = "rest"    // all suitable servers asked for a back-off
 )
 
-// lacks tells what keeps a request waiting that no server may get now.
-func (c *call) lacks() string {
+// waitReason returns why no server may get the request now.
+func (c *call) waitReason() string {
 	if c.need.Model == "" || c.engine == nil {
-		return lacksServer
+		return waitsForServer
 	}
 	now := c.relay.Time.Now()
 	base := backend.Need{Model: c.need.Model}
-	lack := lacksModel
+	reason := waitsForModel
 	for _, m := range c.relay.Servers.Snapshot().Service(c.service) {
 		if m.Serves(now, c.need) {
-			return lacksServer
+			return waitsForServer
 		}
 		if base != c.need && m.Serves(now, base) {
-			lack = lacksAdapter
+			reason = waitsForAdapter
 		}
 	}
-	return lack
+	return reason
 }
 
-// asked is an answer of the waker.
-type asked struct {
-	outlook Outlook
-	err     error
+// wakeResult is the result of a call of the waker.
+type wakeResult struct {
+	status LoadStatus
+	err    error
 }
 
-// ask tells the waker what is needed, and of the server that lacks it.
-func (c *call) ask(ctx context.Context, by lacking, outlooks chan<- asked) {
+// requestLoad asks the waker for the needed model and reports the servers that could not serve it.
+func (c *call) requestLoad(ctx context.Context, s shortage, results chan<- wakeResult) {
 	ctx, cancel := context.WithTimeout(ctx, wakeTimeout)
 	defer cancel()
-	o, err := c.relay.Waker.Wake(ctx, Wish{
+	status, err := c.relay.Waker.Wake(ctx, LoadRequest{
 		Service: c.service, Need: c.need, Priority: c.priority(), Deadline: c.deadline, RequestID: c.id,
-		Missing: by.server, Gone: by.gone, Short: by.short, ShortFor: by.shortFor,
+		Missing: s.server, Gone: s.gone, Short: s.short, ShortFor: s.shortFor,
 	})
 	if err != nil {
-		o.ReadyIn = unknownReady
+		status.ReadyIn = unknownReady
 	}
-	if o.Server != "" {
-		c.relay.Servers.Believe(o.Server, c.need, true, c.relay.Time.Now().Add(beliefTime))
+	if status.Server != "" {
+		c.relay.Servers.Believe(status.Server, c.need, true, c.relay.Time.Now().Add(assumedHeldTime))
 	}
-	outlooks <- asked{o, err}
+	results <- wakeResult{status, err}
 }
 
-// beliefTime is how long the waker's word on a server counts before its record
-// confirms it.
-const beliefTime = 5 * time.Second
+// assumedHeldTime is how long the waker's report that a server holds a model is trusted before the
+// server's own record confirms it.
+const assumedHeldTime = 5 * time.Second
 
-// judgePlain refuses a request without a model that can't be served while its caller is there.
-func (c *call) judgePlain(resting *backend.Return) (refusal, bool) {
+// evaluateWithoutModel refuses a request without a model that can't be served before its caller
+// leaves.
+func (c *call) evaluateWithoutModel(backoff *backend.Return) (refusal, bool) {
 	if c.need.Model != "" {
 		return refusal{}, false
 	}
-	if resting != nil {
-		next := c.courseAtRest(resting, 0)
-		return c.notServed(reasonRest, next.after), !next.hold
+	if backoff != nil {
+		next := c.decideDuringBackoff(backoff, 0)
+		return c.notServed(reasonBackoff, next.after), !next.hold
 	}
-	next := c.prospect(0).course()
+	next := c.estimateWait(0).decide()
 	return c.notServed(reasonNoServer, next.after), !next.hold
 }
 
-// judge takes in the outlook of what the request lacks. It refuses one that can't be
-// served while its caller is there.
-func (c *call) judge(o Outlook, resting *backend.Return) (refusal, bool) {
-	c.record.readyIn, c.record.outlookAge = o.ReadyIn, o.Age
-	if resting != nil && (o.Server == "" || o.Server == resting.Server) {
-		next := c.courseAtRest(resting, o.ReadyIn)
-		return c.notServed(reasonRest, next.after), !next.hold
+// evaluateStatus records the status of a load request. It refuses a request that can't be served
+// before its caller leaves.
+func (c *call) evaluateStatus(status LoadStatus, backoff *backend.Return) (refusal, bool) {
+	c.record.readyIn, c.record.statusAge = status.ReadyIn, status.Age
+	if backoff != nil && (status.Server == "" || status.Server == backoff.Server) {
+		next := c.decideDuringBackoff(backoff, status.ReadyIn)
+		return c.notServed(reasonBackoff, next.after), !next.hold
 	}
-	if o.Server != "" {
+	if status.Server != "" {
 		return refusal{}, false
 	}
-	if next := c.prospect(o.ReadyIn).course(); !next.hold {
+	if next := c.estimateWait(status.ReadyIn).decide(); !next.hold {
 		return c.notServed(reasonLoading, next.after), true
 	}
 	return refusal{}, false
 }
 
-// choose picks a server for the request, nil if none may get it now.
+// choose picks a server for the request, or returns nil if none may get it now.
 func (c *call) choose() *backend.Member {
 	now := c.relay.Time.Now()
-	p := pickings.Get().(*picking)
-	defer pickings.Put(p)
+	p := choiceBufferPool.Get().(*choiceBuffers)
+	defer choiceBufferPool.Put(p)
 	defer p.reset()
 	for _, m := range c.relay.Servers.Snapshot().Service(c.service) {
 		if m.Serves(now, c.need) {
@@ -190,7 +190,7 @@
 	if len(p.members) == 0 {
 		return c.chooseCold(now)
 	}
-	p.spareLimited(c.tried)
+	p.preferUnlimited(c.tried)
 	untried, good := false, false
 	for i, m := range p.members {
 		untried = untried || !slices.Contains(c.tried, m.ID)
@@ -201,10 +201,10 @@
 			p.candidates[i].Ejected = false
 		}
 	}
-	p.asked.Zone, p.asked.Region = c.relay.Zone, c.relay.Regions[c.relay.Zone]
+	p.request.Zone, p.request.Region = c.relay.Zone, c.relay.Regions[c.relay.Zone]
 	if untried {
 		for _, id := range c.tried {
-			p.asked.Tried = append(p.asked.Tried, api.ServerID(id))
+			p.request.Tried = append(p.request.Tried, api.ServerID(id))
 		}
 	}
 	i, found := c.pick(p)
@@ -214,10 +214,10 @@
 	return p.members[i]
 }
 
-// assumedSlots stands for the slots of a server that doesn't tell.
+// assumedSlots is used for servers that do not report their slots.
 const assumedSlots = 16
 
-// candidate is a server as the plug-ins of routing see it.
+// candidate converts a server for the plug-ins of package routing.
 func (c *call) candidate(now time.Time, m *backend.Member) routing.Candidate {
 	slots := m.Slots
 	if slots <= 0 {
@@ -238,17 +238,17 @@
 	}
 }
 
-// The weights of what the choice of a server follows, and how far below the best
-// one it may lie. Load counts most; a connection that stands and a near server
-// decide while there is room. The replica that a request prefers by package affinity goes
-// before all that, unless this node has its slots full.
+// Weights of the scores by which a server is chosen, and how far below the best score the chosen
+// one may lie. Load counts most; open connections and a near zone decide while there is free
+// capacity. The replica preferred by package affinity precedes all others unless this node's
+// requests fill its slots.
 const (
 	weightInFlight  = 2.0
 	weightRecent    = 0.5
 	weightConnected = 0.3
 	weightZone      = 0.2
 	weightRegion    = 1.0
-	weightPace      = 1.0
+	weightSpeed     = 1.0
 	weightAffinity  = 2.0
 	weightLane      = 2.0
 	pickMargin      = 0.1
@@ -263,7 +263,7 @@
 			{Scorer: routing.ConnectedScorer{}, Weight: weightConnected},
 			{Scorer: routing.ZoneScorer{}, Weight: weightZone},
 			{Scorer: routing.RegionScorer{}, Weight: weightRegion},
-			{Scorer: routing.PaceScorer{}, Weight: weightPace},
+			{Scorer: routing.PaceScorer{}, Weight: weightSpeed},
 			{Scorer: routing.AffinityScorer{}, Weight: weightAffinity},
 			{Scorer: routing.LaneScorer{}, Weight: weightLane},
 		},
@@ -271,25 +271,25 @@
 	)
 }
 
-// setChooser makes what choosing needs, once. The caller holds mu.
-func (r *Relay) setChooser() {
+// initChooser creates the chooser and its random source once. The caller holds mu.
+func (r *Relay) initChooser() {
 	if r.chooser == nil {
 		r.chooser = newChooser()
 		r.random = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	}
 }
 
-// firstByteTime is how long the first byte of an answer is waited for while another
-// server could serve the request.
+// firstByteTime is how long to wait for the first byte of an answer while another server could
+// serve the request.
 func firstByteTime(r *route.Route) time.Duration {
 	if r.Kind == route.Stream {
 		return r.Target + r.Target/2 + streamPatience
 	}
-	return max(2*r.Target, wholePatience)
+	return max(2*r.Target, bufferedPatience)
 }
 
 // Parts of firstByteTime.
 const (
-	streamPatience = 300 * time.Millisecond
-	wholePatience  = 250 * time.Millisecond
+	streamPatience   = 300 * time.Millisecond
+	bufferedPatience = 250 * time.Millisecond
 )
--- a/pkg/relay/cold_test.go
+++ b/pkg/relay/cold_test.go
@@ -8,12 +8,12 @@
 	"martenwheel.dev/pkg/backpressure"
 )
 
-// TestFAILBACKNodesTogetherSpareAColdServer: however many nodes have requests for a cold server, it
-// gets no more in any second than it bears, and some.
+// TestFAILBACKNodesTogetherSpareAColdServer checks that a cold server gets no more requests per
+// second than it can handle, whatever the number of nodes, and that it gets some.
 func TestFAILBACKNodesTogetherSpareAColdServer(t *testing.T) {
 	const (
 		perSecond = 8.0
-		bound     = perSecond*1.5 + 5 // with the overage and the slack that are allowed
+		bound     = perSecond*1.5 + 5 // with the excess and the slack that are allowed
 		span      = 10 * time.Second
 		step      = 10 * time.Millisecond
 	)
@@ -38,11 +38,11 @@
 					}
 				}
 				if n > bound {
-					t.Fatalf("%d nodes send %s %d requests in a second", nodes, id, n)
+					t.Fatalf("%d nodes sent server %s %d requests in a second", nodes, id, n)
 				}
 			}
 			if nodes <= 6 && len(sent) == 0 {
-				t.Errorf("%d nodes send %s nothing in %v", nodes, id, span)
+				t.Errorf("%d nodes sent server %s no request in %v", nodes, id, span)
 			}
 		}
 	}
--- a/pkg/relay/fleet_test.go
+++ b/pkg/relay/fleet_test.go
@@ -14,57 +14,57 @@
 	"martenwheel.dev/pkg/route"
 )
 
-// kindOfRequest is one kind of request of a played load. Lengths and counts are means.
-type kindOfRequest struct {
-	name             string
-	share            float64 // of all requests
-	rare             bool    // for models with one replica
-	common, session  int     // tokens of the two shared parts
-	own              int     // tokens
-	commons, several int     // different first and second parts of each model
-	events           float64
-	adapters         float64 // share that names an adapter
-	route            route.Route
+// requestKind is one kind of request in a simulated load. Lengths and counts are means.
+type requestKind struct {
+	name              string
+	share             float64 // of all requests
+	rare              bool    // for models with one replica
+	common, session   int     // tokens of the two shared parts
+	own               int     // tokens of the unshared part
+	commons, sessions int     // different first and second parts per model
+	events            float64
+	adapters          float64 // share of requests with an adapter
+	route             route.Route
 }
 
-// load is a fleet of engines in virtual time, the nodes before it, and what comes.
+// load describes a simulated fleet of engines and nodes in virtual time, and its requests.
 type load struct {
-	engines, places int   // models of an engine
-	popular         []int // replicas of each popular model; the other places hold rare ones
-	perSecond       float64
-	lasts           time.Duration
-	nodes           int
-	engine          enginetest.Engine
-	speeds          []float64
-	kinds           []kindOfRequest
-	told            bool          // nodes tell each other of paces, each second
-	reborn          time.Duration // when a third of the engines restart, empty; zero: never
-	behind          time.Duration // by which half of the nodes learn of it later
+	engines, modelsPerEngine int   // number, and models that each holds
+	popular                  []int // replicas of each popular model; rare models use the remaining capacity
+	perSecond                float64
+	duration                 time.Duration
+	nodes                    int
+	engine                   enginetest.Engine
+	speeds                   []float64
+	kinds                    []requestKind
+	shareSpeeds              bool          // nodes exchange speeds of servers every second
+	restartAt                time.Duration // when a third of the engines restart with empty caches; zero: never
+	staleFor                 time.Duration // delay after which half of the nodes learn of the restart
 }
 
 func stream(target, gap time.Duration) route.Route {
 	return route.Route{Kind: route.Stream, Sticky: true, Target: target, GapTarget: gap}
 }
 
-// longPrompts is a load of long drafts beside quick questions.
+// longPrompts is a load of long drafts and quick questions.
 func longPrompts() load {
 	const ms = time.Millisecond
 	return load{
-		engines: 24, places: 3, popular: []int{4, 4, 4, 4, 3, 3, 3, 3, 2, 2, 2, 2},
-		perSecond: 56, lasts: 34 * time.Second, nodes: 77,
+		engines: 24, modelsPerEngine: 3, popular: []int{4, 4, 4, 4, 3, 3, 3, 3, 2, 2, 2, 2},
+		perSecond: 56, duration: 34 * time.Second, nodes: 77,
 		engine: enginetest.Default, speeds: []float64{0.55, 1.2, 1.2, 1.2},
-		kinds: []kindOfRequest{
-			{name: "draft", share: 0.39, common: 2520, session: 3780, own: 2890, commons: 3, several: 34, events: 9,
+		kinds: []requestKind{
+			{name: "draft", share: 0.39, common: 2520, session: 3780, own: 2890, commons: 3, sessions: 34, events: 9,
 				adapters: 0.1, route: stream(800*ms, 300*ms)},
-			{name: "notice", share: 0.17, rare: true, common: 2520, session: 3780, own: 2890, commons: 1, several: 2, events: 9,
+			{name: "notice", share: 0.17, rare: true, common: 2520, session: 3780, own: 2890, commons: 1, sessions: 2, events: 9,
 				route: stream(2500*ms, 300*ms)},
-			{name: "question", share: 0.44, common: 119, session: 79, own: 628, commons: 3, several: 26, events: 49,
+			{name: "question", share: 0.44, common: 119, session: 79, own: 628, commons: 3, sessions: 26, events: 49,
 				adapters: 0.5, route: stream(400*ms, 300*ms)},
 		},
 	}
 }
 
-// reviews is a load of another service with long prompts, whose pauses may be longer.
+// reviews is a load of another service with long prompts and a higher target for pauses.
 func reviews() load {
 	const ms = time.Millisecond
 	l := longPrompts()
@@ -76,13 +76,13 @@
 	return l
 }
 
-// shortPrompts is a load of prompts that are quick to read and share little.
+// shortPrompts is a load of prompts that are read quickly and share little.
 func shortPrompts(slots, eventTokens int) load {
 	const ms = time.Millisecond
 	l := longPrompts()
 	l.engine = enginetest.Engine{Slots: slots, EventTokens: eventTokens}
 	l.perSecond = 4 * float64(slots)
-	l.kinds = []kindOfRequest{{name: "chat", share: 1, common: 100, session: 250, own: 1110, commons: 3, several: 30,
+	l.kinds = []requestKind{{name: "chat", share: 1, common: 100, session: 250, own: 1110, commons: 3, sessions: 30,
 		events: 86, adapters: 0.3, route: stream(500*ms, 250*ms)}}
 	return l
 }
@@ -95,56 +95,56 @@
 	server     *backend.Member // to which it was sent
 }
 
-// tally counts what callers of a kind got.
-type tally struct{ asked, inTime, byFirst, byPause int }
+// tally counts the answers to requests of a kind.
+type tally struct{ asked, inTime, lateFirst, latePause int }
 
 func (t tally) share() float64 { return float64(t.inTime) / float64(max(t.asked, 1)) }
 
-// result is what came of a load.
+// result is the result of a simulation run.
 type result struct {
 	kinds   []tally
 	read    int     // tokens
-	again   int     // of them, of shared parts that some engine had read before
-	busiest float64 // requests of the engine with the most, by the mean
+	reread  int     // tokens of shared parts that some engine had already read
+	busiest float64 // requests of the busiest engine relative to the mean
 	choices []string
 }
 
-// fleet plays a load.
+// fleet simulates a load.
 type fleet struct {
 	*load
-	seed     uint64
-	random   *rand.Rand
-	now      time.Duration
-	servers  []*backend.Server
-	running  []*enginetest.Engine
-	ended    []*enginetest.Engine
-	byLife   map[string]*enginetest.Engine
-	relays   []*Relay
-	holder   *backend.Directory // of all paces
-	toldAt   time.Duration
-	models   [2][]string // popular and rare ones, a popular one for each of its replicas
-	lengths  map[string]int
-	open     []*arrival
-	requests []*arrival
+	seed          uint64
+	random        *rand.Rand
+	now           time.Duration
+	servers       []*backend.Server
+	running       []*enginetest.Engine
+	ended         []*enginetest.Engine
+	byIncarnation map[string]*enginetest.Engine
+	relays        []*Relay
+	coordinator   *backend.Directory // knows all speeds
+	exchangedAt   time.Duration
+	models        [2][]string // popular and rare models; a popular one is listed once per replica
+	lengths       map[string]int
+	active        []*arrival
+	requests      []*arrival
 }
 
-// way chooses a server for a call.
-type way func(c *call) *backend.Member
+// strategy chooses a server for a call.
+type strategy func(c *call) *backend.Member
 
-func (l load) play(seed uint64, choose way) result {
+func (l load) simulate(seed uint64, choose strategy) result {
 	f := &fleet{load: &l, seed: seed, random: rand.New(rand.NewPCG(seed, 7)), lengths: make(map[string]int),
-		byLife: make(map[string]*enginetest.Engine)}
+		byIncarnation: make(map[string]*enginetest.Engine)}
 	f.build()
 	f.requests = f.arrivals()
 	for _, a := range f.requests {
-		f.passTo(a.Arrives)
+		f.advanceWithEvents(a.Arrives)
 		f.send(a, choose)
 	}
-	f.advance(l.lasts + time.Minute)
+	f.advance(l.duration + time.Minute)
 	return f.result()
 }
 
-// build places the models, the rare ones where room is left.
+// build places the models, rare ones in the remaining capacity.
 func (f *fleet) build() {
 	held := make([][]backend.Holding, f.engines)
 	place := func(name string, replicas int) {
@@ -154,7 +154,7 @@
 			held[i] = append(held[i], backend.Holding{Model: name, Version: 1, Adapters: []string{"a0", "a1", "a2"}})
 		}
 	}
-	left := f.engines * f.places
+	left := f.engines * f.modelsPerEngine
 	for i, n := range f.popular {
 		name := fmt.Sprintf("popular%d", i)
 		place(name, n)
@@ -171,8 +171,8 @@
 		f.running = append(f.running, nil)
 		f.start(i, 1)
 	}
-	f.holder = &backend.Directory{Time: f.clock()}
-	f.holder.Replace(f.servers, 1)
+	f.coordinator = &backend.Directory{Time: f.clock()}
+	f.coordinator.Replace(f.servers, 1)
 	for i := range f.nodes {
 		directory := &backend.Directory{Time: f.clock()}
 		directory.Replace(f.servers, 1)
@@ -187,55 +187,55 @@
 	return func() time.Time { return time.Unix(1e6, 0).Add(f.now) }
 }
 
-// start begins a life of an engine.
-func (f *fleet) start(i, life int) {
+// start begins an incarnation of an engine.
+func (f *fleet) start(i, incarnation int) {
 	e := f.engine
 	e.Speed = f.speeds[i%len(f.speeds)]
 	e.Advance(f.now)
 	s := *f.servers[i]
-	s.ID = fmt.Sprintf("server%d-%d-%d", i, life, f.seed)
-	f.servers[i], f.running[i], f.byLife[s.ID] = &s, &e, &e
+	s.ID = fmt.Sprintf("server%d-%d-%d", i, incarnation, f.seed)
+	f.servers[i], f.running[i], f.byIncarnation[s.ID] = &s, &e, &e
 }
 
-// rebirth restarts a third of the engines.
-func (f *fleet) rebirth() {
+// restartThird restarts a third of the engines.
+func (f *fleet) restartThird() {
 	for i := 0; i < f.engines; i += 3 {
 		f.ended = append(f.ended, f.running[i])
 		f.start(i, 2)
 	}
 }
 
-// passTo lets time pass.
-func (f *fleet) passTo(at time.Duration) {
+// advanceWithEvents advances the time and triggers the events that are due.
+func (f *fleet) advanceWithEvents(at time.Duration) {
 	for _, step := range []struct {
 		at time.Duration
 		do func()
-	}{{f.reborn, func() { f.rebirth(); f.tell(0) }}, {f.reborn + f.behind, func() { f.tell(1) }}} {
-		if f.reborn > 0 && f.now < step.at && step.at <= at {
+	}{{f.restartAt, func() { f.restartThird(); f.updateServerLists(0) }}, {f.restartAt + f.staleFor, func() { f.updateServerLists(1) }}} {
+		if f.restartAt > 0 && f.now < step.at && step.at <= at {
 			f.advance(step.at)
 			step.do()
 		}
 	}
 	f.advance(at)
-	if f.told && f.now-f.toldAt >= time.Second {
-		f.tellPaces()
+	if f.shareSpeeds && f.now-f.exchangedAt >= time.Second {
+		f.exchangeSpeeds()
 	}
 }
 
-// tell has every second node take in the list of servers.
-func (f *fleet) tell(first int) {
+// updateServerLists updates the server list of every second node.
+func (f *fleet) updateServerLists(first int) {
 	for i := first; i < len(f.relays); i += 2 {
 		f.relays[i].Servers.Replace(f.servers, 2)
 	}
-	f.holder.Replace(f.servers, 2)
+	f.coordinator.Replace(f.servers, 2)
 }
 
 func (f *fleet) advance(to time.Duration) {
-	for _, e := range f.byLife {
+	for _, e := range f.byIncarnation {
 		e.Advance(to)
 	}
 	f.now = to
-	f.open = slices.DeleteFunc(f.open, func(a *arrival) bool {
+	f.active = slices.DeleteFunc(f.active, func(a *arrival) bool {
 		if a.End == 0 {
 			return false
 		}
@@ -244,11 +244,11 @@
 	})
 }
 
-// finish tells nodes of the end of a stream.
+// finish reports the end of a stream to its node.
 func (f *fleet) finish(a *arrival) {
 	a.server.End(a.need.Model)
 	events := a.Out / f.engine.EventTokens
-	if events < leastPaced {
+	if events < minTimedEvents {
 		return
 	}
 	pace := (a.End - a.First - a.Pause) / time.Duration(events-2)
@@ -256,20 +256,20 @@
 	f.relays[a.node].Servers.Report(backend.Pace{Server: a.server.ID, Model: a.need.Model, PerEvent: pace})
 }
 
-// tellPaces has all nodes beat.
-func (f *fleet) tellPaces() {
-	f.toldAt = f.now
+// exchangeSpeeds simulates a heartbeat of all nodes.
+func (f *fleet) exchangeSpeeds() {
+	f.exchangedAt = f.now
 	var list []backend.Slowness
-	for _, m := range f.holder.Snapshot().Service("s") {
+	for _, m := range f.coordinator.Snapshot().Service("s") {
 		list = append(list, backend.Slowness{Server: m.ID, Ratio: m.Slowness()})
 	}
 	for _, r := range f.relays {
 		r.Servers.Believed(list)
-		f.holder.Learn(r.Servers.TakeReports(math.MaxInt))
+		f.coordinator.Learn(r.Servers.TakeReports(math.MaxInt))
 	}
 }
 
-// length draws the length of a part around a mean; a part keeps its own.
+// length returns the length of a part, random around a mean. It stays the same for each part.
 func (f *fleet) length(part string, mean int, sigma float64) int {
 	if f.lengths[part] == 0 {
 		f.lengths[part] = max(int(float64(mean)*math.Exp(sigma*f.random.NormFloat64()-sigma*sigma/2)), 1)
@@ -279,7 +279,7 @@
 
 func (f *fleet) arrivals() []*arrival {
 	var list []*arrival
-	for at := time.Duration(0); at < f.lasts; {
+	for at := time.Duration(0); at < f.duration; {
 		at += time.Duration(f.random.ExpFloat64() / f.perSecond * float64(time.Second))
 		list = append(list, f.arrival(at, len(list)))
 	}
@@ -300,7 +300,7 @@
 	if f.random.Float64() < k.adapters {
 		need.Adapter = fmt.Sprintf("a%d", f.random.IntN(3))
 	}
-	session := int(float64(k.several) * math.Pow(f.random.Float64(), 1.3)) // some are more frequent
+	session := int(float64(k.sessions) * math.Pow(f.random.Float64(), 1.3)) // some sessions are more frequent
 	common, second := fmt.Sprintf("%v-%d-c%d", need, kind, session%k.commons), fmt.Sprintf("%v-%d-s%d", need, kind, session)
 	a, b, own := f.length(common, k.common, 0.4), f.length(second, k.session, 0.6), f.length(fmt.Sprint(n), k.own, 0.8)
 	out := f.engine.EventTokens * (1 + int(f.random.ExpFloat64()*(k.events-1)+0.5))
@@ -309,21 +309,21 @@
 	return &arrival{Run: &enginetest.Run{Prompt: p, Out: out, Arrives: at}, kind: kind, node: f.random.IntN(f.nodes), need: need}
 }
 
-// send has a node choose a server for a request.
-func (f *fleet) send(a *arrival, choose way) {
+// send lets a node choose a server for a request.
+func (f *fleet) send(a *arrival, choose strategy) {
 	r := f.relays[a.node]
 	c := &call{relay: r, request: request{arrived: r.Time.Now(), service: "s", need: a.need, prompt: a.Prompt, route: &f.kinds[a.kind].route,
 		engine: &route.Engine{Slots: f.engine.Slots, EventTokens: f.engine.EventTokens}}}
-	c.shape()
+	c.computeAffinity()
 	m := choose(c)
-	if e := f.byLife[m.ID]; slices.Contains(f.ended, e) {
-		r.Servers.Replace(f.servers, 2) // the server is gone: the node looks and tries another
+	if e := f.byIncarnation[m.ID]; slices.Contains(f.ended, e) {
+		r.Servers.Replace(f.servers, 2) // the server is gone: the node updates its list and tries another one
 		m = choose(c)
 	}
 	m.Begin(r.Time.Now(), a.need.Model)
-	f.byLife[m.ID].Add(a.Run)
+	f.byIncarnation[m.ID].Add(a.Run)
 	a.server = m
-	f.open = append(f.open, a)
+	f.active = append(f.active, a)
 }
 
 func (f *fleet) result() result {
@@ -337,27 +337,27 @@
 		parts := a.Prompt.Parts()
 		for _, part := range parts[:len(parts)-1] {
 			if known[part.ID] {
-				r.again += part.Tokens
+				r.reread += part.Tokens
 			}
 			known[part.ID] = true
 		}
 	}
-	for id, e := range f.byLife {
+	for id, e := range f.byIncarnation {
 		r.read += e.Read()
-		r.again -= e.Reused()
+		r.reread -= e.Reused()
 		r.busiest = max(r.busiest, float64(sent[id]*len(f.servers))/float64(len(f.requests)))
 	}
 	return r
 }
 
-// count takes in what a caller got.
+// count adds the answer to a request.
 func (t *tally) count(a *arrival, r *route.Route) {
 	t.asked++
 	switch {
 	case a.First == 0 || a.First-a.Arrives > r.Target:
-		t.byFirst++
+		t.lateFirst++
 	case a.End == 0 || a.Pause > r.GapTarget:
-		t.byPause++
+		t.latePause++
 	default:
 		t.inTime++
 	}
--- a/pkg/relay/harness_test.go
+++ b/pkg/relay/harness_test.go
@@ -20,25 +20,25 @@
 	"martenwheel.dev/pkg/route"
 )
 
-// testHeaders are the names that the tests' callers and servers speak.
+// testHeaders are the header names in these tests.
 var testHeaders = Headers{
 	RequestID: "X-Id", Deadline: "X-Deadline", Seal: "X-Seal", Expect: "X-Expect", NotRun: "X-Not-Run",
 	Model: "X-Model", LastEvent: "Last-Event-Id", Priority: "X-Priority",
 }
 
-// seen is a request as a server got it.
+// seen is a request as a server received it.
 type seen struct {
 	server, id, expect, deadline, lastEvent, target, body string
-	left                                                  chan struct{} // closed when the connection did
+	disconnected                                          chan struct{} // closed when the connection closes
 }
 
-// site is a relay before servers of the test.
+// site is a relay in front of test servers.
 type site struct {
 	t       *testing.T
 	relay   *Relay
 	front   *httptest.Server
 	servers []*backend.Server
-	running []*httptest.Server // of servers
+	running []*httptest.Server // HTTP servers, indexed like servers
 
 	mu   sync.Mutex
 	seen []seen
@@ -47,7 +47,7 @@
 // answerer writes the answer of a server to a request.
 type answerer func(w http.ResponseWriter, r *http.Request, s seen)
 
-// sealed answers whole.
+// sealed writes a complete answer with a seal.
 func sealed(status int, body string) answerer {
 	return func(w http.ResponseWriter, r *http.Request, s seen) {
 		w.Header().Set(testHeaders.Seal, "seal-"+s.server)
@@ -57,16 +57,15 @@
 	}
 }
 
-// turnedAway refuses a request before it runs.
-func turnedAway(status int) answerer {
+// rejectWith rejects a request without running it.
+func rejectWith(status int) answerer {
 	return func(w http.ResponseWriter, _ *http.Request, _ seen) {
 		w.Header().Set(testHeaders.NotRun, "1")
 		w.WriteHeader(status)
 	}
 }
 
-// raw writes text on the bare connection and closes it. "{id}" stands for the
-// request's id.
+// raw writes text to the bare connection and closes it. "{id}" stands for the request's ID.
 func raw(text string) answerer {
 	return func(w http.ResponseWriter, _ *http.Request, s seen) {
 		conn, _, err := w.(http.Hijacker).Hijack()
@@ -78,7 +77,7 @@
 	}
 }
 
-// newSite starts a relay whose one route leads to servers that answer in turn.
+// newSite starts a relay with one route to servers, each of which uses one of the answerers.
 func newSite(t *testing.T, r route.Route, answers ...answerer) *site {
 	t.Helper()
 	s := &site{t: t}
@@ -107,16 +106,16 @@
 		Logger: hclog.NewNullLogger(), Waker: noWaker{},
 		Budget: BudgetConfig{Ratio: 0.2, Window: 10 * time.Second, Slack: 50},
 	}
-	s.relay.Began = time.Now().Add(-s.relay.Budget.FillTime()) // as of a node that runs for long
+	s.relay.BudgetStart = time.Now().Add(-s.relay.Budget.FillTime()) // as if the node had been running for long
 	s.front = httptest.NewServer(s.relay)
 	t.Cleanup(s.front.Close)
 	return s
 }
 
-// noWaker knows nothing of any model.
+// noWaker knows no model.
 type noWaker struct{}
 
-func (noWaker) Wake(context.Context, Wish) (Outlook, error) { return Outlook{}, nil }
+func (noWaker) Wake(context.Context, LoadRequest) (LoadStatus, error) { return LoadStatus{}, nil }
 
 // add starts a server.
 func (s *site) add(id string, answer answerer) {
@@ -125,9 +124,9 @@
 		got := seen{
 			server: id, id: r.Header.Get(testHeaders.RequestID), expect: r.Header.Get(testHeaders.Expect),
 			deadline: r.Header.Get(testHeaders.Deadline), lastEvent: r.Header.Get(testHeaders.LastEvent),
-			target: r.RequestURI, body: string(body), left: make(chan struct{}),
+			target: r.RequestURI, body: string(body), disconnected: make(chan struct{}),
 		}
-		context.AfterFunc(r.Context(), func() { close(got.left) })
+		context.AfterFunc(r.Context(), func() { close(got.disconnected) })
 		s.mu.Lock()
 		s.seen = append(s.seen, got)
 		s.mu.Unlock()
@@ -140,15 +139,15 @@
 	})
 }
 
-// end stops a server's listening, as its crash does. Its port stays taken, so that connections to it are
-// refused: a server of another test that got it answered 404 in place of the one that had ended.
-func (s *site) end(i int) {
+// crash stops a server from listening. Its port stays reserved so that connections are refused: a
+// server of another test that reused the port answered 404 in place of the crashed one.
+func (s *site) crash(i int) {
 	address := s.running[i].Listener.Addr().(*net.TCPAddr)
 	_ = s.running[i].Listener.Close()
 	holdPort(s.t, address)
 }
 
-// holdPort binds a socket that does not listen to an address, until the test ends.
+// holdPort binds a socket to an address without listening, until the test ends.
 func holdPort(t testing.TB, address *net.TCPAddr) {
 	t.Helper()
 	socket, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -156,7 +155,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = syscall.Close(socket) })
-	reuse := func(on int) { // connections of the ended server may linger on the port; nobody else is to reuse it
+	reuse := func(on int) { // connections of the crashed server may linger on the port; nobody else may reuse it
 		if err := syscall.SetsockoptInt(socket, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, on); err != nil {
 			t.Fatal(err)
 		}
@@ -168,14 +167,14 @@
 	reuse(0)
 }
 
-// arrivals returns what the servers got.
+// arrivals returns the requests that the servers received.
 func (s *site) arrivals() []seen {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]seen(nil), s.seen...)
 }
 
-// request makes a caller's request.
+// request returns a caller's request.
 func (s *site) request(ctx context.Context, method, path, id, body string) *http.Request {
 	r, err := http.NewRequestWithContext(ctx, method, s.front.URL+path, strings.NewReader(body))
 	if err != nil {
@@ -187,7 +186,7 @@
 	return r
 }
 
-// answer is what a caller got; err tells that it was cut off.
+// answer is what the caller received; err is set if it was cut off.
 type answer struct {
 	status int
 	header http.Header
@@ -207,13 +206,13 @@
 	return answer{response.StatusCode, response.Header, string(body), err}
 }
 
-// get sends a GET.
+// get sends a GET request.
 func (s *site) get(id string) answer {
 	s.t.Helper()
 	return s.do(s.request(s.t.Context(), http.MethodGet, "/p/x?q=1", id, ""))
 }
 
-// post sends a POST.
+// post sends a POST request.
 func (s *site) post(id, body string) answer {
 	s.t.Helper()
 	return s.do(s.request(s.t.Context(), http.MethodPost, "/p/x", id, body))
--- a/pkg/relay/prospect_test.go
+++ b/pkg/relay/hold_test.go
@@ -12,17 +12,17 @@
 	"martenwheel.dev/pkg/route"
 )
 
-// TestJudge: who is held and who is refused, by what is known of the model and of the
-// caller.
-func TestJudge(t *testing.T) {
-	short := route.Route{Kind: route.Stream, Target: 400 * time.Millisecond, GapTarget: 300 * time.Millisecond} // its callers leave after 2.4 s
-	long := route.Route{Kind: route.Stream, Target: 2500 * time.Millisecond, GapTarget: 300 * time.Millisecond} // after 10 s
+// TestEvaluateStatus checks which requests are held and which are refused, depending on what is
+// known of the model and the caller.
+func TestEvaluateStatus(t *testing.T) {
+	short := route.Route{Kind: route.Stream, Target: 400 * time.Millisecond, GapTarget: 300 * time.Millisecond} // callers leave after 2.4 s
+	long := route.Route{Kind: route.Stream, Target: 2500 * time.Millisecond, GapTarget: 300 * time.Millisecond} // callers leave after 10 s
 	cases := []struct {
 		name     string
 		route    route.Route
 		headSent bool
 		waited   time.Duration
-		left     time.Duration // of the deadline, from the arrival
+		left     time.Duration // from arrival to deadline
 		readyIn  time.Duration
 		refused  bool
 	}{
@@ -46,7 +46,7 @@
 			arrived := time.Now().Add(-test.waited)
 			c := &call{relay: &Relay{}, progress: progress{headSent: test.headSent},
 				request: request{route: &test.route, arrived: arrived, deadline: arrived.Add(test.left)}}
-			f, refused := c.judge(Outlook{ReadyIn: test.readyIn}, nil)
+			f, refused := c.evaluateStatus(LoadStatus{ReadyIn: test.readyIn}, nil)
 			if refused != test.refused {
 				t.Fatalf("refused: %v, want %v", refused, test.refused)
 			}
@@ -57,40 +57,40 @@
 	}
 }
 
-// propertySeed makes the property tests the same on each run.
+// propertySeed makes the property tests reproducible.
 const propertySeed = 21
 
-// TestCourseProperties: who can be served while the caller is there is held; a model
-// that is ready later never turns a refusal into a hold; waiting longer doesn't either;
-// who is refused is told a time, after which the model is ready.
-func TestCourseProperties(t *testing.T) {
+// TestDecideProperties checks that a request is held if it can be served before its caller leaves,
+// that neither a later model nor a longer wait turns a refusal into a hold, and that the retry time
+// of a refusal is not before the model is ready.
+func TestDecideProperties(t *testing.T) {
 	parameters := gopter.DefaultTestParameters()
 	parameters.Rng.Seed(propertySeed)
 	properties := gopter.NewProperties(parameters)
 	span := gen.Int64Range(0, int64(time.Minute))
 	properties.Property("held if and only if it can be served", prop.ForAll(
-		func(waited, leaves, readyIn int64, begun bool) bool {
-			p := prospect{time.Duration(waited), time.Duration(leaves), time.Duration(readyIn), begun}
-			next := p.course()
-			can := waited+max(readyIn, 1)+int64(readyMargin) <= leaves
-			if readyIn > 0 && next.hold != (can || begun) {
+		func(waited, patience, readyIn int64, started bool) bool {
+			p := waitEstimate{time.Duration(waited), time.Duration(patience), time.Duration(readyIn), started}
+			next := p.decide()
+			can := waited+max(readyIn, 1)+int64(readyMargin) <= patience
+			if readyIn > 0 && next.hold != (can || started) {
 				return false
 			}
 			return next.hold == (next.after == 0) && (next.hold || next.after >= p.readyIn)
 		}, span, span, span, gen.Bool()))
 	properties.Property("later is never better", prop.ForAll(
-		func(waited, leaves, readyIn, more int64) bool {
-			p := prospect{waited: time.Duration(waited), leaves: time.Duration(leaves), readyIn: time.Duration(readyIn) + 1}
+		func(waited, patience, readyIn, more int64) bool {
+			p := waitEstimate{waited: time.Duration(waited), patience: time.Duration(patience), readyIn: time.Duration(readyIn) + 1}
 			later, longer := p, p
 			later.readyIn += time.Duration(more)
 			longer.waited += time.Duration(more)
-			return p.course().hold || !later.course().hold && !longer.course().hold
+			return p.decide().hold || !later.decide().hold && !longer.decide().hold
 		}, span, span, span, span))
 	properties.TestingRun(t)
 }
 
-// TestRequestsWithoutServersAreRefusedAtOnce: a plain service has no server, and nobody
-// expects one before its callers leave.
+// TestRequestsWithoutServersAreRefusedAtOnce checks a service without a model that has no server
+// and expects none before its callers leave.
 func TestRequestsWithoutServersAreRefusedAtOnce(t *testing.T) {
 	s := newSite(t, route.Route{Kind: route.Safe, Timeout: time.Second}, sealed(200, "x"))
 	s.relay.Servers.Replace(nil, 2)
@@ -100,6 +100,6 @@
 		t.Errorf("the answer is %d %v", got.status, got.header)
 	}
 	if took := time.Since(began); took >= time.Second {
-		t.Errorf("it took %v, the caller's whole time", took)
+		t.Errorf("the answer took %v, the caller's whole time", took)
 	}
 }
--- a/pkg/relay/place_test.go
+++ b/pkg/relay/place_test.go
@@ -17,9 +17,9 @@
 	"martenwheel.dev/pkg/route"
 )
 
-// keeper decides on places as a test says, and notes what it is told.
-type keeper struct {
-	decide func(n int, r *admission.Request) (admission.Verdict, error) // n: how many were asked before
+// fakePlaces decides on places as the test specifies and records the reports.
+type fakePlaces struct {
+	decide func(n int, r *admission.Request) (admission.Verdict, error) // n: number of requests before
 
 	mu    sync.Mutex
 	count uint64
@@ -29,40 +29,41 @@
 	left  []uint64
 }
 
-func (k *keeper) NextPlace() uint64 {
+func (k *fakePlaces) NextPlace() uint64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.count++
 	return k.count
 }
 
-func (k *keeper) TakePlace(_ context.Context, r *admission.Request) (admission.Verdict, error) {
+func (k *fakePlaces) TakePlace(_ context.Context, r *admission.Request) (admission.Verdict, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.asked = append(k.asked, *r)
 	return k.decide(len(k.asked)-1, r)
 }
 
-func (k *keeper) SentToPlace(r admission.Report) {
+func (k *fakePlaces) SentToPlace(r admission.Report) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.sent = append(k.sent, r)
 }
 
-func (k *keeper) AnsweredInPlace(id uint64) {
+func (k *fakePlaces) AnsweredInPlace(id uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.first = append(k.first, id)
 }
 
-func (k *keeper) LeftPlace(id uint64, _ admission.Key) {
+func (k *fakePlaces) LeftPlace(id uint64, _ admission.Key) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.left = append(k.left, id)
 }
 
-// crowdedSite is a site whose servers hold m and tell of their memory.
-func crowdedSite(t *testing.T, r route.Route, k *keeper, answers ...answerer) *site {
+// overloadedSite returns a site whose servers hold the model "m" and whose engine declares its
+// memory.
+func overloadedSite(t *testing.T, r route.Route, k *fakePlaces, answers ...answerer) *site {
 	t.Helper()
 	r.Sticky = true
 	s := newSite(t, r, answers...)
@@ -76,8 +77,8 @@
 	return s
 }
 
-// prompted sends a request with a prompt.
-func (s *site) prompted(id string) answer {
+// askWithPrompt sends a request with a prompt.
+func (s *site) askWithPrompt(id string) answer {
 	s.t.Helper()
 	r := s.request(s.t.Context(), http.MethodPost, "/p/x", id, "x")
 	r.Header.Set("X-Model", "m/a")
@@ -86,136 +87,140 @@
 	return s.do(r)
 }
 
-// decides gives the same verdict always.
-func decides(v admission.Verdict) func(int, *admission.Request) (admission.Verdict, error) {
+// fixedVerdict always returns the same verdict.
+func fixedVerdict(v admission.Verdict) func(int, *admission.Request) (admission.Verdict, error) {
 	return func(int, *admission.Request) (admission.Verdict, error) { return v, nil }
 }
 
-// TestARequestGoesWhereItHasItsPlace, and its way is told.
-func TestARequestGoesWhereItHasItsPlace(t *testing.T) {
-	k := &keeper{decide: decides(admission.Verdict{Kind: admission.Go, Server: "server-2", First: time.Millisecond})}
-	s := crowdedSite(t, streamRoute(false), k, events(5, 5, nil), events(5, 5, nil), events(5, 5, nil))
+// TestRequestGoesToGrantedServer checks that a request goes to the server of its verdict and that
+// its progress is reported.
+func TestRequestGoesToGrantedServer(t *testing.T) {
+	k := &fakePlaces{decide: fixedVerdict(admission.Verdict{Kind: admission.Go, Server: "server-2", First: time.Millisecond})}
+	s := overloadedSite(t, streamRoute(false), k, events(5, 5, nil), events(5, 5, nil), events(5, 5, nil))
 	for range 5 {
-		if got := s.prompted("id"); got.body != streamed(1, 5) {
+		if got := s.askWithPrompt("id"); got.body != eventsText(1, 5) {
 			t.Fatalf("the caller got %+v", got)
 		}
 	}
 	for _, got := range s.arrivals() {
 		if got.server != "server-2" {
-			t.Errorf("a request went to %s", got.server)
+			t.Errorf("a request went to %s, want server-2", got.server)
 		}
 	}
 	r := k.asked[0]
 	if r.Key != (admission.Key{Service: "s", Model: "m"}) || r.Need != "m/a" || r.Work.Tokens != 9200 || r.Work.Out != 80 ||
 		len(r.Work.Parts) != 3 || len(r.Servers) != 3 || r.Target <= 0 || r.Patience <= r.Target || !r.Valid() && r.Place.Node != "" {
-		t.Errorf("it asked %+v", r)
+		t.Errorf("the place request is %+v", r)
 	}
 	if len(k.sent) != 5 || k.sent[0].Server != "server-2" || !k.sent[0].Granted || len(k.first) < 5 || len(k.left) != 5 {
-		t.Errorf("told %+v, %v, %v", k.sent, k.first, k.left)
+		t.Errorf("reported sent %+v, answered %v, left %v", k.sent, k.first, k.left)
 	}
 }
 
-// TestARefusedRequestIsNotRun and its caller is told the truth and when to come back.
+// TestARefusedRequestIsNotRun checks that a refused request reaches no server and that its caller
+// gets the retry time.
 func TestARefusedRequestIsNotRun(t *testing.T) {
-	k := &keeper{decide: decides(admission.Verdict{Kind: admission.Refuse, After: 700 * time.Millisecond})}
-	s := crowdedSite(t, streamRoute(false), k, events(5, 5, nil))
-	got := s.prompted("id")
+	k := &fakePlaces{decide: fixedVerdict(admission.Verdict{Kind: admission.Refuse, After: 700 * time.Millisecond})}
+	s := overloadedSite(t, streamRoute(false), k, events(5, 5, nil))
+	got := s.askWithPrompt("id")
 	if got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") != "0.700" || len(s.arrivals()) != 0 {
-		t.Errorf("the caller got %+v, the servers %v", got, s.arrivals())
+		t.Errorf("the caller got %+v, the servers got %v", got, s.arrivals())
 	}
-	s.front.Close() // once the request is over
+	s.front.Close() // waits for the end of the request
 	if len(k.left) != 1 || len(k.sent) != 0 {
-		t.Errorf("told %v, %v", k.left, k.sent)
+		t.Errorf("reported left %v, sent %v", k.left, k.sent)
 	}
 }
 
-// TestARequestWaitsAndAsksAgain under the same ID.
+// TestARequestWaitsAndAsksAgain checks that a waiting request asks again under the same ID.
 func TestARequestWaitsAndAsksAgain(t *testing.T) {
-	k := &keeper{decide: func(n int, _ *admission.Request) (admission.Verdict, error) {
+	k := &fakePlaces{decide: func(n int, _ *admission.Request) (admission.Verdict, error) {
 		if n < 2 {
 			return admission.Verdict{Kind: admission.Wait, After: 20 * time.Millisecond}, nil
 		}
 		return admission.Verdict{Kind: admission.Go, Server: "server-0"}, nil
 	}}
-	s := crowdedSite(t, streamRoute(false), k, events(5, 5, nil))
-	if got := s.prompted("id"); got.body != streamed(1, 5) {
+	s := overloadedSite(t, streamRoute(false), k, events(5, 5, nil))
+	if got := s.askWithPrompt("id"); got.body != eventsText(1, 5) {
 		t.Fatalf("the caller got %+v", got)
 	}
 	if len(k.asked) != 3 || k.asked[2].Place.ID != k.asked[0].Place.ID || k.asked[2].Waited < 40*time.Millisecond {
-		t.Errorf("it asked %+v", k.asked)
+		t.Errorf("the place requests are %+v", k.asked)
 	}
 }
 
-// TestNobodyWaitsBeyondItsCaller: a request that is told to wait again and again is refused before
-// its caller leaves.
+// TestNobodyWaitsBeyondItsCaller checks that a request that is told to wait repeatedly is refused
+// before its caller leaves.
 func TestNobodyWaitsBeyondItsCaller(t *testing.T) {
-	k := &keeper{decide: decides(admission.Verdict{Kind: admission.Wait, After: 100 * time.Millisecond})}
+	k := &fakePlaces{decide: fixedVerdict(admission.Verdict{Kind: admission.Wait, After: 100 * time.Millisecond})}
 	r := streamRoute(false)
 	r.Timeout = time.Second
-	s := crowdedSite(t, r, k, events(5, 5, nil))
+	s := overloadedSite(t, r, k, events(5, 5, nil))
 	began := time.Now()
-	if got := s.prompted("id"); got.status != http.StatusServiceUnavailable || time.Since(began) >= time.Second {
+	if got := s.askWithPrompt("id"); got.status != http.StatusServiceUnavailable || time.Since(began) >= time.Second {
 		t.Errorf("the caller got %+v after %v", got, time.Since(began))
 	}
 }
 
-// TestWithoutAWordTheNodeChooses: nobody answers, or the server of the word is gone.
-func TestWithoutAWordTheNodeChooses(t *testing.T) {
+// TestNodeChoosesWithoutVerdict checks that the node chooses if nobody answers or the granted
+// server is gone.
+func TestNodeChoosesWithoutVerdict(t *testing.T) {
 	for name, decide := range map[string]func(int, *admission.Request) (admission.Verdict, error){
 		"nobody answers": func(int, *admission.Request) (admission.Verdict, error) {
 			return admission.Verdict{}, errors.New("no answer")
 		},
-		"the server is gone": decides(admission.Verdict{Kind: admission.Go, Server: "gone"}),
+		"the server is gone": fixedVerdict(admission.Verdict{Kind: admission.Go, Server: "gone"}),
 	} {
-		k := &keeper{decide: decide}
-		s := crowdedSite(t, streamRoute(false), k, events(5, 5, nil))
-		if got := s.prompted("id"); got.body != streamed(1, 5) {
+		k := &fakePlaces{decide: decide}
+		s := overloadedSite(t, streamRoute(false), k, events(5, 5, nil))
+		if got := s.askWithPrompt("id"); got.body != eventsText(1, 5) {
 			t.Errorf("%s: the caller got %+v", name, got)
 		}
 		if len(k.sent) != 1 || k.sent[0].Server != "server-0" {
-			t.Errorf("%s: told %+v", name, k.sent)
+			t.Errorf("%s: reported sent %+v", name, k.sent)
 		}
 	}
 }
 
-// TestAnAnswerThatHasBegunIsNotRefused: its stream broke, and goes on at another server without
-// a question.
+// TestAnAnswerThatHasBegunIsNotRefused checks that a broken stream continues at another server
+// without asking for a place.
 func TestAnAnswerThatHasBegunIsNotRefused(t *testing.T) {
-	k := &keeper{decide: func(n int, _ *admission.Request) (admission.Verdict, error) {
+	k := &fakePlaces{decide: func(n int, _ *admission.Request) (admission.Verdict, error) {
 		if n == 0 {
 			return admission.Verdict{Kind: admission.Go, Server: "server-0"}, nil
 		}
 		return admission.Verdict{Kind: admission.Refuse, After: time.Second}, nil
 	}}
-	s := crowdedSite(t, streamRoute(true), k, events(3, 6, halfEvent), events(6, 6, nil))
-	if got := s.prompted("id"); got.body != streamed(1, 6) {
+	s := overloadedSite(t, streamRoute(true), k, events(3, 6, halfEvent), events(6, 6, nil))
+	if got := s.askWithPrompt("id"); got.body != eventsText(1, 6) {
 		t.Errorf("the caller got %+v", got)
 	}
 	if len(k.asked) != 1 || len(k.sent) != 2 || len(k.left) != 2 {
-		t.Errorf("%d questions, told %+v, %v", len(k.asked), k.sent, k.left)
+		t.Errorf("%d place requests, reported sent %+v, left %v", len(k.asked), k.sent, k.left)
 	}
 }
 
-// TestARefusalAfterARunSaysSo: a server may have run the request.
+// TestARefusalAfterARunSaysSo checks that the status of a refusal tells that a server may have run
+// the request.
 func TestARefusalAfterARunSaysSo(t *testing.T) {
-	k := &keeper{decide: func(n int, _ *admission.Request) (admission.Verdict, error) {
+	k := &fakePlaces{decide: func(n int, _ *admission.Request) (admission.Verdict, error) {
 		if n == 0 {
 			return admission.Verdict{Kind: admission.Go, Server: "server-0"}, nil
 		}
 		return admission.Verdict{Kind: admission.Refuse, After: time.Second}, nil
 	}}
-	s := crowdedSite(t, streamRoute(true), k, raw("HTTP/1.1 200 OK\r\n"), events(6, 6, nil))
-	if got := s.prompted("id"); got.status != http.StatusBadGateway {
+	s := overloadedSite(t, streamRoute(true), k, raw("HTTP/1.1 200 OK\r\n"), events(6, 6, nil))
+	if got := s.askWithPrompt("id"); got.status != http.StatusBadGateway {
 		t.Errorf("the caller got %+v", got)
 	}
 }
 
-// TestAPlaceLapsesInASuspension: the node sleeps between the word and the send, and asks again.
+// TestAPlaceLapsesInASuspension suspends the node between verdict and send. It must ask again.
 func TestAPlaceLapsesInASuspension(t *testing.T) {
 	var mu sync.Mutex
 	var slept time.Duration
-	k := &keeper{decide: decides(admission.Verdict{Kind: admission.Go, Server: "server-0"})}
-	s := crowdedSite(t, streamRoute(false), k, events(5, 5, nil), events(5, 5, nil))
+	k := &fakePlaces{decide: fixedVerdict(admission.Verdict{Kind: admission.Go, Server: "server-0"})}
+	s := overloadedSite(t, streamRoute(false), k, events(5, 5, nil), events(5, 5, nil))
 	s.relay.Time = clock.Clock(func() time.Time {
 		mu.Lock()
 		defer mu.Unlock()
@@ -224,24 +229,25 @@
 	s.relay.Servers = &backend.Directory{Time: s.relay.Time, Dialer: func(ctx context.Context, address string) (net.Conn, error) {
 		mu.Lock()
 		if slept == 0 {
-			slept = time.Second // the machine sleeps while it connects
+			slept = time.Second // suspension while connecting
 		}
 		mu.Unlock()
 		return (&net.Dialer{}).DialContext(ctx, "tcp", address)
 	}}
 	s.relay.Servers.Replace(s.servers, 1)
-	if got := s.prompted("id"); got.body != streamed(1, 5) {
+	if got := s.askWithPrompt("id"); got.body != eventsText(1, 5) {
 		t.Errorf("the caller got %+v", got)
 	}
 	if len(k.asked) != 2 || len(s.arrivals()) != 1 {
-		t.Fatalf("%d questions, %d arrivals, want two and one", len(k.asked), len(s.arrivals()))
+		t.Fatalf("%d place requests and %d requests at servers, want two and one", len(k.asked), len(s.arrivals()))
 	}
 	if n := len(k.asked[1].Servers); n != 2 {
-		t.Errorf("%d servers may get it the second time: one counts as tried, and nothing was sent", n)
+		t.Errorf("%d servers named the second time, want 2: nothing was sent to either", n)
 	}
 }
 
-// TestPlacesAreForLongPromptsOnly: other routes, engines and requests don't ask and tell nothing.
+// TestPlacesAreForLongPromptsOnly checks that other routes, engines and requests neither ask for
+// places nor report.
 func TestPlacesAreForLongPromptsOnly(t *testing.T) {
 	for name, change := range map[string]func(s *site, r *http.Request){
 		"its prompt is not told":         func(_ *site, r *http.Request) { r.Header.Del("X-Tokens") },
@@ -250,27 +256,27 @@
 		"it needs no model":              func(_ *site, r *http.Request) { r.Header.Del("X-Model") },
 		"nobody has requests take turns": func(s *site, _ *http.Request) { s.relay.Places = nil },
 	} {
-		k := &keeper{decide: decides(admission.Verdict{Kind: admission.Refuse})}
-		s := crowdedSite(t, streamRoute(false), k, events(5, 5, nil))
+		k := &fakePlaces{decide: fixedVerdict(admission.Verdict{Kind: admission.Refuse})}
+		s := overloadedSite(t, streamRoute(false), k, events(5, 5, nil))
 		r := s.request(t.Context(), http.MethodPost, "/p/x", "id", "x")
 		r.Header.Set("X-Model", "m")
 		r.Header.Set("X-Tokens", "900,80")
 		change(s, r)
-		if got := s.do(r); got.body != streamed(1, 5) {
+		if got := s.do(r); got.body != eventsText(1, 5) {
 			t.Errorf("%s: the caller got %+v", name, got)
 		}
 		if len(k.asked)+len(k.sent)+len(k.left) != 0 {
-			t.Errorf("%s: it asked %v, told %v, %v", name, k.asked, k.sent, k.left)
+			t.Errorf("%s: requested %v, reported sent %v, left %v", name, k.asked, k.sent, k.left)
 		}
 	}
 }
 
-// TestAllReplicasGetTheirTurn: a request names a few of many replicas, and not the same ones each time:
-// others would be full beside free ones.
-func TestAllReplicasGetTheirTurn(t *testing.T) {
-	const replicas = 3 * mostPlaces
-	k := &keeper{}
-	s := crowdedSite(t, streamRoute(false), k, events(1, 1, nil))
+// TestPlaceRequestsNameAllReplicas checks that each request names a different selection of many
+// replicas. Otherwise some would be full while others are free.
+func TestPlaceRequestsNameAllReplicas(t *testing.T) {
+	const replicas = 3 * maxPlaceServers
+	k := &fakePlaces{}
+	s := overloadedSite(t, streamRoute(false), k, events(1, 1, nil))
 	servers := []*backend.Server{s.servers[0]}
 	for i := range replicas - 1 {
 		server := *s.servers[0]
@@ -282,18 +288,18 @@
 	own, named := s.relay.Servers.Snapshot().Member("server-0"), make(map[string]bool)
 	for range 100 {
 		list := c.placeServers(own)
-		if len(list) != mostPlaces || list[0] != own.ID {
-			t.Fatalf("it names %v", list)
+		if len(list) != maxPlaceServers || list[0] != own.ID {
+			t.Fatalf("the request names %v", list)
 		}
 		slices.Sort(list)
-		if len(slices.Compact(list)) != mostPlaces {
-			t.Fatal("it names a server twice")
+		if len(slices.Compact(list)) != maxPlaceServers {
+			t.Fatal("the request names a server twice")
 		}
 		for _, id := range list {
 			named[id] = true
 		}
 	}
 	if len(named) != replicas {
-		t.Errorf("%d of %d replicas are named", len(named), replicas)
+		t.Errorf("%d of %d replicas were named", len(named), replicas)
 	}
 }
--- a/pkg/relay/quarantine.go
+++ b/pkg/relay/quarantine.go
@@ -10,185 +10,189 @@
 	"martenwheel.dev/pkg/quarantine"
 )
 
-// Quarantine knows of requests that end the servers that run them, over all nodes.
+// Quarantine tracks, over all nodes, requests that crash the servers that run them.
 type Quarantine interface {
-	// Standing tells what may be done with a request.
+	// Standing returns what may be done with a request.
 	Standing(f quarantine.Fingerprint) quarantine.Standing
 	// NextRound returns the round of a run that begins now.
 	NextRound(f quarantine.Fingerprint) int
-	// InDoubt returns how many rounds more that is by runs of which it is not known whether they ended servers,
-	// and whether one of them was at a server.
+	// InDoubt returns the additional rounds from runs of which it is unknown whether their servers
+	// crashed, and whether one of those runs was at server.
 	InDoubt(f quarantine.Fingerprint, server string) (rounds int, again bool)
-	// Ended notes that a server ended a moment after it began to run the request.
+	// Ended records that a server crashed a moment after it began to run the request.
 	Ended(r quarantine.Run)
-	// Doubted notes that the connection to a server broke a moment after it began to run the request, and
-	// that it is not known whether the server ended. It returns as the other nodes are told, or can't be.
+	// Doubted records that the connection to a server broke a moment after it began to run the
+	// request and that it is unknown whether the server crashed. It returns when the other nodes
+	// were informed or can't be.
 	Doubted(ctx context.Context, r quarantine.Run)
-	// Ran notes that a server ran the request to its end.
+	// Ran records that a server ran the request to its end.
 	Ran(f quarantine.Fingerprint)
-	// Lives notes that a server answered a request that was sent to it at a time.
+	// Lives records that a server answered a request that was sent at the given time.
 	Lives(server string, sent time.Time)
-	// TakeTurn asks whether a suspected request may run at a server now.
+	// TakeTurn asks for a trial: permission to run a suspected request at a server now.
 	TakeTurn(ctx context.Context, f quarantine.Fingerprint, service, server string) (bool, error)
-	// ReleaseTurn tells that it runs there without harm, or that it does not run any more.
+	// ReleaseTurn ends a trial: the request ran without harm or no longer runs.
 	ReleaseTurn(f quarantine.Fingerprint, server string)
 }
 
-// permission is whether a request may be sent to a server now.
+// permission tells whether a request may be sent to a server now.
 type permission uint8
 
 const (
 	mayRunNow permission = iota
-	looksAgain
-	isRefused // and answered
+	chooseAgain
+	wasRefused // the caller was answered
 )
 
-// quarantined tells whether the request is in quarantine.
+// quarantined reports whether the request is in quarantine.
 func (c *call) quarantined() bool {
 	q := c.relay.Quarantine
 	return q != nil && q.Standing(c.fingerprint) == quarantine.Quarantined
 }
 
-// refuseQuarantined tells no time to come back: the request is not served while it stays as it
-// is.
+// refuseQuarantined sends no retry time: the same request will not be served while it is in
+// quarantine.
 func (c *call) refuseQuarantined() { c.refuse(c.notServed(reasonQuarantine, 0)) }
 
-// permit decides whether the request may go to a server now, and notes the round of its run.
+// permit decides whether the request may go to a server now, and sets the round of its run.
 func (c *call) permit(ctx context.Context, m *backend.Member) permission {
 	q := c.relay.Quarantine
 	if q == nil {
 		return mayRunNow
 	}
-	p := c.decide(ctx, q, m)
-	c.round = q.NextRound(c.fingerprint) // by what came with the turn as well
-	c.doubts, c.again = q.InDoubt(c.fingerprint, m.ID)
+	p := c.checkStanding(ctx, q, m)
+	c.round = q.NextRound(c.fingerprint) // includes what was learned with the trial
+	c.suspectedRounds, c.again = q.InDoubt(c.fingerprint, m.ID)
 	return p
 }
 
-// decide is permit by the standing. A suspected request waits for its turn: of those that ran
-// together when servers ended only one is to blame, and it is found by having them run apart.
-func (c *call) decide(ctx context.Context, q Quarantine, m *backend.Member) permission {
+// checkStanding decides by the standing of the request. A suspected request waits for a trial: of
+// the requests that ran together when servers crashed only one is to blame, and running them
+// separately shows which.
+func (c *call) checkStanding(ctx context.Context, q Quarantine, m *backend.Member) permission {
 	switch q.Standing(c.fingerprint) {
 	case quarantine.Free:
 		return mayRunNow
-	case quarantine.Quarantined: // another node found it out since it was accepted
+	case quarantine.Quarantined: // found by another node after the request was accepted
 		c.refuseQuarantined()
-		return isRefused
+		return wasRefused
 	}
 	granted, err := q.TakeTurn(ctx, c.fingerprint, c.service, m.ID)
-	c.record.turnError = err
+	c.record.trialError = err
 	if granted {
-		c.turn = &turn{call: c, server: m.ID}
+		c.trial = &trial{call: c, server: m.ID}
 		return mayRunNow
 	}
-	return c.awaitTurn(ctx)
+	return c.awaitTrial(ctx)
 }
 
-// awaitTurn has a suspected request without a turn look again, unless its caller leaves first.
-func (c *call) awaitTurn(ctx context.Context) permission {
+// awaitTrial makes a suspected request without a trial try again, unless its caller would leave
+// first.
+func (c *call) awaitTrial(ctx context.Context) permission {
 	switch {
 	case ctx.Err() != nil:
 		c.giveUp(ctx)
-		return isRefused
-	case !c.headSent && c.leavesBy(c.relay.Time.Now().Add(quarantine.TurnPause)): // one that has begun would have to begin anew
+		return wasRefused
+	case !c.headSent && c.callerLeavesBy(c.relay.Time.Now().Add(quarantine.TurnPause)): // refusing after part of the answer would make the caller start over
 		c.refuse(c.notServed(reasonSuspected, suspectedAfter))
-		return isRefused
+		return wasRefused
 	}
-	c.pause(ctx, quarantine.TurnPause)
-	return looksAgain
+	c.sleep(ctx, quarantine.TurnPause)
+	return chooseAgain
 }
 
-// suspectedAfter is when the caller of a suspected request that got no turn may come back:
-// about as long as a turn of another one takes.
+// suspectedAfter is the retry time for a suspected request without a trial: about the duration of
+// another request's trial.
 const suspectedAfter = 2 * time.Second
 
-// turn is a suspected request's turn to run. Its holder is told once that it is over.
-type turn struct {
-	call    *call
-	server  string
-	settled *time.Timer
-	over    bool // for the goroutine of the call alone
-	kept    bool // until it lapses: whether the server ended under the request is not known yet
+// trial is the permission to run a suspected request. Its end is reported once to the coordinator.
+type trial struct {
+	call        *call
+	server      string
+	settleTimer *time.Timer
+	over        bool // used by the goroutine of the call only
+	held        bool // kept until it expires, as it is unknown whether the server crashed
 }
 
-// begin has the turn end when the server has sent the answer for so long that the request is
-// not what ends it.
-func (t *turn) begin() {
-	if t == nil || t.settled != nil {
+// startSettling ends the trial when the server has sent the answer for so long that the request is
+// not what crashes it.
+func (t *trial) startSettling() {
+	if t == nil || t.settleTimer != nil {
 		return
 	}
 	q, fingerprint := t.call.relay.Quarantine, t.call.fingerprint
-	t.settled = time.AfterFunc(quarantine.SettleTime, func() { q.ReleaseTurn(fingerprint, t.server) })
+	t.settleTimer = time.AfterFunc(quarantine.SettleTime, func() { q.ReleaseTurn(fingerprint, t.server) })
 }
 
-// keep has nobody get the turn before it lapses, and the request not go on elsewhere: its
-// connection broke, and if the server ended, its record tells within some seconds. Without it
-// one try ended three servers behind proxies, which refuse no connection (soak, seed 202).
-func (t *turn) keep() {
+// hold keeps the trial until it expires and prevents other attempts of the request: its connection
+// broke, and a crash of the server shows in the server's record within seconds. Otherwise one call
+// could crash three servers behind proxies, which refuse no connection.
+func (t *trial) hold() {
 	if t != nil {
-		t.kept = true
+		t.held = true
 	}
 }
 
-// end ends the turn if it is not over yet.
-func (t *turn) end() {
+// end ends the trial if it is not over yet.
+func (t *trial) end() {
 	if t == nil || t.over {
 		return
 	}
 	t.over = true
-	if t.kept {
+	if t.held {
 		return
 	}
-	if t.settled == nil || t.settled.Stop() {
+	if t.settleTimer == nil || t.settleTimer.Stop() {
 		t.call.relay.Quarantine.ReleaseTurn(t.call.fingerprint, t.server)
 	}
 }
 
-// suspect finds out whether the server of the last attempt, which may have run the request,
-// ended under it; taken: this node ended the attempt itself.
-func (c *call) suspect(ctx context.Context, m *backend.Member, err error, taken bool) {
+// investigateFailure determines whether the server of the last attempt, which may have run the
+// request, crashed. abandoned tells that this node ended the attempt itself.
+func (c *call) investigateFailure(ctx context.Context, m *backend.Member, err error, abandoned bool) {
 	switch {
-	case taken:
-		c.blameLater(m)
-	case !broke(err): // the server answered something else
+	case abandoned:
+		c.watchForCrash(m)
+	case !isConnectionBroken(err): // no sign of a crash
 	case m.Ended(ctx):
-		c.blame(m)
+		c.recordCrash(m)
 	default:
-		c.relay.rides.connectionBroke(m.ID, c.relay.Time.Now())
-		c.doubt(ctx, m)
-		c.blameLater(m)
-		c.turn.keep()
+		c.relay.streams.connectionBroke(m.ID, c.relay.Time.Now())
+		c.recordSuspicion(ctx, m)
+		c.watchForCrash(m)
+		c.trial.hold()
 	}
 }
 
-// blame notes that the last server ended under the request, unless it had sent the answer for
-// long: then it is taken to have ended by something else.
-func (c *call) blame(m *backend.Member) {
+// recordCrash records that the last server crashed while running the request. If it had sent the
+// answer for long, the request is not blamed.
+func (c *call) recordCrash(m *backend.Member) {
 	c.record.serverEnded()
-	c.relay.rides.serverEnded(m.ID, c.relay.Time.Now())
-	if c.relay.Quarantine == nil || c.record.last().ran() >= quarantine.SettleTime {
+	c.relay.streams.serverEnded(m.ID, c.relay.Time.Now())
+	if c.relay.Quarantine == nil || c.record.last().answerDuration() >= quarantine.SettleTime {
 		return
 	}
-	c.relay.Quarantine.Ended(c.run(m))
+	c.relay.Quarantine.Ended(c.lastRun(m))
 }
 
-// doubt notes that the last server may have ended under the request. Behind what accepts connections after a
-// server's end that shows some 0.3 s later or more, in which the request would be sent on to all others.
-func (c *call) doubt(ctx context.Context, m *backend.Member) {
-	if q := c.relay.Quarantine; q != nil && c.record.last().ran() < quarantine.SettleTime {
-		q.Doubted(ctx, c.run(m))
+// recordSuspicion records that the last server may have crashed while running the request. A proxy
+// in front of it accepts connections after a crash, which then shows 0.3 s later or more; meanwhile
+// the request would be sent to all other servers.
+func (c *call) recordSuspicion(ctx context.Context, m *backend.Member) {
+	if q := c.relay.Quarantine; q != nil && c.record.last().answerDuration() < quarantine.SettleTime {
+		q.Doubted(ctx, c.lastRun(m))
 	}
 }
 
-// run is the last run of the request, at a server.
-func (c *call) run(m *backend.Member) quarantine.Run {
+// lastRun returns the last run of the request, at server m.
+func (c *call) lastRun(m *backend.Member) quarantine.Run {
 	return quarantine.Run{Request: c.fingerprint, Service: c.service, Server: m.ID,
-		Round: c.round, Doubts: c.doubts, Again: c.again, RequestID: c.id}
+		Round: c.round, Doubts: c.suspectedRounds, Again: c.again, RequestID: c.id}
 }
 
-// ran notes that the request ran to its end. A server's own failure shows no more than that
-// the server lives: it may not have come to what ends it.
-func (c *call) ran(m *backend.Member) {
+// recordCompletion records that the request ran to its end. A server's own failure only shows that
+// the server is alive: it may not have reached the part that crashes it.
+func (c *call) recordCompletion(m *backend.Member) {
 	q := c.relay.Quarantine
 	if q == nil {
 		return
@@ -199,21 +203,21 @@
 	}
 }
 
-// blameLater blames the request if its server is found to have ended a while later. It broke
-// off, though somebody still listens there: what stands before it, or its next life. Or the
-// request was taken from it before it answered: its caller left, or another server was to be
-// faster; nearly all servers stop to work on it then, some late.
-func (c *call) blameLater(m *backend.Member) {
+// watchForCrash blames the request if its server is found to have crashed later. Either the
+// connection broke and something still listens there, such as a proxy or the server's next
+// incarnation; or this node abandoned the request before an answer, as the caller left or another
+// server was to be faster. Nearly all servers then stop working on it, some of them late.
+func (c *call) watchForCrash(m *backend.Member) {
 	q := c.relay.Quarantine
-	if q == nil || c.record.last().ran() >= quarantine.SettleTime {
+	if q == nil || c.record.last().answerDuration() >= quarantine.SettleTime {
 		return
 	}
-	run := c.run(m)
+	run := c.lastRun(m)
 	run.ByRecord = true
 	m.IfItEnds(quarantine.DoubtTime, func() { q.Ended(run) })
 }
 
-// Reasons of refusals, which tell the caller why it is of no use to come again.
+// Reasons of refusals, telling the caller why retrying does not help.
 var (
 	reasonQuarantine = fmt.Sprintf("servers ended when they ran this request; it is not run for up to %v", quarantine.Lifetime)
 	reasonSuspected  = "servers ended when they ran this request; it waits for its turn to run alone"
--- a/pkg/relay/quarantine_test.go
+++ b/pkg/relay/quarantine_test.go
@@ -16,62 +16,66 @@
 	"martenwheel.dev/pkg/route"
 )
 
-// alone is the quarantine of a single node.
-type alone struct {
-	noHolder bool // nobody grants turns
-
-	table quarantine.Table
-	mu    sync.Mutex
-	turns quarantine.Turns
-	ends  []string // servers, as they were told
+// localQuarantine is the quarantine of a single node.
+type localQuarantine struct {
+	noCoordinator bool // nobody grants trials
+
+	table   quarantine.Table
+	mu      sync.Mutex
+	turns   quarantine.Turns
+	crashes []string // servers, as reported
 }
 
 // Standing implements Quarantine.
-func (a *alone) Standing(f quarantine.Fingerprint) quarantine.Standing {
+func (a *localQuarantine) Standing(f quarantine.Fingerprint) quarantine.Standing {
 	return a.table.Standing(time.Now(), f)
 }
 
 // Ended implements Quarantine.
-func (a *alone) Ended(r quarantine.Run) {
+func (a *localQuarantine) Ended(r quarantine.Run) {
 	a.mu.Lock()
-	a.ends = append(a.ends, r.Server)
+	a.crashes = append(a.crashes, r.Server)
 	a.mu.Unlock()
 	a.table.Merge(time.Now(), r.Ended())
 }
 
 // NextRound implements Quarantine.
-func (a *alone) NextRound(f quarantine.Fingerprint) int { return a.table.NextRound(time.Now(), f) }
+func (a *localQuarantine) NextRound(f quarantine.Fingerprint) int {
+	return a.table.NextRound(time.Now(), f)
+}
 
 // InDoubt implements Quarantine.
-func (a *alone) InDoubt(f quarantine.Fingerprint, server string) (rounds int, again bool) {
+func (a *localQuarantine) InDoubt(f quarantine.Fingerprint, server string) (rounds int, again bool) {
 	return a.table.InDoubt(time.Now(), f, server)
 }
 
-// suspect has a request with a body suspected, and returns its fingerprint.
-func (a *alone) suspect(t *testing.T, body string) quarantine.Fingerprint {
+// suspect makes a request with the body suspected and returns its fingerprint.
+func (a *localQuarantine) suspect(t *testing.T, body string) quarantine.Fingerprint {
 	t.Helper()
 	fingerprint := quarantine.FingerprintOf(http.MethodPost, "site.example", "/p/x", []byte(body))
 	for round, server := range []string{"gone-1", "gone-2"} {
 		a.Ended(quarantine.Run{Request: fingerprint, Service: "s", Server: server, Round: round + 1})
 	}
 	if got := a.Standing(fingerprint); got != quarantine.Suspected {
-		t.Fatalf("it is %v", got)
+		t.Fatalf("the standing is %v, want suspected", got)
 	}
 	return fingerprint
 }
 
 // Doubted implements Quarantine.
-func (a *alone) Doubted(_ context.Context, r quarantine.Run) { a.table.Doubt(time.Now(), r) }
+func (a *localQuarantine) Doubted(_ context.Context, r quarantine.Run) { a.table.Doubt(time.Now(), r) }
 
 // Ran implements Quarantine.
-func (a *alone) Ran(f quarantine.Fingerprint) { a.table.Ran(time.Now(), f) }
+func (a *localQuarantine) Ran(f quarantine.Fingerprint) { a.table.Ran(time.Now(), f) }
 
 // Lives implements Quarantine.
-func (a *alone) Lives(server string, sent time.Time) { a.table.Lives(time.Now(), server, sent) }
+func (a *localQuarantine) Lives(server string, sent time.Time) {
+	a.table.Lives(time.Now(), server, sent)
+}
 
 // TakeTurn implements Quarantine.
-func (a *alone) TakeTurn(_ context.Context, f quarantine.Fingerprint, _, server string) (bool, error) {
-	if a.noHolder {
+func (a *localQuarantine) TakeTurn(_ context.Context, f quarantine.Fingerprint, _, server string) (bool, error) {
+	if a.noCoordinator {
 		return false, errors.New("no holder")
 	}
 	a.mu.Lock()
@@ -80,30 +84,30 @@
 }
 
 // ReleaseTurn implements Quarantine.
-func (a *alone) ReleaseTurn(f quarantine.Fingerprint, server string) {
+func (a *localQuarantine) ReleaseTurn(f quarantine.Fingerprint, server string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.turns.Release(server, f)
 }
 
-// blamed returns how many ends were told.
-func (a *alone) blamed() int {
+// crashCount returns the number of reported crashes.
+func (a *localQuarantine) crashCount() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return len(a.ends)
+	return len(a.crashes)
 }
 
-// fatalBody is that of requests that end the servers of these tests.
-const fatalBody = "ends servers"
+// crashingBody is the body of requests that crash the servers of these tests.
+const crashingBody = "ends servers"
 
-// newDoubtfulSite is servers of which each breaks off at requests with the body fatalBody, while what stands before
-// it goes on accepting connections.
-func newDoubtfulSite(t *testing.T, servers int) *site {
+// newProxiedSite returns a site whose servers break off requests with the body crashingBody while
+// connections are still accepted, as by a proxy.
+func newProxiedSite(t *testing.T, servers int) *site {
 	t.Helper()
 	list := make([]answerer, servers)
 	for i := range list {
 		list[i] = func(w http.ResponseWriter, r *http.Request, got seen) {
-			if got.body != fatalBody {
+			if got.body != crashingBody {
 				sealed(http.StatusOK, "ok")(w, r, got)
 				return
 			}
@@ -111,141 +115,143 @@
 			if err != nil {
 				panic(http.ErrAbortHandler)
 			}
-			cut(conn)
+			resetConnection(conn)
 		}
 	}
 	s := newSite(t, route.Route{Kind: route.Safe, MaxAttempts: 3}, list...)
-	s.relay.Quarantine = &alone{}
+	s.relay.Quarantine = &localQuarantine{}
 	return s
 }
 
-// TestARequestIsNotSentOnWhileItsServersAreInDoubt: of a request whose connections break again and again the third run
-// is apart, and no further one begins before it is known what became of that.
-func TestARequestIsNotSentOnWhileItsServersAreInDoubt(t *testing.T) {
-	s := newDoubtfulSite(t, 8)
+// TestRetriesStopWhileCrashIsUnknown checks that the third run of a request whose connections break
+// repeatedly is a trial, and that no other run begins before the result of that one is known.
+func TestRetriesStopWhileCrashIsUnknown(t *testing.T) {
+	s := newProxiedSite(t, 8)
 	for i := range 3 {
-		s.post(fmt.Sprint(i), fatalBody)
+		s.post(fmt.Sprint(i), crashingBody)
 	}
 	if n := len(s.arrivals()); n != 3 {
-		t.Errorf("it came to servers %d times, want 3", n)
+		t.Errorf("the request reached servers %d times, want 3", n)
 	}
 	if got := s.post("other", "harmless"); got.status != http.StatusOK {
 		t.Errorf("another request got %+v", got)
 	}
 }
 
-// newFatalSite is servers of which each ends when it begins to run a request with the body;
-// the others are answered.
-func newFatalSite(t *testing.T, servers int, answers answerer) (*site, *alone) {
+// newCrashingSite returns a site whose servers crash when they begin to run a request with the body
+// crashingBody. Other requests are handled by answers.
+func newCrashingSite(t *testing.T, servers int, answers answerer) (*site, *localQuarantine) {
 	t.Helper()
 	var s *site
 	list := make([]answerer, servers)
 	for i := range list {
 		list[i] = func(w http.ResponseWriter, r *http.Request, got seen) {
-			if got.body != fatalBody {
+			if got.body != crashingBody {
 				answers(w, r, got)
 				return
 			}
-			s.end(i)
+			s.crash(i)
 			conn, _, err := w.(http.Hijacker).Hijack()
 			if err != nil {
 				panic(http.ErrAbortHandler)
 			}
-			cut(conn)
+			resetConnection(conn)
 		}
 	}
 	s = newSite(t, route.Route{Kind: route.Safe, MaxAttempts: 3}, list...)
-	q := &alone{}
+	q := &localQuarantine{}
 	s.relay.Quarantine = q
 	return s, q
 }
 
-// TestARequestThatEndsServersIsStopped has it come twice: its first try ends three servers, the
-// second one reaches none, and is told the truth about it.
-func TestARequestThatEndsServersIsStopped(t *testing.T) {
-	s, _ := newFatalSite(t, 8, sealed(http.StatusOK, "ok"))
-	if got := s.post("first", fatalBody); got.status != http.StatusBadGateway {
-		t.Errorf("the first try got %+v, want 502: it ran", got)
+// TestCrashingRequestIsStopped sends a crashing request twice. The first one crashes three servers,
+// the second one reaches none and gets the reason.
+func TestCrashingRequestIsStopped(t *testing.T) {
+	s, _ := newCrashingSite(t, 8, sealed(http.StatusOK, "ok"))
+	if got := s.post("first", crashingBody); got.status != http.StatusBadGateway {
+		t.Errorf("the first request got %+v, want 502 as it ran", got)
 	}
 	if n := len(s.arrivals()); n != 3 {
-		t.Errorf("the first try came to %d servers, want 3", n)
+		t.Errorf("the first request reached %d servers, want 3", n)
 	}
-	got := s.post("second", fatalBody)
+	got := s.post("second", crashingBody)
 	if got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") != "" {
-		t.Errorf("the second try got %+v, want 503 without a time to come back", got)
+		t.Errorf("the second request got %+v, want 503 without Retry-After", got)
 	}
 	if !strings.Contains(got.body, "servers ended when they ran this request") {
-		t.Errorf("the second try was told %q", got.body)
+		t.Errorf("the second request got %q", got.body)
 	}
 	if n := len(s.arrivals()); n != 3 {
-		t.Errorf("%d arrivals after the second try", n)
+		t.Errorf("%d requests at servers after the second request, want 3", n)
 	}
 	if got := s.post("other", "harmless"); got.status != http.StatusOK {
 		t.Errorf("another request got %+v", got)
 	}
 }
 
-// TestWithoutAHolderSuspectsWait has nobody grant turns: a request with two ends is refused, told
-// a time to come back, and not sent.
-func TestWithoutAHolderSuspectsWait(t *testing.T) {
-	s, q := newFatalSite(t, 8, sealed(http.StatusOK, "ok"))
-	q.noHolder = true
-	s.post("first", fatalBody)
-	got := s.post("second", fatalBody)
+// TestSuspectedRequestsWaitWithoutCoordinator checks that a request with two crashes is refused
+// with a retry time, and not sent, while nobody grants trials.
+func TestSuspectedRequestsWaitWithoutCoordinator(t *testing.T) {
+	s, q := newCrashingSite(t, 8, sealed(http.StatusOK, "ok"))
+	q.noCoordinator = true
+	s.post("first", crashingBody)
+	got := s.post("second", crashingBody)
 	if got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
-		t.Errorf("the second try got %+v, want 503 with a time to come back", got)
+		t.Errorf("the second request got %+v, want 503 with Retry-After", got)
 	}
 	if n := len(s.arrivals()); n != 2 {
-		t.Errorf("it came to %d servers, want 2", n)
+		t.Errorf("the requests reached %d servers, want 2", n)
 	}
 }
 
-// TestBrokenConnectionsAreNoEvidence has servers that live break off again and again.
+// TestBrokenConnectionsAreNoEvidence checks that running servers that break connections are not
+// reported as crashed.
 func TestBrokenConnectionsAreNoEvidence(t *testing.T) {
 	reset := func(w http.ResponseWriter, _ *http.Request, _ seen) {
 		conn, _, err := w.(http.Hijacker).Hijack()
 		if err != nil {
 			panic(http.ErrAbortHandler)
 		}
-		cut(conn)
+		resetConnection(conn)
 	}
-	s, q := newFatalSite(t, 4, reset)
+	s, q := newCrashingSite(t, 4, reset)
 	for i := range 10 {
 		s.post(fmt.Sprint(i), "innocent")
 	}
-	if n := q.blamed(); n != 0 {
-		t.Errorf("%d ends were told of servers that live", n)
+	if n := q.crashCount(); n != 0 {
+		t.Errorf("%d crashes of running servers were reported", n)
 	}
 }
 
-// TestARunToTheEndClears has a request beside the one that ends servers: it is suspected, is
-// served alone, and is free again.
-func TestARunToTheEndClears(t *testing.T) {
-	s, q := newFatalSite(t, 3, sealed(http.StatusOK, "ok"))
+// TestCompletedRunClearsSuspicion checks that a suspected harmless request is served in a trial and
+// is no longer suspected afterwards.
+func TestCompletedRunClearsSuspicion(t *testing.T) {
+	s, q := newCrashingSite(t, 3, sealed(http.StatusOK, "ok"))
 	fingerprint := q.suspect(t, "innocent")
 	if got := s.post("id", "innocent"); got.status != http.StatusOK {
-		t.Errorf("it got %+v", got)
+		t.Errorf("the request got %+v", got)
 	}
 	if got := q.Standing(fingerprint); got != quarantine.Free {
-		t.Errorf("after it ran to its end it is %v", got)
+		t.Errorf("the standing after a completed run is %v", got)
 	}
 	if !q.turns.Take(time.Now(), "server-0", fingerprint) {
-		t.Error("its turn was not given back")
+		t.Error("the trial was not released")
 	}
 }
 
-// TestAServersFailureClearsNothing has a server answer with a failure of its own.
-func TestAServersFailureClearsNothing(t *testing.T) {
-	s, q := newFatalSite(t, 3, sealed(http.StatusGatewayTimeout, "late"))
+// TestServerErrorDoesNotClearSuspicion checks that a server's own failure leaves the request
+// suspected.
+func TestServerErrorDoesNotClearSuspicion(t *testing.T) {
+	s, q := newCrashingSite(t, 3, sealed(http.StatusGatewayTimeout, "late"))
 	fingerprint := q.suspect(t, "innocent")
 	s.post("id", "innocent")
 	if got := q.Standing(fingerprint); got != quarantine.Suspected {
-		t.Errorf("after a server's failure it is %v", got)
+		t.Errorf("the standing after a server's failure is %v", got)
 	}
 }
 
-// TestAStreamThatRanForLongIsNotBlamed has a server end in the midst of a stream, long after its
-// first event, and another one right after it.
+// TestAStreamThatRanForLongIsNotBlamed crashes a server during a stream, long after its first event
+// or right after it. Only the latter is blamed on the request.
 func TestAStreamThatRanForLongIsNotBlamed(t *testing.T) {
 	for name, test := range map[string]struct {
 		runs   time.Duration
@@ -256,119 +262,121 @@
 			var s *site
 			s = newSite(t, streamRoute(false), events(3, 8, func(conn net.Conn) {
 				time.Sleep(test.runs)
-				s.end(0)
-				cut(conn)
+				s.crash(0)
+				resetConnection(conn)
 			}))
-			q := &alone{}
+			q := &localQuarantine{}
 			s.relay.Quarantine = q
 			s.post("id", "x")
-			if n := q.blamed(); n != test.blamed {
-				t.Errorf("%d ends were told, want %d", n, test.blamed)
+			if n := q.crashCount(); n != test.blamed {
+				t.Errorf("%d crashes were reported, want %d", n, test.blamed)
 			}
 		})
 	}
 }
 
-// TestAServerThatEndsAfterItsCallerLeft counts: the caller of a request that ends servers
-// leaves before the server does.
-func TestAServerThatEndsAfterItsCallerLeft(t *testing.T) {
-	left := make(chan struct{})
+// TestServerCrashAfterCallerLeft checks that a crash is reported although the caller of the request
+// left before it.
+func TestServerCrashAfterCallerLeft(t *testing.T) {
+	crashed := make(chan struct{})
 	var s *site
 	s = newSite(t, route.Route{Kind: route.Safe, MaxAttempts: 1}, func(_ http.ResponseWriter, r *http.Request, _ seen) {
 		<-r.Context().Done()
-		s.end(0)
-		close(left)
+		s.crash(0)
+		close(crashed)
 	})
-	q := &alone{}
+	q := &localQuarantine{}
 	s.relay.Quarantine = q
 	ctx, leave := context.WithCancel(t.Context())
 	time.AfterFunc(50*time.Millisecond, leave)
 	s.do(s.request(ctx, http.MethodPost, "/p/x", "id", "x"))
-	<-left
-	s.relay.Servers.Snapshot().Member("server-0").Ended(t.Context()) // as another request finds out
+	<-crashed
+	s.relay.Servers.Snapshot().Member("server-0").Ended(t.Context()) // as done for another request
 	for range 100 {
-		if q.blamed() == 1 {
+		if q.crashCount() == 1 {
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	t.Error("the server's end is not told")
+	t.Error("the crash of the server was not reported")
 }
 
-// TestASuspectedRequestThatBreaksWaits: the server of its turn breaks off and still listens, as a
-// proxy before a server that ended does. It goes to no other server, nor does the next try.
+// TestASuspectedRequestThatBreaksWaits breaks the connection of a trial while the address still
+// accepts connections, as a proxy does for a crashed server. Neither the request nor its next
+// attempt may go to another server.
 func TestASuspectedRequestThatBreaksWaits(t *testing.T) {
-	s, q := newFatalSite(t, 4, func(w http.ResponseWriter, _ *http.Request, _ seen) {
+	s, q := newCrashingSite(t, 4, func(w http.ResponseWriter, _ *http.Request, _ seen) {
 		conn, _, err := w.(http.Hijacker).Hijack()
 		if err != nil {
 			panic(http.ErrAbortHandler)
 		}
-		cut(conn)
+		resetConnection(conn)
 	})
 	q.suspect(t, "breaks")
 	if got := s.post("first", "breaks"); got.status != http.StatusBadGateway {
-		t.Errorf("the first try got %+v", got)
+		t.Errorf("the first request got %+v", got)
 	}
 	if got := s.post("second", "breaks"); got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
-		t.Errorf("the second try got %+v, want 503 with a time to come back", got)
+		t.Errorf("the second request got %+v, want 503 with Retry-After", got)
 	}
 	if n := len(s.arrivals()); n != 1 {
-		t.Errorf("it came to %d servers, want 1", n)
+		t.Errorf("the requests reached %d servers, want 1", n)
 	}
 }
 
-// brief is a quarantine that a request is in for one look: another node's word that it ran to
-// its end comes right after.
-type brief struct {
-	*alone
+// brieflyQuarantined is a quarantine in which a request is quarantined for one check only, as if
+// another node then reported a completed run.
+type brieflyQuarantined struct {
+	*localQuarantine
 	looks atomic.Int32
 }
 
 // Standing implements Quarantine.
-func (b *brief) Standing(quarantine.Fingerprint) quarantine.Standing {
-	if b.looks.Add(1) == 2 { // the first is before anything is done for the request
+func (b *brieflyQuarantined) Standing(quarantine.Fingerprint) quarantine.Standing {
+	if b.looks.Add(1) == 2 { // the first check is made when the request is accepted
 		return quarantine.Quarantined
 	}
 	return quarantine.Free
 }
 
-// TestWhoIsInQuarantineBeforeASendIsAnswered has a request be in quarantine when it is about to
-// be sent, and be free of it a moment later.
-func TestWhoIsInQuarantineBeforeASendIsAnswered(t *testing.T) {
-	s, q := newFatalSite(t, 2, sealed(http.StatusOK, "ok"))
-	s.relay.Quarantine = &brief{alone: q}
+// TestQuarantineJustBeforeSendIsAnswered quarantines a request when it is about to be sent and
+// lifts the quarantine a moment later. The refusal must still give the reason.
+func TestQuarantineJustBeforeSendIsAnswered(t *testing.T) {
+	s, q := newCrashingSite(t, 2, sealed(http.StatusOK, "ok"))
+	s.relay.Quarantine = &brieflyQuarantined{localQuarantine: q}
 	got := s.post("id", "innocent")
 	if got.status != http.StatusServiceUnavailable || !strings.Contains(got.body, "servers ended when they ran this request") {
-		t.Errorf("it got %+v, want 503 and why", got)
+		t.Errorf("the request got %+v, want 503 with the reason", got)
 	}
 	if n := len(s.arrivals()); n != 0 {
-		t.Errorf("it came to %d servers", n)
+		t.Errorf("the request reached %d servers", n)
 	}
 }
 
-// informing is a quarantine whose holder knows of one end more and tells it with a turn.
-type informing struct{ *alone }
+// evidenceSharing is a quarantine whose coordinator reports another crash together with a trial.
+type evidenceSharing struct{ *localQuarantine }
 
 // TakeTurn implements Quarantine.
-func (i informing) TakeTurn(ctx context.Context, f quarantine.Fingerprint, service, server string) (bool, error) {
+func (i evidenceSharing) TakeTurn(ctx context.Context, f quarantine.Fingerprint, service, server string) (bool, error) {
 	i.Ended(quarantine.Run{Request: f, Service: service, Server: "gone-2", Round: 2})
-	return i.alone.TakeTurn(ctx, f, service, server)
+	return i.localQuarantine.TakeTurn(ctx, f, service, server)
 }
 
-// TestARunIsOfTheRoundAfterWhatATurnTells: the run that a turn allows begins after what came with
-// the turn was known, so that its end is the third round's, which brings quarantine.
-func TestARunIsOfTheRoundAfterWhatATurnTells(t *testing.T) {
-	s, q := newFatalSite(t, 4, sealed(http.StatusOK, "ok"))
-	s.relay.Quarantine = informing{q}
-	fingerprint := quarantine.FingerprintOf(http.MethodPost, "site.example", "/p/x", []byte(fatalBody))
-	for _, server := range []string{"gone-1a", "gone-1b", "gone-1c"} { // copies: suspected, and of one round
+// TestRoundIncludesEvidenceFromTrial checks that a run in a trial belongs to the round after the
+// evidence received with the trial, so that its crash is of the third round and leads to
+// quarantine.
+func TestRoundIncludesEvidenceFromTrial(t *testing.T) {
+	s, q := newCrashingSite(t, 4, sealed(http.StatusOK, "ok"))
+	s.relay.Quarantine = evidenceSharing{q}
+	fingerprint := quarantine.FingerprintOf(http.MethodPost, "site.example", "/p/x", []byte(crashingBody))
+	for _, server := range []string{"gone-1a", "gone-1b", "gone-1c"} { // copies of the request in one round, which make it suspected
 		q.Ended(quarantine.Run{Request: fingerprint, Service: "s", Server: server, Round: 1})
 	}
-	s.post("id", fatalBody)
+	s.post("id", crashingBody)
 	if n := len(s.arrivals()); n != 1 {
-		t.Errorf("it came to %d servers after the word of two rounds, want 1", n)
+		t.Errorf("the request reached %d servers after two reported rounds, want 1", n)
 	}
 	if got := q.Standing(fingerprint); got != quarantine.Quarantined {
-		t.Errorf("it is %v after three rounds", got)
+		t.Errorf("the standing after three rounds is %v", got)
 	}
 }
--- a/pkg/relay/quota.go
+++ b/pkg/relay/quota.go
@@ -14,31 +14,30 @@
 	"martenwheel.dev/pkg/tenant"
 )
 
-// Quotas keeps what is run in the name of tenants, over all nodes, within their quotas.
+// Quotas keeps the requests of tenants, over all nodes, within their quotas.
 type Quotas interface {
 	// Admit decides on a request of a tenant.
 	Admit(ctx context.Context, t *tenant.Tenant, r quota.Request) Admission
-	// GiveBack takes back a request that was admitted and that no server ran.
+	// GiveBack refunds an admitted request that no server ran.
 	GiveBack(t *tenant.Tenant, r quota.Request)
 }
 
-// Admission is what was decided on a request.
+// Admission is the decision on a request.
 type Admission struct {
 	Granted  bool
-	Promised bool          // room is set aside for when it comes back
-	After    time.Duration // when a request that is not granted may come back
-	Room     quota.Room    // of its route; zero: the quota is not divided, or nobody was asked
-	Err      error         // why the holder could not be asked
+	Reserved bool          // capacity is reserved for the retry at After
+	After    time.Duration // when a request that was not granted may come back
+	Room     quota.Room    // capacity of its route; zero: the quota is not divided, or nobody was asked
+	Err      error         // why the coordinator could not be asked
 }
 
-// admit has the quota of the request's tenant decide. If it returns false, the request is
-// answered.
+// admit checks the quota of the request's tenant. If it returns false, the request was answered.
 func (c *call) admit(ctx context.Context) bool {
 	if c.tenant == nil || c.relay.Quotas == nil || !c.tenant.Quota.Limited() {
 		return true
 	}
-	c.asks = c.quotaRequest()
-	c.record.admission = c.relay.Quotas.Admit(ctx, c.tenant, c.asks)
+	c.quotaReq = c.quotaRequest()
+	c.record.admission = c.relay.Quotas.Admit(ctx, c.tenant, c.quotaReq)
 	a := c.record.admission
 	c.relay.Metrics.observeQuota(c.tenant.Name, c.route.Name, a.Granted)
 	if a.Granted {
@@ -49,78 +48,78 @@
 	return false
 }
 
-// quotaRequest is what the request asks of its tenant's quota.
+// quotaRequest returns what the request asks of its tenant's quota.
 func (c *call) quotaRequest() quota.Request {
-	waits := c.record.given
+	waits := c.record.callerTimeout
 	if waits <= 0 {
-		waits = c.left()
+		waits = c.timeLeft()
 	}
 	r := quota.Request{
 		Route: c.route.Name, Priority: c.route.Priority, Mark: quota.Mark(c.fingerprint),
 		Amount:  c.tenant.Quota.Cost(tokens(c.http.Header.Get(c.relay.Headers.Tokens))),
-		Returns: waits / returnPart,
+		Returns: waits / returnDivisor,
 	}
 	r.Within = max(r.Returns-refusalTime, 0)
 	if c.route.Target > 0 {
-		r.Within = min(r.Within, c.route.Target/inTimePart)
+		r.Within = min(r.Within, c.route.Target/inTimeDivisor)
 	}
 	return r
 }
 
-// returnPart: callers come back at the time that they are told if it lies within a third of the
-// time that they have left.
-const returnPart = 3
+// returnDivisor is the divisor of a caller's remaining time that gives the longest retry time it
+// follows: a third.
+const returnDivisor = 3
 
-// refusalTime is how long a refusal takes to reach its caller, who has less time left by then.
+// refusalTime is how long a refusal takes to reach its caller, whose remaining time shrinks
+// meanwhile.
 const refusalTime = 20 * time.Millisecond
 
-// inTimePart: a request that comes back within half of its route's target is still served in time
-// as a rule.
-const inTimePart = 2
+// inTimeDivisor is the divisor of a route's target that gives the time within which a returning
+// request is usually still served in time: half of the target.
+const inTimeDivisor = 2
 
-// settle gives the quota back what no server ran.
-func (c *call) settle() {
+// refundQuota refunds a request that no server ran.
+func (c *call) refundQuota() {
 	if c.charged && !c.record.mayHaveRun() {
-		c.relay.Quotas.GiveBack(c.tenant, c.asks)
+		c.relay.Quotas.GiveBack(c.tenant, c.quotaReq)
 	}
 }
 
-// tokens returns the sum of the numbers that a request tells, separated by commas: of its
-// prompt, and the most that it generates. It is below zero if they are not told or are no
-// such numbers.
+// tokens returns the sum of the comma-separated token counts of a request: those of its prompt and
+// the maximum to generate. It is negative if the counts are missing or invalid.
 func tokens(text string) float64 {
-	const notTold = -1
+	const unknown = -1
 	sum := 0.0
 	for part := range strings.SplitSeq(text, ",") {
 		n, err := strconv.ParseUint(strings.TrimSpace(part), 10, 32)
 		if err != nil {
-			return notTold
+			return unknown
 		}
 		sum += float64(n)
 	}
 	return sum
 }
 
-// quotaCounters count decisions on quotas by tenant and route.
+// quotaCounters counts quota decisions by tenant and route.
 type quotaCounters struct {
 	requests *prometheus.CounterVec
 
 	mu     *sync.Mutex         // shared by copies
-	labels map[quotaLabel]bool // routes that are counted apart
+	labels map[quotaLabel]bool // routes with counters of their own
 }
 
 // quotaLabel names a route of a tenant.
 type quotaLabel struct{ tenant, route string }
 
-// maxQuotaLabels bounds the routes of tenants that are counted apart. Those that were refused
-// first keep their place, so that no counter ever falls. Only some tenants are over their quotas
-// at a time, with some routes each.
+// maxQuotaLabels limits the routes with counters of their own. The first ones that were refused
+// keep their counters, so that no counter ever decreases. Only some tenants exceed their quotas at
+// a time, each on a few routes.
 const maxQuotaLabels = 200
 
 // Labels of the counters.
 const (
-	otherLabel   = "other" // tenant and route of all that are not counted apart
-	outcomeLetIn = "let in"
+	otherLabel      = "other" // tenant and route of all without counters of their own
+	outcomeAdmitted = "let in"
 )
 
 func newQuotaCounters() quotaCounters {
@@ -133,13 +132,13 @@
 	}
 }
 
-// observeQuota counts a decision on a quota. A route of a tenant is counted apart from its
-// first refusal on, up to maxQuotaLabels of them.
+// observeQuota counts a quota decision. A route of a tenant gets its own counter with its first
+// refusal, up to maxQuotaLabels of them.
 func (m *Metrics) observeQuota(tenant, route string, granted bool) {
 	if m == nil {
 		return
 	}
-	outcome := outcomeLetIn
+	outcome := outcomeAdmitted
 	if !granted {
 		outcome = outcomeRefused
 	}
@@ -147,8 +146,8 @@
 	m.quotas.requests.WithLabelValues(label.tenant, label.route, outcome).Inc()
 }
 
-// label returns under which label a route of a tenant is counted; refused tells whether the request
-// was.
+// label returns the label under which a route of a tenant is counted. refused tells whether the
+// request was refused.
 func (q *quotaCounters) label(l quotaLabel, refused bool) quotaLabel {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/pkg/relay/record.go
+++ b/pkg/relay/record.go
@@ -20,76 +20,76 @@
 	outcomeBroken  = "broken off"
 )
 
-// sent notes that events went out.
-func (r *record) sent(now time.Time, bytes, events int) {
-	if r.eventAt.IsZero() {
-		r.eventsFrom = now
+// eventsSent records that events were sent.
+func (r *record) eventsSent(now time.Time, bytes, events int) {
+	if r.lastEventAt.IsZero() {
+		r.firstEventAt = now
 	} else {
-		r.pause = max(r.pause, now.Sub(r.eventAt))
+		r.longestGap = max(r.longestGap, now.Sub(r.lastEventAt))
 	}
-	r.eventAt = now
+	r.lastEventAt = now
 	r.bytes += bytes
 	r.events += events
 }
 
-// leastPaced is the least number of events by which a stream tells a pace.
-const leastPaced = 8
+// minTimedEvents is the minimum number of events of a stream for measuring its speed.
+const minTimedEvents = 8
 
-// pace returns how long the server took for each event, its longest pause aside, of
-// a stream that came from one server in whole; zero if that can't be told.
-func (r *record) pace() time.Duration {
-	if r.events < leastPaced || len(r.tries) != 1 {
+// timePerEvent returns the time per event, without the longest pause, of a stream that came from
+// one server. It returns zero if that is unknown.
+func (r *record) timePerEvent() time.Duration {
+	if r.events < minTimedEvents || len(r.tries) != 1 {
 		return 0
 	}
-	return (r.eventAt.Sub(r.eventsFrom) - r.pause) / time.Duration(r.events-2)
+	return (r.lastEventAt.Sub(r.firstEventAt) - r.longestGap) / time.Duration(r.events-2)
 }
 
 // try is one attempt, for the log.
 type try struct {
 	server      string
 	started     time.Time
-	answered    time.Time // when its first event came, or its head if it has none; zero: neither did
+	answered    time.Time // first event, or the head of an answer without events; zero: none
 	ended       time.Time
-	verdict     verdict
+	verdict     attemptResult
 	err         error
-	serverEnded bool // the server was found to have ended
+	serverEnded bool // the server was found to have crashed
 }
 
-// ran returns for how long the server sent its answer; zero if none began.
-func (t *try) ran() time.Duration {
+// answerDuration returns how long the server sent its answer; zero if none began.
+func (t *try) answerDuration() time.Duration {
 	if t.answered.IsZero() {
 		return 0
 	}
 	return t.ended.Sub(t.answered)
 }
 
-// record is what the log line of a request tells.
+// record collects the content of a request's log line.
 type record struct {
-	id         string
-	tenant     string        // name; empty: none
-	keysAge    time.Duration // of the table of keys, at most
-	admission  Admission     // by its tenant's quota
-	outcome    string
-	err        error
-	status     int
-	tries      []try
-	firstByte  time.Duration
-	readyIn    time.Duration // by the last outlook
-	outlookAge time.Duration
-	given      time.Duration // that the caller waits; zero: not told
-	waited     time.Duration // for servers, over all tries
-	waitFor    string        // what it lacked when it last waited; empty: it never did
-	wakeError  error
-	turnError  error // why the holder could not be asked for a turn
-	place      placeRecord
-	slot       slotRecord
-	bytes      int
-	events     int
-	eventsFrom time.Time     // when the first events went out
-	eventAt    time.Time     // when the last events went out
-	pause      time.Duration // longest between two sends of events
-	moves      []moveLine
-	preference string // whether the last server chosen is the one preferred; empty: none was chosen
+	id            string
+	tenant        string        // name; empty: none
+	keysAge       time.Duration // maximum age of the key table
+	admission     Admission     // decision on the tenant's quota
+	outcome       string
+	err           error
+	status        int
+	tries         []try
+	firstByte     time.Duration
+	readyIn       time.Duration // by the last LoadStatus
+	statusAge     time.Duration
+	callerTimeout time.Duration // how long the caller waits; zero: unknown
+	waited        time.Duration // for servers, over all attempts
+	waitFor       string        // reason of the last wait; empty: never waited
+	wakeError     error
+	trialError    error // why the coordinator could not be asked for a trial
+	place         placeRecord
+	slot          slotRecord
+	bytes         int
+	events        int
+	firstEventAt  time.Time     // when the first events were sent
+	lastEventAt   time.Time     // when the last events were sent
+	longestGap    time.Duration // between two sends of events
+	moves         []moveLine
+	preference    string // whether the last server chosen is the preferred one; empty: none was chosen
 }
 
 func (r *record) try(server string, started time.Time) {
@@ -99,49 +99,48 @@
 // last returns the last attempt.
 func (r *record) last() *try { return &r.tries[len(r.tries)-1] }
 
-// answers notes that some of the answer to the last attempt came.
-func (r *record) answers(now time.Time) {
+// answerStarted records that part of the last attempt's answer arrived.
+func (r *record) answerStarted(now time.Time) {
 	if t := r.last(); t.answered.IsZero() {
 		t.answered = now
 	}
 }
 
-// fail notes how the last attempt ended.
-func (r *record) fail(now time.Time, v verdict, err error) {
+// attemptEnded records the result of the last attempt.
+func (r *record) attemptEnded(now time.Time, v attemptResult, err error) {
 	t := r.last()
 	t.ended, t.verdict, t.err = now, v, err
 }
 
-// mayHaveRun tells whether a server may have run the request.
+// mayHaveRun reports whether a server may have run the request.
 func (r *record) mayHaveRun() bool {
 	return slices.ContainsFunc(r.tries, func(t try) bool { return t.verdict != notRun })
 }
 
-// serverEnded notes that the server of the last attempt had ended.
+// serverEnded records that the server of the last attempt crashed.
 func (r *record) serverEnded() { r.last().serverEnded = true }
 
-// lastEnded tells whether the server of the last attempt had ended.
+// lastEnded reports whether the server of the last attempt crashed.
 func (r *record) lastEnded() bool { return r.last().serverEnded }
 
-// end notes the outcome; the first word counts.
-func (r *record) end(outcome string, err error) {
+// setOutcome records the outcome. The first one counts.
+func (r *record) setOutcome(outcome string, err error) {
 	if r.outcome == "" {
 		r.outcome, r.err = outcome, err
 	}
 }
 
-// finish logs and counts the end of a request. A panic that cuts the answer off
-// goes on.
+// finish logs and counts the end of a request. It does not recover a panic that aborts the answer.
 func (c *call) finish() {
-	c.record.end(outcomeBroken, nil)
-	c.settle()
-	c.endPlace() // of a request that waited for one in vain
+	c.record.setOutcome(outcomeBroken, nil)
+	c.refundQuota()
+	c.releasePlace() // for a request that waited for a place in vain
 	took := c.relay.Time.Since(c.arrived)
 	c.relay.Metrics.observe(c, took)
 	c.relay.Logger.Info("request", c.describe(took)...)
 }
 
-// describe returns what the log line of the request tells.
+// describe returns the fields of the request's log line.
 func (c *call) describe(took time.Duration) []any {
 	fields := []any{"request_id", c.record.id, "outcome", c.record.outcome, "status", c.record.status,
 		"ms", took.Milliseconds(), "first_ms", c.record.firstByte.Milliseconds()}
@@ -149,7 +148,7 @@
 		snapshot := c.relay.Servers.Snapshot()
 		fields = append(fields, "route", c.route.Name, "service", c.service, "config", c.table.Version(),
 			"servers", snapshot.Version(), "servers_age_ms", c.relay.Time.Since(snapshot.At()).Milliseconds(),
-			"left_ms", c.left().Milliseconds(), "target_ms", c.route.Target.Milliseconds())
+			"left_ms", c.timeLeft().Milliseconds(), "target_ms", c.route.Target.Milliseconds())
 	}
 	if c.fingerprint != (quarantine.Fingerprint{}) {
 		fields = append(fields, "caller", c.caller(), "fingerprint", c.fingerprint.String())
@@ -160,16 +159,16 @@
 	if c.table != nil && c.table.Tenants() != nil {
 		fields = append(fields, "keys_age_ms", c.record.keysAge.Milliseconds())
 	}
-	if c.record.given > 0 {
-		fields = append(fields, "caller_ms", c.record.given.Milliseconds())
+	if c.record.callerTimeout > 0 {
+		fields = append(fields, "caller_ms", c.record.callerTimeout.Milliseconds())
 	}
 	fields = append(fields, c.describeService()...)
 	if c.record.err != nil {
 		fields = append(fields, "reason", c.record.err.Error())
 	}
 	fields = append(fields, c.describeQuota()...)
-	if c.record.turnError != nil {
-		fields = append(fields, "turn_error", c.record.turnError.Error())
+	if c.record.trialError != nil {
+		fields = append(fields, "turn_error", c.record.trialError.Error())
 	}
 	fields = append(fields, c.describePlace()...)
 	fields = append(fields, c.describeSlot()...)
@@ -179,8 +178,8 @@
 	return fields
 }
 
-// describeService tells how the request was served: what it waited for, what was sent of it, where
-// it went.
+// describeService returns the fields about what the request waited for, what was sent, and its
+// servers.
 func (c *call) describeService() []any {
 	var fields []any
 	if c.record.waitFor != "" {
@@ -188,14 +187,14 @@
 	}
 	if c.need.Model != "" {
 		fields = append(fields, "model", c.need.String(), "ready_in_ms", c.record.readyIn.Milliseconds(),
-			"outlook_age_ms", c.record.outlookAge.Milliseconds(), "leaves_ms", c.patience().Milliseconds())
+			"outlook_age_ms", c.record.statusAge.Milliseconds(), "leaves_ms", c.patience().Milliseconds())
 	}
 	if c.record.events > 0 {
 		fields = append(fields, "events", c.record.events, "last_event", c.lastEvent,
-			"pause_ms", c.record.pause.Milliseconds(), "pause_target_ms", c.route.GapTarget.Milliseconds())
+			"pause_ms", c.record.longestGap.Milliseconds(), "pause_target_ms", c.route.GapTarget.Milliseconds())
 	}
 	if c.record.preference != "" && c.route.Sticky {
-		fields = append(fields, "lane", c.shaped.Lane().String(), "preferred", c.record.preference,
+		fields = append(fields, "lane", c.affinityReq.Lane().String(), "preferred", c.record.preference,
 			"shared_tokens", c.prompt.SharedTokens())
 	}
 	if len(c.record.tries) > 0 {
@@ -207,21 +206,21 @@
 	return fields
 }
 
-// describeQuota tells what the request counts in its tenant's quota, and if it was refused, of
-// what room: in the quota's unit a second, of its route.
+// describeQuota returns the fields about the request's cost in its tenant's quota and, if it was
+// refused, about the capacity of its route in units of the quota per second.
 func (c *call) describeQuota() []any {
 	var fields []any
 	a := c.record.admission
-	if c.charged || c.asks.Amount > 0 {
-		fields = append(fields, "cost", c.asks.Amount)
+	if c.charged || c.quotaReq.Amount > 0 {
+		fields = append(fields, "cost", c.quotaReq.Amount)
 	}
 	if a.Err != nil {
 		fields = append(fields, "quota_error", a.Err.Error())
 	}
-	if c.asks.Amount <= 0 || a.Granted {
+	if c.quotaReq.Amount <= 0 || a.Granted {
 		return fields
 	}
-	fields = append(fields, "after_ms", a.After.Milliseconds(), "promised", a.Promised)
+	fields = append(fields, "after_ms", a.After.Milliseconds(), "promised", a.Reserved)
 	if a.Room != (quota.Room{}) {
 		fields = append(fields, "route_share", math.Round(a.Room.Share), "route_asked", math.Round(a.Room.Asked),
 			"route_given", math.Round(a.Room.Given))
@@ -229,12 +228,12 @@
 	return fields
 }
 
-// tryLine is an attempt as it stands in the log.
+// tryLine is an attempt in the log.
 type tryLine struct {
 	Server  string `json:"server"`
 	AtMS    int64  `json:"at_ms"`
 	TookMS  int64  `json:"took_ms"`
-	RanMS   int64  `json:"ran_ms"` // of it since the answer began
+	RanMS   int64  `json:"ran_ms"` // part of TookMS after the answer began
 	Verdict string `json:"verdict"`
 	Error   string `json:"error,omitempty"`
 	Ended   bool   `json:"server_ended,omitempty"`
@@ -244,7 +243,7 @@
 	lines := make([]tryLine, len(c.record.tries))
 	for i, t := range c.record.tries {
 		lines[i] = tryLine{Server: t.server, AtMS: t.started.Sub(c.arrived).Milliseconds(),
-			TookMS: t.ended.Sub(t.started).Milliseconds(), RanMS: t.ran().Milliseconds(),
+			TookMS: t.ended.Sub(t.started).Milliseconds(), RanMS: t.answerDuration().Milliseconds(),
 			Verdict: t.verdict.String(), Ended: t.serverEnded}
 		if t.err != nil {
 			lines[i].Error = t.err.Error()
@@ -253,31 +252,31 @@
 	return lines
 }
 
-// String names the verdict in logs.
-func (v verdict) String() string {
+// String returns the name of the result in logs.
+func (v attemptResult) String() string {
 	switch v {
 	case served:
 		return "served"
 	case notRun:
 		return "not run"
-	case mayRun:
+	case mayHaveRun:
 		return "may have run"
-	case answered:
+	case failedAnswer:
 		return "failed"
 	default:
 		return "gone"
 	}
 }
 
-// Metrics counts the ends of requests. Create it with NewMetrics.
+// Metrics counts finished requests. Create it with NewMetrics.
 type Metrics struct {
-	requests *prometheus.CounterVec
-	latency  *prometheus.HistogramVec
-	tries    prometheus.Counter
-	moves    *prometheus.CounterVec
-	choices  *prometheus.CounterVec
-	foreseen prometheus.Histogram
-	quotas   quotaCounters
+	requests        *prometheus.CounterVec
+	latency         *prometheus.HistogramVec
+	tries           prometheus.Counter
+	moves           *prometheus.CounterVec
+	choices         *prometheus.CounterVec
+	predictionRatio prometheus.Histogram
+	quotas          quotaCounters
 }
 
 // NewMetrics registers the relay's metrics.
@@ -301,9 +300,9 @@
 			Help: "Requests of routes that share parts of prompts: sent to the replica that they prefer (taken), to another (passed on), or without a preference (none).",
 		}, []string{"choice"}),
 	}
-	m.foreseen = newForeseen()
+	m.predictionRatio = newPredictionRatio()
 	m.quotas = newQuotaCounters()
-	registry.MustRegister(m.requests, m.latency, m.tries, m.choices, m.foreseen, m.moves, m.quotas.requests)
+	registry.MustRegister(m.requests, m.latency, m.tries, m.choices, m.predictionRatio, m.moves, m.quotas.requests)
 	return m
 }
 
