--- a/pkg/relay/refuse.go
+++ b/pkg/relay/refuse.go
@@ -9,15 +9,15 @@
 	"github.com/pkg/errors"
 )
 
-// refusal is an answer of the relay itself. A status of 429 or 503 promises
-// that no server ran the request.
+// refusal is an answer of the relay itself. A status of 429 or 503 guarantees that no server ran
+// the request.
 type refusal struct {
 	status int
 	reason string
-	after  time.Duration // when to come back; zero: not told
+	after  time.Duration // Retry-After; zero: not sent
 }
 
-// The refusals that need nothing more.
+// Refusals with fixed content.
 var (
 	notReady    = refusal{http.StatusServiceUnavailable, "not ready", time.Second}
 	noRoute     = refusal{http.StatusNotFound, "no route", 0}
@@ -28,21 +28,21 @@
 
 // Reasons of refusals.
 const (
-	reasonDeadline = "deadline"
-	reasonNoServer = "no server"
-	reasonFailed   = "server failed"
-	reasonBudget   = "budget of repeats spent"
-	reasonLoading  = "model is loading"
-	reasonStopping = "the node is stopping"
-	reasonOldKeys  = "keys not confirmed in time"
-	reasonQuota    = "quota spent"
-	reasonCrowded  = "servers are crowded"
-	reasonRest     = "servers asked for rest"
-	reasonLimited  = "servers limit their requests"
+	reasonDeadline   = "deadline"
+	reasonNoServer   = "no server"
+	reasonFailed     = "server failed"
+	reasonBudget     = "budget of repeats spent"
+	reasonLoading    = "model is loading"
+	reasonStopping   = "the node is stopping"
+	reasonOldKeys    = "keys not confirmed in time"
+	reasonQuota      = "quota spent"
+	reasonOverloaded = "servers are crowded"
+	reasonBackoff    = "servers asked for rest"
+	reasonLimited    = "servers limit their requests"
 )
 
-// notServed is the final answer to a request that no server served. It tells
-// whether one may have run it.
+// notServed returns the final answer to a request that no server served. Its status tells whether a
+// server may have run it.
 func (c *call) notServed(reason string, after time.Duration) refusal {
 	status := http.StatusServiceUnavailable
 	switch {
@@ -54,9 +54,9 @@
 	return refusal{status: status, reason: reason, after: after}
 }
 
-// refuse answers with a refusal, unless part of another answer went out.
+// refuse answers with a refusal. If part of an answer was sent, it aborts the connection.
 func (c *call) refuse(f refusal) {
-	c.record.end(outcomeRefused, errors.New(f.reason))
+	c.record.setOutcome(outcomeRefused, errors.New(f.reason))
 	c.record.status = f.status
 	if c.headSent {
 		panic(http.ErrAbortHandler)
@@ -72,14 +72,14 @@
 	body := `{"error":` + strconv.Quote(f.reason) + "}\n"
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	c.w.WriteHeader(f.status)
-	_, _ = c.w.Write([]byte(body)) // a caller that is gone needs no answer
+	_, _ = c.w.Write([]byte(body)) // the caller may be gone
 }
 
-// giveUp ends a request whose context ended: the time is over, the caller left or the node
+// giveUp ends a request whose context ended: its deadline passed, the caller left or the node
 // stops.
 func (c *call) giveUp(ctx context.Context) {
 	if c.callerGone(ctx) {
-		c.record.end(outcomeLeft, context.Cause(ctx))
+		c.record.setOutcome(outcomeLeft, context.Cause(ctx))
 		panic(http.ErrAbortHandler)
 	}
 	if errors.Is(context.Cause(ctx), errStopping) {
@@ -89,5 +89,5 @@
 	c.refuse(c.notServed(reasonDeadline, defaultRetryAfter))
 }
 
-// defaultRetryAfter is told when nothing better is known.
+// defaultRetryAfter is used when no better estimate is known.
 const defaultRetryAfter = 300 * time.Millisecond
--- a/pkg/relay/region_test.go
+++ b/pkg/relay/region_test.go
@@ -9,9 +9,10 @@
 	"martenwheel.dev/pkg/traffic/routing"
 )
 
-// regionPicking has two servers in the node's region and two in another one, the latter idle.
-func regionPicking(load int) *picking {
-	p := &picking{asked: routing.Request{Zone: "a", Region: "near"}}
+// regionBuffers returns two servers in the node's region with the given load and two idle ones in
+// another region.
+func regionBuffers(load int) *choiceBuffers {
+	p := &choiceBuffers{request: routing.Request{Zone: "a", Region: "near"}}
 	for i, region := range []string{"near", "near", "far", "far"} {
 		c := routing.Candidate{Server: api.ServerID(rune('a' + i)), Zone: region, Region: region, State: api.ReplicaReady, Share: 1}
 		c.Usage = routing.Usage{MaxRequests: 12}
@@ -24,40 +25,40 @@
 	return p
 }
 
-// TestServersOfTheOwnRegionGoFirst: while they have room; a region whose servers are full sends
-// requests to the other one.
+// TestServersOfTheOwnRegionGoFirst checks that servers of the own region are preferred until they
+// are full.
 func TestServersOfTheOwnRegionGoFirst(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	chooser := newChooser()
 	far := func(load int) int {
-		p, n := regionPicking(load), 0
+		p, n := regionBuffers(load), 0
 		for range 100 {
-			if i, found := chooser.Choose(random, &p.asked, p.candidates); found && p.candidates[i].Region == "far" {
+			if i, found := chooser.Choose(random, &p.request, p.candidates); found && p.candidates[i].Region == "far" {
 				n++
 			}
 		}
 		return n
 	}
 	if n := far(3); n > 0 {
-		t.Errorf("%d of 100 requests go to the other region while the own one has room", n)
+		t.Errorf("%d of 100 requests went to the other region while the own one had free capacity", n)
 	}
 	if n := far(12); n < 90 {
-		t.Errorf("%d of 100 requests go to the other region when the own one is full", n)
+		t.Errorf("%d of 100 requests went to the other region when the own one was full", n)
 	}
 }
 
-// TestSharedPartsAreKeptInEachRegion: a request prefers no replica of another region unless its own
-// has none that it may go to.
+// TestSharedPartsAreKeptInEachRegion checks that a request prefers no replica of another region
+// unless its own region has no usable one.
 func TestSharedPartsAreKeptInEachRegion(t *testing.T) {
-	p := regionPicking(0)
-	p.barFar()
+	p := regionBuffers(0)
+	p.barRemoteRegions()
 	if p.replicas[0].Barred || p.replicas[1].Barred || !p.replicas[2].Barred || !p.replicas[3].Barred {
-		t.Errorf("barred: %+v", p.replicas)
+		t.Errorf("the replicas are %+v, want exactly those of the other region barred", p.replicas)
 	}
-	p = regionPicking(0)
+	p = regionBuffers(0)
 	p.replicas[0].Barred, p.replicas[1].Barred = true, true
-	p.barFar()
+	p.barRemoteRegions()
 	if p.replicas[2].Barred || p.replicas[3].Barred {
-		t.Error("no replica is left")
+		t.Error("the replicas of the other region are barred although no other is usable")
 	}
 }
--- a/pkg/relay/relay.go
+++ b/pkg/relay/relay.go
@@ -1,18 +1,29 @@
-// Package relay carries any HTTP request from a caller to one of the servers
-// that its route leads to, and the answer back. It knows nothing of what is
-// asked: models are needs of a request that servers hold or not.
+// Package relay forwards HTTP requests from callers to servers along configured routes and returns
+// the answers. It does not interpret what is asked: a model is a requirement of a request that a
+// server meets or not.
 //
-// A request's way, by file: relay.go takes it in; call.go finds its route and
-// bounds; access.go finds the tenant in whose name it is made and quota.go charges it;
-// choose.go waits for a server, by the plug-ins of package routing, and affinity.go tells which
-// of them the request prefers; cold.go spares servers that have just started; prospect.go decides
-// whether one that finds none is held or refused; place.go has it take its turn where servers are crowded, slots.go
-// where they limit what they take; attempt.go sends it and
-// decides what a failure allows; quarantine.go keeps it from servers if it ends them; whole.go
-// and stream.go pass the answer on; refuse.go gives the relay's own answers; budget.go and
-// slack.go bound repeats; ending.go ends what a stop would cut off; rides.go and moves.go move a
-// stream whose server leaves, insurance.go has copies made of one beforehand;
-// record.go logs and counts the end.
+// The files follow the path of a request:
+//
+//   - relay.go: entry point
+//   - call.go: route lookup, limits and the outgoing message
+//   - access.go: authentication of the tenant
+//   - quota.go: the tenant's quota
+//   - choose.go: waiting for a server and choosing one with the plug-ins of package routing
+//   - affinity.go: the replica that a request prefers
+//   - cold.go: limits for servers that have just started
+//   - backoff.go: servers that asked for a back-off
+//   - hold.go: whether a request without a server is held or refused
+//   - place.go: admission at overloaded servers
+//   - slots.go: servers that limit their request rate
+//   - attempt.go: sending a request, and what a failed attempt allows
+//   - quarantine.go: requests that crash servers
+//   - buffered.go, stream.go: passing answers on
+//   - refuse.go: answers of the relay itself
+//   - budget.go, slack.go: the retry budget
+//   - cancel.go: ending requests before a planned stop
+//   - migrate.go, resume.go: moving a stream from a server that leaves
+//   - backup.go: copying a running stream to a second server in advance
+//   - record.go: log line and metrics
 package relay
 
 import (
@@ -32,30 +43,29 @@
 	"martenwheel.dev/pkg/traffic/routing"
 )
 
-// Headers are the names of the headers that callers, the relay and servers
-// speak, in canonical form.
+// Headers are the names, in canonical form, of the headers that callers, the relay and servers
+// exchange.
 type Headers struct {
-	RequestID string // of one attempt of a caller; servers repeat it
-	Deadline  string // milliseconds that the sender waits
+	RequestID string // identifies one attempt of a caller; servers repeat it
+	Deadline  string // milliseconds that the sender waits for the answer
 	Seal      string // a server's signature of its answer
-	Expect    string // the server that a request is for
-	NotRun    string // a server did not run the request
-	Model     string // what the request needs
-	LastEvent string // event after which a stream goes on
+	Expect    string // the server that a request is meant for
+	NotRun    string // set by a server that did not run the request
+	Model     string // the model that the request needs
+	LastEvent string // event after which a stream continues
 	Priority  string // 0 is the most urgent
-	Tenant    string // in whose name a request is made
-	Tokens    string // of a request: of its prompt, and the most that it generates
-	Parts     string // of a prompt, shared among requests
-	Origin    string // of a request that goes on from a copy: where the copy is from
-	Backup    string // of a request: the server that gets copies of what it runs
-	Likely    string // of a request: the caller's guess of the tokens that it generates
-	// Reserved are those that the system alone sets: what callers send under these names
-	// does not go on.
+	Tenant    string // the tenant on whose behalf the request is made
+	Tokens    string // token count of the prompt and the maximum to generate
+	Parts     string // prompt parts that requests share
+	Origin    string // where the copy is from with which a request continues
+	Backup    string // the server that receives copies of the running request
+	Likely    string // the caller's estimate of the tokens generated
+	// Reserved holds headers that only the system sets. They are removed from callers' requests.
 	Reserved map[string]bool
 }
 
-// sets tells whether the relay itself sets a header of what goes to servers.
-func (h *Headers) sets(name string) bool {
+// setByRelay reports whether the relay itself sets a header on requests to servers.
+func (h *Headers) setByRelay(name string) bool {
 	switch name {
 	case h.Deadline, h.Expect, h.Origin, h.Backup, h.LastEvent, h.Priority, h.Tenant:
 		return true
@@ -63,112 +73,115 @@
 	return h.Reserved[name]
 }
 
-// Wish is a model that a request needs and no server is known to hold.
-type Wish struct {
+// LoadRequest asks for a model that a request needs and no server is known to hold.
+type LoadRequest struct {
 	Service   string
 	Need      backend.Need
 	Priority  int // 0 is the most urgent
 	Deadline  time.Time
 	RequestID string
-	Missing   string // server that said that it does not hold it
+	Missing   string // server that reported that it does not hold the model
 	Gone      bool   // the missing server refused the connection
-	// Short is a server that holds it and turns requests away, so that another one is to hold it as well.
+	// Short is a server that holds the model but rejects requests, so that another replica is
+	// needed.
 	Short    string
-	ShortFor time.Duration // for which it does so, as known
+	ShortFor time.Duration // how long Short is expected to reject requests
 }
 
-// Outlook is what is known of a wish.
-type Outlook struct {
-	Server  string        // that holds it by now; empty: none yet
-	ReadyIn time.Duration // expected; zero: not known
-	Age     time.Duration // of this word
+// LoadStatus is what is known about a load request.
+type LoadStatus struct {
+	Server  string        // server that already holds the model; empty: none
+	ReadyIn time.Duration // expected time until the model is ready; zero: unknown
+	Age     time.Duration // age of this information
 }
 
 // Waker has models loaded. Wake does not wait for the load.
 type Waker interface {
-	Wake(ctx context.Context, w Wish) (Outlook, error)
+	Wake(ctx context.Context, w LoadRequest) (LoadStatus, error)
 }
 
-// Relay serves callers. Set the fields before the first request; the zero
-// values of those marked so select defaults.
+// Relay serves callers' requests. Set the exported fields before the first request; zero values
+// select the defaults named below.
 type Relay struct {
 	Headers Headers
 	Node    string // name of this node
 	Zone    string
-	Regions map[string]string // the region of each zone; nil: not known
+	Regions map[string]string // the region of each zone; nil: unknown
 	Time    clock.Clock
-	Routes  func() *route.Table // nil while none is known
+	Routes  func() *route.Table // returns nil while no table is known
 	Keys    KeyAge
-	Quotas  Quotas // of tenants; not kept if nil
+	Quotas  Quotas // tenants' quotas; not enforced if nil
 	Servers *backend.Directory
 	Waker   Waker
-	// Quarantine keeps requests that end servers from them; none are kept if nil.
+	// Quarantine keeps requests that crash servers away from them; not enforced if nil.
 	Quarantine Quarantine
 	// Mover moves running streams; none move if nil.
 	Mover Mover
-	// DrainTime is how long a server that leaves surely goes on serving; zero: not known.
+	// DrainTime is the time for which a leaving server is guaranteed to serve; zero: unknown.
 	DrainTime time.Duration
-	// Slots gives out when requests go to servers that limit them; the node goes by its ration alone if nil.
+	// Slots grants send slots at servers that limit their requests. If nil, the node uses its local
+	// ration alone.
 	Slots Slots
-	// Places decides where and when requests go to crowded servers; the node chooses alone if nil.
-	Places  Places
-	Nodes   func() int // that share the budget of repeats, zero while not known; 1 if nil
-	Budget  BudgetConfig
-	Lender  Lender    // of repeats when this node's share is spent; may be nil
-	Began   time.Time // since when this node's account of repeats fills; the first request if zero
-	Logger  hclog.Logger
-	Metrics *Metrics                                           // not counted if nil
-	Arrived func(service string, n backend.Need, priority int) // told of each request; may be nil
+	// Places decides where and when requests go to overloaded servers; the node decides alone if
+	// nil.
+	Places      Places
+	Nodes       func() int // nodes that share the retry budget, zero while unknown; 1 if nil
+	Budget      BudgetConfig
+	Lender      Lender    // lends retries when this node's share is spent; may be nil
+	BudgetStart time.Time // when this node's slack began to fill; the first request if zero
+	Logger      hclog.Logger
+	Metrics     *Metrics                                           // not counted if nil
+	Arrived     func(service string, n backend.Need, priority int) // called for each request; may be nil
 
 	splits  route.Splitter
 	budgets budgets
 	mixes   mixes
 	borrowing
-	rides    rides
-	cold     backpressure.Ration // of cold servers
-	alone    backpressure.Ration // of servers with a limit, while nobody gives out slots
-	endings  endings
-	inFlight atomic.Int64
-	stop     atomic.Pointer[stopPlan]
-
-	mu      sync.Mutex // guards what choosing needs
+	streams    streamTable
+	coldRation backpressure.Ration // for cold servers
+	localSlots backpressure.Ration // for rate-limited servers while nobody grants slots
+	active     activeRequests
+	inFlight   atomic.Int64
+	stop       atomic.Pointer[stopPlan]
+
+	mu      sync.Mutex // guards random and chooser
 	random  *rand.Rand
 	chooser *routing.Chooser
 }
 
-// stopPlan says what a stopping relay still takes.
+// stopPlan tells which requests a stopping relay still accepts.
 type stopPlan struct {
-	streamsUntil time.Time // new streams would be cut off after it
-	until        time.Time // nothing new is sent after it
+	streamsUntil time.Time // new streams are refused afterwards
+	until        time.Time // nothing is sent to servers afterwards
 }
 
-// streamShare is the part of a stop's time in which streams are still begun.
-const streamShare = 0.3
+// stopStreamShare is the part of the stop period in which new streams are accepted.
+const stopStreamShare = 0.3
 
-// lastAnswers is the time at the end of a stop for the answers under way.
-const lastAnswers = 1200 * time.Millisecond
+// finalAnswerTime is reserved at the end of the stop period for answers in progress.
+const finalAnswerTime = 1200 * time.Millisecond
 
-// Stop begins a planned stop that ends after grace: each connection closes with
-// its next answer, and what can't be served to its end any more is refused.
+// Stop begins a planned stop that ends after grace. Each connection closes with its next answer,
+// and requests that can't be completed in time are refused.
 func (r *Relay) Stop(grace time.Duration) {
 	now := r.Time.Now()
 	r.stop.Store(&stopPlan{
-		streamsUntil: now.Add(time.Duration(streamShare * float64(grace))),
-		until:        now.Add(grace - lastAnswers),
+		streamsUntil: now.Add(time.Duration(stopStreamShare * float64(grace))),
+		until:        now.Add(grace - finalAnswerTime),
 	})
 }
 
-// stopped tells whether a stop keeps a request from being sent.
-func (r *Relay) stopped(kind route.Kind, fresh bool) bool {
+// stopped reports whether a planned stop forbids sending a request.
+func (r *Relay) stopped(kind route.Kind, isNew bool) bool {
 	plan := r.stop.Load()
 	if plan == nil {
 		return false
 	}
 	now := r.Time.Now()
-	return now.After(plan.until) || fresh && kind == route.Stream && now.After(plan.streamsUntil)
+	return now.After(plan.until) || isNew && kind == route.Stream && now.After(plan.streamsUntil)
 }
 
-// InFlight returns the number of requests under way.
+// InFlight returns the number of requests in progress.
 func (r *Relay) InFlight() int { return int(r.inFlight.Load()) }
 
 // ServeHTTP implements http.Handler.
@@ -185,9 +198,9 @@
 	}
 	ctx, end := context.WithCancelCause(hr.Context())
 	defer end(nil)
-	r.endings.add(c, end)
-	defer r.endings.remove(c)
-	ctx, cancel := context.WithTimeoutCause(ctx, c.left(), errDeadline)
+	r.active.add(c, end)
+	defer r.active.remove(c)
+	ctx, cancel := context.WithTimeoutCause(ctx, c.timeLeft(), errDeadline)
 	defer cancel()
 	if c.admit(ctx) {
 		c.serve(ctx)
--- a/pkg/relay/relay_test.go
+++ b/pkg/relay/relay_test.go
@@ -27,11 +27,11 @@
 		t.Errorf("the server got %+v", arrived)
 	}
 	if ms, err := strconv.Atoi(arrived[0].deadline); err != nil || ms <= 0 || ms > 2000 {
-		t.Errorf("the server may work for %q ms", arrived[0].deadline)
+		t.Errorf("the server's deadline is %q ms", arrived[0].deadline)
 	}
 }
 
-// TestFailuresOfServers is the table of what a server's failure allows.
+// TestFailuresOfServers checks which failures of a server allow a retry and what the caller gets.
 func TestFailuresOfServers(t *testing.T) {
 	reset := raw("")
 	foreign := raw("HTTP/1.1 200 OK\r\nX-Id: other\r\nX-Seal: s\r\nContent-Length: 5\r\n\r\nwrong")
@@ -45,12 +45,12 @@
 		kind   route.Kind
 		first  answerer
 		status int // at the caller
-		runs   int // arrivals at servers
+		runs   int // requests received by servers
 	}{
 		{"unsafe is not repeated after a reset", route.Unsafe, reset, http.StatusBadGateway, 1},
 		{"safe is repeated after a reset", route.Safe, reset, http.StatusOK, 2},
-		{"unsafe goes on after a server that did not run it", route.Unsafe, turnedAway(http.StatusServiceUnavailable), http.StatusOK, 2},
-		{"unsafe goes on after another server's address", route.Unsafe, turnedAway(http.StatusMisdirectedRequest), http.StatusOK, 2},
+		{"unsafe goes on after a server that did not run it", route.Unsafe, rejectWith(http.StatusServiceUnavailable), http.StatusOK, 2},
+		{"unsafe goes on after another server's address", route.Unsafe, rejectWith(http.StatusMisdirectedRequest), http.StatusOK, 2},
 		{"unsafe is not repeated after another's answer", route.Unsafe, foreign, http.StatusBadGateway, 1},
 		{"safe is repeated after another's answer", route.Safe, foreign, http.StatusOK, 2},
 		{"unsafe is not repeated after garbage", route.Unsafe, garbage, http.StatusBadGateway, 1},
@@ -65,7 +65,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newSite(t, route.Route{Kind: c.kind, MaxAttempts: 2}, c.first, sealed(http.StatusOK, "fine"))
-			s.relay.Servers.Snapshot().Member("server-1").Failed(time.Now()) // so that the first is tried first
+			s.relay.Servers.Snapshot().Member("server-1").Failed(time.Now()) // makes the first server the first choice
 			got := s.get("id")
 			if got.status != c.status {
 				t.Errorf("the caller got %d %q %v, want %d", got.status, got.body, got.err, c.status)
@@ -74,26 +74,25 @@
 				t.Errorf("the caller got the body %q", got.body)
 			}
 			if runs := len(s.arrivals()); runs != c.runs {
-				t.Errorf("%d arrivals at servers, want %d", runs, c.runs)
+				t.Errorf("%d requests at servers, want %d", runs, c.runs)
 			}
 		})
 	}
 }
 
-// TestNoMoreServersThanTheRouteAllows: MaxAttempts bounds the servers that may
-// have run a request.
+// TestNoMoreServersThanTheRouteAllows checks that MaxAttempts limits the servers that may have run
+// a request.
 func TestNoMoreServersThanTheRouteAllows(t *testing.T) {
 	bad := raw("")
 	s := newSite(t, route.Route{Kind: route.Safe, MaxAttempts: 2}, bad, bad, bad, bad)
 	got := s.get("id")
 	if got.status != http.StatusBadGateway || len(s.arrivals()) != 2 {
-		t.Errorf("status %d after %d arrivals, want 502 after 2", got.status, len(s.arrivals()))
+		t.Errorf("status %d after %d requests at servers, want 502 after 2", got.status, len(s.arrivals()))
 	}
 }
 
-// TestRepeatsKeepToTheBudget: the share of a node among ten is spent, then
-// failures are final.
-func TestRepeatsKeepToTheBudget(t *testing.T) {
+// TestRetriesKeepToBudget checks that failures are final after one of ten nodes spent its share.
+func TestRetriesKeepToBudget(t *testing.T) {
 	bad := raw("")
 	s := newSite(t, route.Route{Kind: route.Safe, MaxAttempts: 2}, bad, bad)
 	s.relay.Budget = BudgetConfig{Ratio: 0.2, Window: 10 * time.Second, Slack: 20}
@@ -104,25 +103,25 @@
 	}
 	repeats := len(s.arrivals()) - requests
 	if most := int(0.2*requests + 2); repeats > most || repeats == 0 {
-		t.Errorf("%d repeats of %d requests, want 1 to %d", repeats, requests, most)
+		t.Errorf("%d retries of %d requests, want 1 to %d", repeats, requests, most)
 	}
 }
 
-// TestAPromiseIsKept: 503 is told only while no server may have run the request.
-func TestAPromiseIsKept(t *testing.T) {
-	s := newSite(t, route.Route{Kind: route.Unsafe, MaxAttempts: 3}, turnedAway(http.StatusServiceUnavailable), raw(""))
+// TestUnavailableMeansNotRun checks that 503 is sent only if no server may have run the request.
+func TestUnavailableMeansNotRun(t *testing.T) {
+	s := newSite(t, route.Route{Kind: route.Unsafe, MaxAttempts: 3}, rejectWith(http.StatusServiceUnavailable), raw(""))
 	s.relay.Servers.Snapshot().Member("server-1").Failed(time.Now())
 	if got := s.post("id", "x"); got.status != http.StatusBadGateway {
 		t.Errorf("status %d for a request that may have run, want 502", got.status)
 	}
-	s = newSite(t, route.Route{Kind: route.Unsafe}, turnedAway(http.StatusServiceUnavailable))
+	s = newSite(t, route.Route{Kind: route.Unsafe}, rejectWith(http.StatusServiceUnavailable))
 	got := s.post("id", "x")
 	if got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
 		t.Errorf("status %d, Retry-After %q for a request that no server ran", got.status, got.header.Get("Retry-After"))
 	}
 }
 
-// TestTimeoutOfTheRoute: the final answer comes when the route's time is over.
+// TestTimeoutOfTheRoute checks that the final answer comes at the route's timeout.
 func TestTimeoutOfTheRoute(t *testing.T) {
 	hang := func(_ http.ResponseWriter, r *http.Request, _ seen) { <-r.Context().Done() }
 	s := newSite(t, route.Route{Kind: route.Unsafe, Timeout: 150 * time.Millisecond}, hang)
@@ -133,7 +132,7 @@
 	}
 }
 
-// TestCallerThatLeavesStopsTheServer: the server's connection closes.
+// TestCallerThatLeavesStopsTheServer checks that the connection to the server closes.
 func TestCallerThatLeavesStopsTheServer(t *testing.T) {
 	hang := func(_ http.ResponseWriter, r *http.Request, _ seen) { <-r.Context().Done() }
 	s := newSite(t, route.Route{Kind: route.Stream, Timeout: 20 * time.Second}, hang)
@@ -147,14 +146,14 @@
 	}
 	leave()
 	select {
-	case <-s.arrivals()[0].left:
+	case <-s.arrivals()[0].disconnected:
 	case <-time.After(5 * time.Second):
 		t.Error("the server still works for a caller that left")
 	}
 	<-done
 }
 
-// TestNoServerThatLeavesGetsARequest: neither a draining nor a missing one.
+// TestNoServerThatLeavesGetsARequest covers draining and removed servers.
 func TestNoServerThatLeavesGetsARequest(t *testing.T) {
 	s := newSite(t, route.Route{Kind: route.Unsafe, Timeout: 300 * time.Millisecond}, sealed(http.StatusOK, "a"), sealed(http.StatusOK, "b"))
 	draining := *s.servers[0]
@@ -172,8 +171,8 @@
 	}
 }
 
-// TestHeadersOfOneConnectionStay: they are not passed on, in either direction.
-func TestHeadersOfOneConnectionStay(t *testing.T) {
+// TestHopByHopHeadersAreDropped covers both directions.
+func TestHopByHopHeadersAreDropped(t *testing.T) {
 	var got http.Header
 	s := newSite(t, route.Route{Kind: route.Unsafe}, func(w http.ResponseWriter, r *http.Request, at seen) {
 		got = r.Header.Clone()
@@ -190,7 +189,7 @@
 	}
 }
 
-// TestNoTableIsNoRoute: a node that knows no configuration answers 503, not 404.
+// TestNoTableIsNoRoute checks that a node without a configuration answers 503, not 404.
 func TestNoTableIsNoRoute(t *testing.T) {
 	s := newSite(t, route.Route{Kind: route.Unsafe}, sealed(http.StatusOK, "ok"))
 	r := s.request(t.Context(), http.MethodGet, "/other/", "id", "")
@@ -199,40 +198,40 @@
 	}
 	s.relay.Routes = func() *route.Table { return nil }
 	if got := s.get("id"); got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
-		t.Errorf("status %d without a table, want 503 with the time to come back", got.status)
+		t.Errorf("status %d without a table, want 503 with Retry-After", got.status)
 	}
 }
 
-// TestStoppingNodeServesAndThenRefuses: what it can't end any more is refused,
-// nothing is cut off.
+// TestStoppingNodeServesAndThenRefuses checks that a stopping node serves requests, and refuses
+// those it can't complete.
 func TestStoppingNodeServesAndThenRefuses(t *testing.T) {
 	s := newSite(t, route.Route{Kind: route.Unsafe}, sealed(http.StatusOK, "ok"))
 	s.relay.Stop(time.Minute)
 	got := s.get("id")
 	if got.status != http.StatusOK {
-		t.Errorf("a stopping node answers %d", got.status)
+		t.Errorf("a stopping node answered %d", got.status)
 	}
-	s.relay.Stop(lastAnswers)
+	s.relay.Stop(finalAnswerTime)
 	time.Sleep(time.Millisecond)
 	if got := s.get("id"); got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
-		t.Errorf("status %d at the end of a stop, want 503 with the time to come back", got.status)
+		t.Errorf("status %d at the end of a stop, want 503 with Retry-After", got.status)
 	}
 	if len(s.arrivals()) != 1 {
-		t.Errorf("%d arrivals, want 1", len(s.arrivals()))
+		t.Errorf("%d requests at servers, want 1", len(s.arrivals()))
 	}
 }
 
-// TestBodyLimit: a body over the table's bound is refused before any server.
+// TestBodyLimit checks that a body over the table's limit is refused and reaches no server.
 func TestBodyLimit(t *testing.T) {
 	s := newSite(t, route.Route{Kind: route.Unsafe}, sealed(http.StatusOK, "ok"))
 	got := s.post("id", strings.Repeat("x", 1<<20+1))
 	if got.status != http.StatusRequestEntityTooLarge || len(s.arrivals()) != 0 {
-		t.Errorf("status %d, %d arrivals", got.status, len(s.arrivals()))
+		t.Errorf("status %d, %d requests at servers", got.status, len(s.arrivals()))
 	}
 }
 
-// TestAnswerWithoutLengthIsWholeOnlyAtACleanEnd: a server may end its answer by
-// closing the connection.
+// TestAnswerWithoutLengthIsWholeOnlyAtACleanEnd checks that a server may end its answer by closing
+// the connection.
 func TestAnswerWithoutLengthIsWholeOnlyAtACleanEnd(t *testing.T) {
 	s := newSite(t, route.Route{Kind: route.Unsafe}, raw("HTTP/1.1 200 OK\r\nX-Id: {id}\r\nX-Seal: s\r\nConnection: close\r\n\r\nto the end"))
 	if got := s.get("id"); got.status != http.StatusOK || got.body != "to the end" {
@@ -240,8 +239,8 @@
 	}
 }
 
-// TestDeadServersAreNotDialledInALoop: servers that refuse connections cost a few
-// dials, not the processor.
+// TestDeadServersAreNotDialledInALoop checks that servers that refuse connections are dialled only
+// a few times.
 func TestDeadServersAreNotDialledInALoop(t *testing.T) {
 	s := newSite(t, route.Route{Kind: route.Unsafe, Timeout: 600 * time.Millisecond}, sealed(http.StatusOK, "never"))
 	var dials atomic.Int32
@@ -253,21 +252,21 @@
 	s.relay.Servers = directory
 	got := s.post("id", "x")
 	if got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
-		t.Errorf("status %d, want 503 with the time to come back", got.status)
+		t.Errorf("status %d, want 503 with Retry-After", got.status)
 	}
 	if n := dials.Load(); n > 10 {
-		t.Errorf("%d dials of one request", n)
+		t.Errorf("%d dials for one request", n)
 	}
 }
 
-// TestTriesThatReachNoServerCostNoBudget: of three servers one breaks off, one is
-// dead, and the budget allows one repeat.
+// TestTriesThatReachNoServerCostNoBudget uses three servers, one of which breaks off and one is
+// down, and a budget of one retry.
 func TestTriesThatReachNoServerCostNoBudget(t *testing.T) {
 	s := newSite(t, route.Route{Kind: route.Safe, MaxAttempts: 2}, raw(""), sealed(http.StatusOK, "never"), sealed(http.StatusOK, "good"))
-	s.relay.Budget = BudgetConfig{Window: 10 * time.Second, Slack: 1 / (budgetCaution * (1 - lentShare) * slackBurst)}
-	s.end(1)
+	s.relay.Budget = BudgetConfig{Window: 10 * time.Second, Slack: 1 / (budgetSafetyFactor * (1 - lentShare) * slackBurst)}
+	s.crash(1)
 	for i, id := range []string{"server-0", "server-1", "server-2"} {
-		for range 4 * i { // so that they are tried in this order
+		for range 4 * i { // makes the servers tried in this order
 			s.relay.Servers.Snapshot().Member(id).Begin(time.Now(), "")
 		}
 	}
@@ -275,12 +274,12 @@
 		t.Errorf("status %d, body %q", got.status, got.body)
 	}
 	if n := len(s.arrivals()); n != 2 {
-		t.Errorf("%d arrivals", n)
+		t.Errorf("%d requests at servers, want 2", n)
 	}
 }
 
-// TestAFullServerIsLeftAlone: the only server turns requests away as full; it is asked
-// again after pauses that give it time.
+// TestAFullServerIsLeftAlone checks that the only server, which rejects requests as full, is tried
+// again only after pauses.
 func TestAFullServerIsLeftAlone(t *testing.T) {
 	var mu sync.Mutex
 	var at []time.Time
@@ -288,7 +287,7 @@
 		mu.Lock()
 		at = append(at, time.Now())
 		mu.Unlock()
-		turnedAway(http.StatusServiceUnavailable)(w, r, s)
+		rejectWith(http.StatusServiceUnavailable)(w, r, s)
 	}
 	s := newSite(t, route.Route{Kind: route.Safe, MaxAttempts: 2}, full)
 	if got := s.get("id"); got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
@@ -297,26 +296,27 @@
 	mu.Lock()
 	defer mu.Unlock()
 	if len(at) != maxSends {
-		t.Errorf("%d arrivals, want %d", len(at), maxSends)
+		t.Errorf("%d requests at the server, want %d", len(at), maxSends)
 	}
 	for i := 1; i < len(at); i++ {
 		if pause := at[i].Sub(at[i-1]); pause < fullPause<<(i-1) {
-			t.Errorf("arrival %d after %v", i+1, pause)
+			t.Errorf("request %d arrived after %v", i+1, pause)
 		}
 	}
 }
 
-// TestAnEndedServerKeepsItsPort: nobody else can listen there, and connections are refused.
+// TestAnEndedServerKeepsItsPort checks that no other server can listen there and that connections
+// are refused.
 func TestAnEndedServerKeepsItsPort(t *testing.T) {
 	s := newSite(t, route.Route{Kind: route.Safe, MaxAttempts: 1}, sealed(http.StatusOK, "x"))
 	address := s.running[0].Listener.Addr().String()
-	s.end(0)
+	s.crash(0)
 	if other, err := net.Listen("tcp", address); err == nil {
 		_ = other.Close()
-		t.Error("another server can have the port")
+		t.Error("another server can listen on the port")
 	}
 	if connection, err := net.Dial("tcp", address); err == nil {
 		_ = connection.Close()
-		t.Error("somebody listens there")
+		t.Error("a connection to the port was accepted")
 	}
 }
--- /dev/null
+++ b/pkg/relay/resume.go
@@ -0,0 +1,260 @@
+package relay
+
+import (
+	"context"
+	"time"
+
+	"github.com/pkg/errors"
+
+	"martenwheel.dev/pkg/backend"
+	"martenwheel.dev/pkg/migration"
+)
+
+// moveLine is the log entry of a call or step of a move.
+type moveLine struct {
+	From    string `json:"from"`
+	To      string `json:"to"`
+	Step    string `json:"step"`
+	TookMS  int64  `json:"took_ms"`
+	Events  int    `json:"events"` // of the run so far, or received by the caller before the step
+	Outcome string `json:"outcome"`
+}
+
+// maxMoveLines limits the log entries about the moves of one stream.
+const maxMoveLines = 16
+
+// maxFailedMoves is how many targets may fail to continue a stream before it stays: each attempt
+// adds a request to servers short of capacity, and usually the next one refuses as well.
+const maxFailedMoves = 3
+
+// addLine adds an entry for the log.
+func (r *activeStream) addLine(l moveLine) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if len(r.lines) < maxMoveLines {
+		r.lines = append(r.lines, l)
+	}
+}
+
+// mayEndByMove reports whether the end of the data may be caused by a move rather than the end of
+// the stream: an answer without framing ends with its connection.
+func (r *activeStream) mayEndByMove(a *backend.Answer) bool { return !a.Framed && r.mayBeStopped() }
+
+// handleBreak classifies a stream whose server sends no more, after everything received was passed
+// on. It returns errHandedOver if there is a copy to continue from.
+func (c *call) handleBreak(ctx context.Context, r *activeStream, err error) (attemptResult, error) {
+	switch {
+	case r.takeOver(ctx):
+		c.handedOver, c.breakErr = r, err
+		return mayHaveRun, errHandedOver
+	case ctx.Err() != nil: // the caller left or the deadline passed while waiting for a move
+		return aborted, context.Cause(ctx)
+	}
+	return mayHaveRun, err
+}
+
+// takeOver waits for a move in progress, if any, and marks the stream as continued by the call. It
+// returns false if there is no copy to continue from or the call has ended.
+func (r *activeStream) takeOver(ctx context.Context) bool {
+	if r == nil {
+		return false
+	}
+	r.mu.Lock()
+	r.over = true
+	moving := r.moving
+	r.mu.Unlock()
+	if moving != nil {
+		select {
+		case <-moving:
+		case <-ctx.Done():
+			return false
+		}
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.takenOver = ctx.Err() == nil && (r.handle != "" || r.backup != nil && r.events > 0)
+	return r.takenOver
+}
+
+// stoppedByMove reports whether the source broke the stream off because it was asked to.
+func (r *activeStream) stoppedByMove() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.stopSent && r.handover.Stopped
+}
+
+// unregisterStream ends a stream at its source and keeps its log entries, unless the call continues
+// it: then finishMove keeps them.
+func (c *call) unregisterStream(r *activeStream) {
+	if r == nil {
+		return
+	}
+	if c.handedOver != r {
+		c.record.moves = append(c.record.moves, r.logLines()...)
+	}
+	r.finish()
+}
+
+// investigateUnlessStopped calls investigateFailure unless the server broke the stream off because
+// it was asked to, which is no sign of a crash.
+func (c *call) investigateUnlessStopped(ctx context.Context, m *backend.Member, err error, abandoned bool) {
+	if errors.Is(err, errHandedOver) {
+		if c.handedOver.stoppedByMove() {
+			return
+		}
+		m.Failed(c.relay.Time.Now())
+		err = c.breakErr
+	}
+	c.investigateFailure(ctx, m, err, abandoned)
+}
+
+// resumption describes an attempt that continues from a copy. The zero value is an ordinary
+// attempt.
+type resumption struct {
+	from     string        // where the copy is from, see Mover.Origin
+	toSource bool          // the attempt goes back to the source
+	answered time.Time     // when the run began to answer at its first server
+	events   int           // received by the caller before
+	patience time.Duration // time to wait for an answer; zero: until the deadline
+}
+
+// continueElsewhere follows the steps of the handover for a stream that its source stopped, or
+// broke off after it was copied. It reports whether to try another server.
+func (c *call) continueElsewhere(ctx context.Context) bool {
+	r := c.handedOver
+	c.handedOver = nil
+	defer c.finishMove(r)
+	h := &r.handover
+	if c.record.lastEnded() { // a run at a crashed server does not count
+		c.runs--
+		h.Stopped = true
+	}
+	h.MayStop, h.MayAnew = c.engine.Moves, c.route.Repeatable()
+	h.Copied = h.Copied || r.backup != nil
+	for {
+		h.MayBack = c.mayReturnToSource(r)
+		switch step := h.Next(); step {
+		case migration.Stop:
+			r.stop(moveCallTimeout)
+		case migration.GoOnThere, migration.GoBack:
+			v, err, ended := c.resume(ctx, r, step)
+			switch {
+			case errors.Is(err, errHandedOver): // the next server left or broke off in turn
+				return c.continueElsewhere(ctx)
+			case ended:
+				return c.decideNext(ctx, r.serverFor(step), v, err)
+			}
+		case migration.Anew:
+			return c.decideNext(ctx, r.source, mayHaveRun, errMoved)
+		default:
+			c.refuse(c.notServed(reasonFailed, defaultRetryAfter))
+			return false
+		}
+	}
+}
+
+// mayReturnToSource reports whether the source of a stream may still be sent a request.
+func (c *call) mayReturnToSource(r *activeStream) bool {
+	switch {
+	case r.sourceRestarted(), r.source.Rest(c.relay.Time.Now()) > 0:
+		return false
+	case !r.source.Leaving():
+		return true
+	}
+	left, announced := c.relay.timeUntilGone(r.source)
+	if announced && left < backMargin {
+		return false
+	}
+	return c.relay.DrainTime > 0 && r.source.LeavingFor(c.relay.Time.Now()) < c.relay.DrainTime-sendMargin
+}
+
+// sourceRestarted reports whether a newer incarnation of the source is known. It has the same name
+// but none of the earlier one's copies, and a handle may name the copy of another request there.
+func (r *activeStream) sourceRestarted() bool {
+	for _, m := range r.call.relay.Servers.Snapshot().Service(r.source.Service) {
+		if m.ID != r.source.ID && backend.SameServer(m.ID, r.source.ID) {
+			return true
+		}
+	}
+	return false
+}
+
+// resume makes the target or the source continue the stream. As it is the same run, it counts
+// neither as a retry nor as another server. ended tells that the copy is used up and the result v
+// is final.
+func (c *call) resume(ctx context.Context, r *activeStream, step migration.Step) (v attemptResult, err error, ended bool) {
+	began, sends, runs := c.relay.Time.Now(), c.sends, c.runs
+	c.place.granted = time.Time{} // a continued run needs no place
+	c.resumption = resumption{from: r.origin(), toSource: step == migration.GoBack,
+		answered: c.record.last().answered, events: c.record.events}
+	if step == migration.GoOnThere && r.handover.Kept || c.mayRunAgain() {
+		c.resumption.patience = max(minGapTimeout, gapFactor*c.route.GapTarget)
+	}
+	if c.takeSlotAt(ctx, r.serverFor(step)) {
+		v, err = c.try(ctx, r.serverFor(step))
+	} else {
+		v, err = notRun, errNoSlot
+	}
+	o := c.resumeOutcome(v)
+	r.handover.Told(step, o)
+	if step == migration.GoOnThere && (o == migration.Refused || o == migration.NoAnswer) {
+		c.failedMoves++
+	}
+	r.addLine(moveLine{From: r.source.ID, To: r.serverFor(step).ID, Step: step.String(), Events: c.resumption.events,
+		TookMS: c.relay.Time.Since(began).Milliseconds(), Outcome: o.String()})
+	c.sends, c.runs, c.resumption = sends, runs, resumption{}
+	return v, err, v == aborted || o == migration.Done || o == migration.Broke
+}
+
+// origin names the copy for the target: by its handle if the stream was moved, by the request ID if
+// it was copied from the beginning.
+func (r *activeStream) origin() string {
+	name := r.handle
+	if name == "" {
+		name = r.call.id
+	}
+	return r.call.relay.Mover.Origin(r.source, name)
+}
+
+// resumeOutcome converts the result of an attempt that continued from a copy for the handover.
+func (c *call) resumeOutcome(v attemptResult) migration.Outcome {
+	switch {
+	case v == served:
+		return migration.Done
+	case v == notRun:
+		return migration.Refused
+	case c.record.events > c.resumption.events:
+		return migration.Broke
+	}
+	return migration.NoAnswer
+}
+
+// serverFor returns the server that a step goes to.
+func (r *activeStream) serverFor(step migration.Step) *backend.Member {
+	if step == migration.GoBack {
+		return r.source
+	}
+	return r.target
+}
+
+// startResumeTimer ends an attempt to resume that shows no sign of an answer while there is an
+// alternative.
+func (c *call) startResumeTimer(cancel context.CancelCauseFunc) *time.Timer {
+	if c.resumption.patience <= 0 {
+		return nil
+	}
+	return time.AfterFunc(c.resumption.patience, func() { cancel(errImpatient) })
+}
+
+// finishMove keeps the log entries of a stream and drops an unused copy.
+func (c *call) finishMove(r *activeStream) {
+	c.record.moves = append(c.record.moves, r.logLines()...)
+	r.drop()
+}
+
+// logLines returns the entries for the log.
+func (r *activeStream) logLines() []moveLine {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.lines
+}
--- a/pkg/relay/slots.go
+++ b/pkg/relay/slots.go
@@ -12,48 +12,49 @@
 	"martenwheel.dev/pkg/backpressure"
 )
 
-// Slots has the requests of all nodes keep together to the limits that servers name.
+// Slots coordinates the requests of all nodes at servers that limit their request rate.
 type Slots interface {
-	// TakeSlot asks for a slot at one of some servers within a time. An error tells why the one who
-	// gives them out could not be asked; it is no word then.
+	// TakeSlot asks for a slot at one of some servers within a time. If the coordinator could not
+	// be asked, it returns an error and the slot is not valid.
 	TakeSlot(ctx context.Context, asks []backpressure.Ask, within time.Duration) (backpressure.Slot, error)
 }
 
-// errNoSlot keeps a request from a server that limits its requests: it named the limit a moment ago, or
-// the slot there lapsed.
+// errNoSlot keeps a request from a rate-limited server: the server announced its limit a moment
+// ago, or the slot expired.
 var errNoSlot = errors.New("relay: no slot at the server")
 
-// errNoSlots stands for the one who gives out slots where there is none.
+// errNoSlots is recorded if no service grants slots.
 var errNoSlots = errors.New("relay: nobody gives out slots")
 
-// slotTime is within which a slot is used: to connect takes some milliseconds.
-const slotTime = 500 * time.Millisecond
+// slotLifetime is how long a slot may be used. Connecting takes a few milliseconds.
+const slotLifetime = 500 * time.Millisecond
 
-// mostAsks bounds the servers among which one request has a slot picked.
-const mostAsks = 16
+// maxSlotServers limits the servers among which a slot is requested.
+const maxSlotServers = 16
 
-// slot is a request's slot at a server that limits its requests. The zero value is none.
+// slot is a request's slot at a rate-limited server. The zero value is none.
 type slot struct {
-	server string // the ID of its life
+	server string // ID of the server's incarnation
 	at     time.Time
 }
 
-// covers tells whether the request may go to a server now: it names no limit, or the slot is there.
+// covers reports whether the request may go to a server now: the server has no limit, or the slot
+// is for it.
 func (s slot) covers(now time.Time, m *backend.Member) bool {
-	return !m.Limited() || s.server == m.ID && now.Sub(s.at) < slotTime
+	return !m.Limited() || s.server == m.ID && now.Sub(s.at) < slotLifetime
 }
 
-// slotRecord is what the log line of a request tells of its slots.
+// slotRecord is the part of a request's log line about its slots.
 type slotRecord struct {
 	asked  bool
 	last   backpressure.Slot
-	waited time.Duration // in all
-	err    error         // why the holder could not be asked last
+	waited time.Duration // total
+	err    error         // why the coordinator could not be asked the last time
 }
 
-// takeSlot has a request whose server m limits its requests go by a slot, at m or at another server that
-// does. It returns the server and mayRunNow, or nil and isRefused, once it has answered the caller, or
-// looksAgain if a server without a limit may serve it.
+// takeSlot obtains a slot if server m limits its requests, at m or another such server. It returns
+// the server and mayRunNow, nil and wasRefused after answering the caller, or nil and chooseAgain
+// if a server without a limit may serve the request.
 func (c *call) takeSlot(ctx context.Context, m *backend.Member) (*backend.Member, permission) {
 	c.slot = slot{}
 	if !m.Limited() {
@@ -61,62 +62,63 @@
 	}
 	now := c.relay.Time.Now()
 	servers := c.limitedServers(now, m)
-	s := c.askSlot(ctx, servers, c.slotPatience(now))
+	s := c.requestSlot(ctx, servers, c.slotPatience(now))
 	switch {
 	case ctx.Err() != nil:
 		c.giveUp(ctx)
-		return nil, isRefused
+		return nil, wasRefused
 	case s.Granted:
 		return c.useSlot(ctx, servers, s)
 	}
-	for _, one := range servers {
-		c.tried = append(c.tried, one.ID)
+	for _, server := range servers {
+		c.tried = append(c.tried, server.ID)
 	}
 	if c.hasUnlimited(now) {
-		return nil, looksAgain
+		return nil, chooseAgain
 	}
-	if c.need.Model != "" { // another server is to hold it as well
-		go c.ask(context.WithoutCancel(ctx), lacking{short: m.ID, shortFor: backpressure.MostWait}, make(chan asked, 1))
+	if c.need.Model != "" { // so that another server loads the model as well
+		go c.requestLoad(context.WithoutCancel(ctx), shortage{short: m.ID, shortFor: backpressure.MostWait}, make(chan wakeResult, 1))
 	}
 	c.refuse(c.notServed(reasonLimited, max(s.Wait, defaultRetryAfter)))
-	return nil, isRefused
+	return nil, wasRefused
 }
 
-// takeSlotAt is takeSlot for a stream that goes on at one server or not at all. It tells whether it may.
+// takeSlotAt is takeSlot for a stream that can continue at one server only. It reports whether it
+// may.
 func (c *call) takeSlotAt(ctx context.Context, m *backend.Member) bool {
 	c.slot = slot{}
 	if !m.Limited() {
 		return true
 	}
-	s := c.askSlot(ctx, []*backend.Member{m}, backpressure.MostWait)
+	s := c.requestSlot(ctx, []*backend.Member{m}, backpressure.MostWait)
 	if !s.Granted {
 		return false
 	}
-	c.pause(ctx, s.Wait)
+	c.sleep(ctx, s.Wait)
 	c.slot = slot{server: m.ID, at: c.relay.Time.Now()}
 	return ctx.Err() == nil
 }
 
-// useSlot waits for a slot that was granted.
+// useSlot waits until a granted slot begins.
 func (c *call) useSlot(ctx context.Context, servers []*backend.Member, s backpressure.Slot) (*backend.Member, permission) {
 	c.record.slot.waited += s.Wait
 	if s.Wait > 0 {
-		c.pause(ctx, s.Wait)
+		c.sleep(ctx, s.Wait)
 	}
 	if ctx.Err() != nil {
 		c.giveUp(ctx)
-		return nil, isRefused
+		return nil, wasRefused
 	}
 	c.slot = slot{server: s.Server, at: c.relay.Time.Now()}
 	i := slices.IndexFunc(servers, func(m *backend.Member) bool { return m.ID == s.Server })
 	if i < 0 || !servers[i].Serves(c.slot.at, c.need) {
-		return nil, looksAgain
+		return nil, chooseAgain
 	}
 	return servers[i], mayRunNow
 }
 
-// slotPatience returns how long the request may wait for a slot: its caller is to be there still, and
-// one whose answer has begun waits as long as any.
+// slotPatience returns how long the request may wait for a slot: until its caller is about to
+// leave, or the maximum if the answer has begun.
 func (c *call) slotPatience(now time.Time) time.Duration {
 	if c.headSent {
 		return backpressure.MostWait
@@ -124,16 +126,16 @@
 	return c.patience() - impatienceMargin - now.Sub(c.arrived)
 }
 
-// limitedServers returns the servers with a limit that may get the request, m first.
+// limitedServers returns the rate-limited servers that may get the request, m first.
 func (c *call) limitedServers(now time.Time, m *backend.Member) []*backend.Member {
 	list := []*backend.Member{m}
-	if !c.place.granted.IsZero() || c.turn != nil {
-		return list // its place, or its turn, is there alone
+	if !c.place.granted.IsZero() || c.trial != nil {
+		return list // its place or trial is valid at m only
 	}
 	servers := c.relay.Servers.Snapshot().Service(c.service)
 	first := rand.IntN(max(len(servers), 1))
 	for i := range servers {
-		if len(list) == mostAsks {
+		if len(list) == maxSlotServers {
 			break
 		}
 		other := servers[(first+i)%len(servers)]
@@ -144,15 +146,16 @@
 	return list
 }
 
-// hasUnlimited tells whether a server without a limit, and not tried yet, may get the request.
+// hasUnlimited reports whether an untried server without a limit may get the request.
 func (c *call) hasUnlimited(now time.Time) bool {
 	return slices.ContainsFunc(c.relay.Servers.Snapshot().Service(c.service), func(m *backend.Member) bool {
 		return m.Serves(now, c.need) && !m.Limited() && !slices.Contains(c.tried, m.ID)
 	})
 }
 
-// askSlot asks for a slot at one of the servers, and goes by this node's ration if nobody can be asked.
-func (c *call) askSlot(ctx context.Context, servers []*backend.Member, within time.Duration) backpressure.Slot {
+// requestSlot asks for a slot at one of the servers, and uses this node's ration if nobody can be
+// asked.
+func (c *call) requestSlot(ctx context.Context, servers []*backend.Member, within time.Duration) backpressure.Slot {
 	asks := make([]backpressure.Ask, 0, len(servers))
 	for _, m := range servers {
 		limit, _ := m.Limit()
@@ -164,26 +167,27 @@
 		note.last, note.err = c.relay.Slots.TakeSlot(ctx, asks, within)
 	}
 	if note.err != nil {
-		note.last = c.relay.aloneSlot(asks)
+		note.last = c.relay.localSlot(asks)
 	}
 	return note.last
 }
 
-// aloneSlot is a slot by this node's ration.
-func (r *Relay) aloneSlot(asks []backpressure.Ask) backpressure.Slot {
+// localSlot returns a slot from this node's ration.
+func (r *Relay) localSlot(asks []backpressure.Ask) backpressure.Slot {
 	now := r.Time.Now()
 	for _, a := range asks {
-		if r.alone.Take(now, r.Node, a.Server, backpressure.AloneShare*a.Limit, r.nodes()) {
+		if r.localSlots.Take(now, r.Node, a.Server, backpressure.AloneShare*a.Limit, r.nodes()) {
 			return backpressure.Slot{Granted: true, Server: a.Server}
 		}
 	}
-	return backpressure.Slot{Wait: aloneAfter + rand.N(aloneAfter)}
+	return backpressure.Slot{Wait: localSlotWait + rand.N(localSlotWait)}
 }
 
-// aloneAfter is about when somebody gives out slots again, and callers may return, each at its own time.
-const aloneAfter = time.Second
+// localSlotWait is about how long it takes until slots are granted again. Callers return at random
+// times after it.
+const localSlotWait = time.Second
 
-// describeSlot returns what the log tells of the request's slots.
+// describeSlot returns the log fields about the request's slots.
 func (c *call) describeSlot() []any {
 	note := &c.record.slot
 	if !note.asked {
@@ -197,29 +201,29 @@
 	return fields
 }
 
-// spareLimited leaves those servers out that limit their requests while others may serve the request, or,
-// if those failed or were tried, all others than them.
-func (p *picking) spareLimited(tried []string) {
+// preferUnlimited removes rate-limited servers while others may serve the request. If those failed
+// or were tried, it removes all but the untried rate-limited ones.
+func (p *choiceBuffers) preferUnlimited(tried []string) {
 	limited, others, fit := false, false, false
 	for i, m := range p.members {
-		fresh := !slices.Contains(tried, m.ID)
+		untried := !slices.Contains(tried, m.ID)
 		if m.Limited() {
-			limited = limited || fresh
+			limited = limited || untried
 			continue
 		}
 		others = true
-		fit = fit || fresh && !p.candidates[i].Ejected
+		fit = fit || untried && !p.candidates[i].Ejected
 	}
 	switch {
 	case fit, others && !limited:
-		p.keep(func(m *backend.Member) bool { return !m.Limited() })
+		p.retain(func(m *backend.Member) bool { return !m.Limited() })
 	case limited:
-		p.keep(func(m *backend.Member) bool { return m.Limited() && !slices.Contains(tried, m.ID) })
+		p.retain(func(m *backend.Member) bool { return m.Limited() && !slices.Contains(tried, m.ID) })
 	}
 }
 
-// keep drops the members that don't fit.
-func (p *picking) keep(fits func(*backend.Member) bool) {
+// retain removes the members for which fits returns false.
+func (p *choiceBuffers) retain(fits func(*backend.Member) bool) {
 	n := 0
 	for i, m := range p.members {
 		if fits(m) {
--- a/pkg/relay/pace_test.go
+++ b/pkg/relay/speed_test.go
@@ -6,8 +6,7 @@
 	"time"
 )
 
-// TestSlowServersGetFewRequests: while the fast server has room it gets the
-// requests.
+// TestSlowServersGetFewRequests checks that a fast server with free capacity is preferred.
 func TestSlowServersGetFewRequests(t *testing.T) {
 	s := newSite(t, streamRoute(true), events(3, 3, nil), events(3, 3, nil))
 	for range 20 {
@@ -17,7 +16,7 @@
 	const requests = 20
 	for i := range requests {
 		s.post(fmt.Sprintf("id-%d", i), "x")
-		s.settle()
+		s.awaitIdle()
 	}
 	slow := 0
 	for _, got := range s.arrivals() {
@@ -30,9 +29,9 @@
 	}
 }
 
-// settle waits until the servers' connections are back in their pools: a caller has its
-// answer a little before that, and a connection that stands counts in the choice.
-func (s *site) settle() {
+// awaitIdle waits until the connections of the servers are back in their pools. That happens
+// shortly after the caller's answer, and open connections influence the choice.
+func (s *site) awaitIdle() {
 	s.t.Helper()
 	used := make(map[string]bool)
 	for _, got := range s.arrivals() {
@@ -49,27 +48,27 @@
 	}
 }
 
-// TestPaceOfAStream: the longest pause and the first wait don't count.
-func TestPaceOfAStream(t *testing.T) {
+// TestTimePerEvent checks that the longest pause and the initial wait do not count.
+func TestTimePerEvent(t *testing.T) {
 	r := &record{tries: make([]try, 1)}
 	now := time.Now()
 	for i := range 20 {
 		if i == 10 {
 			now = now.Add(time.Second)
 		}
-		r.sent(now, 40, 1)
+		r.eventsSent(now, 40, 1)
 		now = now.Add(20 * time.Millisecond)
 	}
-	if got := r.pace(); got < 19*time.Millisecond || got > 21*time.Millisecond {
-		t.Errorf("the pace is %v", got)
+	if got := r.timePerEvent(); got < 19*time.Millisecond || got > 21*time.Millisecond {
+		t.Errorf("the time per event is %v", got)
 	}
 	r.tries = make([]try, 2)
-	if got := r.pace(); got != 0 {
-		t.Errorf("a stream of two servers tells the pace %v", got)
+	if got := r.timePerEvent(); got != 0 {
+		t.Errorf("a stream of two servers has the time per event %v, want none", got)
 	}
 	short := &record{tries: make([]try, 1)}
-	short.sent(now, 40, 2)
-	if got := short.pace(); got != 0 {
-		t.Errorf("two events tell the pace %v", got)
+	short.eventsSent(now, 40, 2)
+	if got := short.timePerEvent(); got != 0 {
+		t.Errorf("a stream of two events has the time per event %v, want none", got)
 	}
 }
--- a/pkg/relay/stream.go
+++ b/pkg/relay/stream.go
@@ -16,34 +16,34 @@
 const (
 	streamReadBytes = 4 << 10
 	maxEventBytes   = 1 << 20
-	leastGap        = 900 * time.Millisecond
+	minGapTimeout   = 900 * time.Millisecond
 	gapFactor       = 3
-	// leaveMargin is how long before a server is gone its streams move.
+	// leaveMargin is how long before a server is gone its streams are moved.
 	leaveMargin = 500 * time.Millisecond
 )
 
-// Faults of a stream.
+// Faults and markers of a stream.
 var (
-	errMoved    = errors.New("relay: the server is about to be gone")
-	errTooLong  = errors.New("relay: an event is too long")
-	eventEnd    = []byte("\n\n")
-	eventID     = []byte("id:")
-	errNotWhole = errors.New("relay: the stream ended within an event")
+	errMoved        = errors.New("relay: the server is about to be gone")
+	errEventTooLong = errors.New("relay: an event is too long")
+	eventEnd        = []byte("\n\n")
+	eventID         = []byte("id:")
+	errPartialEvent = errors.New("relay: the stream ended within an event")
 )
 
-// passStream passes events on as they come, whole ones only, until the stream
-// ends. What went out before a break is kept: the next server goes on after it.
-func (c *call) passStream(ctx context.Context, m *backend.Member, a *backend.Answer, impatience *time.Timer) (verdict, error) {
-	ride := c.board(m)
-	defer c.alight(ride)
+// relayStream passes complete events on as they arrive until the stream ends. After a break, the
+// next server continues after the last event sent.
+func (c *call) relayStream(ctx context.Context, m *backend.Member, a *backend.Answer, impatience *time.Timer) (attemptResult, error) {
+	active := c.registerStream(m)
+	defer c.unregisterStream(active)
 	buffer := make([]byte, streamReadBytes)
 	var pending []byte
 	for {
-		ride.look()
-		if !ride.isMoving() && c.mustMove(m) {
-			return mayRun, errMoved
+		active.evacuateIfLeaving()
+		if !active.isMoving() && c.mustMove(m) {
+			return mayHaveRun, errMoved
 		}
-		c.boundGap(a, m)
+		c.limitGap(a, m)
 		n, err := a.Read(buffer)
 		pending = append(pending, buffer[:n]...)
 		if cut := bytes.LastIndex(pending, eventEnd); cut >= 0 {
@@ -51,40 +51,39 @@
 				impatience.Stop()
 			}
 			cut += len(eventEnd)
-			c.answers()
+			c.answerStarted()
 			if !c.sendEvents(a, pending[:cut]) {
-				return gone, errors.New("the caller can't be written to")
+				return aborted, errors.New("the caller can't be written to")
 			}
 			if c.lastEvent != "" {
-				ride.progress(c.relay.Time.Now(), bytes.Count(pending[:cut], eventEnd))
+				active.noteProgress(c.relay.Time.Now(), bytes.Count(pending[:cut], eventEnd))
 			}
 			pending = append(pending[:0], pending[cut:]...)
 		}
 		switch {
-		case err == io.EOF && !ride.endsByMove(a):
+		case err == io.EOF && !active.mayEndByMove(a):
 			return c.endStream(a, pending)
 		case err != nil && ctx.Err() != nil:
-			return gone, context.Cause(ctx)
+			return aborted, context.Cause(ctx)
 		case err != nil:
-			return c.brokeOff(ctx, ride, err)
+			return c.handleBreak(ctx, active, err)
 		case len(pending) > maxEventBytes:
-			return mayRun, errTooLong
+			return mayHaveRun, errEventTooLong
 		}
 	}
 }
 
-// boundGap ends a read that takes too long when the stream could go on
-// elsewhere.
-func (c *call) boundGap(a *backend.Answer, m *backend.Member) {
-	if !c.headSent || !c.mayRunAgain() || !c.hasOther(m) {
+// limitGap sets a time limit for the next read if the stream could continue elsewhere.
+func (c *call) limitGap(a *backend.Answer, m *backend.Member) {
+	if !c.headSent || !c.mayRunAgain() || !c.hasAlternative(m) {
 		a.ReadUnbounded()
 		return
 	}
-	a.ReadWithin(max(leastGap, gapFactor*c.route.GapTarget))
+	a.ReadWithin(max(minGapTimeout, gapFactor*c.route.GapTarget))
 }
 
-// mustMove tells whether the server will be gone before the stream is likely to
-// end, and another one can go on with it.
+// mustMove reports whether the server will be gone before the stream is likely to end and another
+// server can continue it.
 func (c *call) mustMove(m *backend.Member) bool {
 	if !c.mayRunAgain() {
 		return false
@@ -93,10 +92,10 @@
 	if current == nil || current.LeaveAt.IsZero() || c.relay.Time.Until(current.LeaveAt) > leaveMargin {
 		return false
 	}
-	return c.hasOther(m)
+	return c.hasAlternative(m)
 }
 
-// sendEvents passes whole events on and remembers the last one's id.
+// sendEvents passes complete events on and remembers the ID of the last one.
 func (c *call) sendEvents(a *backend.Answer, events []byte) bool {
 	if !c.headSent {
 		c.sendHead(a)
@@ -107,14 +106,14 @@
 		return false
 	}
 	_ = http.NewResponseController(c.w).Flush()
-	c.record.sent(c.relay.Time.Now(), len(events), bytes.Count(events, eventEnd))
+	c.record.eventsSent(c.relay.Time.Now(), len(events), bytes.Count(events, eventEnd))
 	if id := lastEventID(events); id != "" {
 		c.lastEvent = id
 	}
 	return true
 }
 
-// lastEventID returns the id of the last event that has one.
+// lastEventID returns the ID of the last event that has one.
 func lastEventID(events []byte) string {
 	last := ""
 	for line := range bytes.Lines(events) {
@@ -125,11 +124,11 @@
 	return last
 }
 
-// endStream ends the answer of a stream that came to its end. What follows the
-// last event belongs to the server's body.
-func (c *call) endStream(a *backend.Answer, rest []byte) (verdict, error) {
+// endStream completes the answer of a stream that ended. Data after the last event is part of the
+// server's body.
+func (c *call) endStream(a *backend.Answer, rest []byte) (attemptResult, error) {
 	if len(rest) > 0 && !c.sendEvents(a, rest) {
-		return gone, errNotWhole
+		return aborted, errPartialEvent
 	}
 	if !c.headSent {
 		c.sendHead(a)
--- a/pkg/relay/stream_test.go
+++ b/pkg/relay/stream_test.go
@@ -15,11 +15,11 @@
 	"martenwheel.dev/pkg/route"
 )
 
-// backendServer shortens the lists of servers in tests.
+// backendServer is a shorter name for use in lists.
 type backendServer = backend.Server
 
-// streamed is the whole stream of n events that the test's servers make.
-func streamed(from, to int) string {
+// eventsText returns the text of the events of a test stream in a range.
+func eventsText(from, to int) string {
 	var b strings.Builder
 	for i := from; i <= to; i++ {
 		fmt.Fprintf(&b, "id: %d\ndata: piece %d\n\n", i, i)
@@ -27,8 +27,8 @@
 	return b.String()
 }
 
-// events answers with the events after Last-Event-Id up to stop, then ends as
-// the func says.
+// events answers with the events after Last-Event-Id up to stop. If that is before last, end then
+// breaks the answer off.
 func events(stop, last int, end func(net.Conn)) answerer {
 	return func(w http.ResponseWriter, r *http.Request, s seen) {
 		first := 1
@@ -38,7 +38,7 @@
 		w.Header().Set("Content-Type", "text/event-stream")
 		w.Header().Set(testHeaders.Seal, "seal-"+s.server)
 		w.Header().Set(testHeaders.RequestID, s.id)
-		_, _ = io.WriteString(w, streamed(first, min(stop, last)))
+		_, _ = io.WriteString(w, eventsText(first, min(stop, last)))
 		_ = http.NewResponseController(w).Flush()
 		if stop >= last {
 			return
@@ -51,8 +51,8 @@
 	}
 }
 
-// cut closes with a reset.
-func cut(conn net.Conn) {
+// resetConnection closes a connection with a reset.
+func resetConnection(conn net.Conn) {
 	_ = conn.(*net.TCPConn).SetLinger(0)
 	_ = conn.Close()
 }
@@ -60,7 +60,7 @@
 // halfEvent breaks off within an event.
 func halfEvent(conn net.Conn) {
 	_, _ = io.WriteString(conn, "10\r\nid: 4\ndata: piec\r\n")
-	cut(conn)
+	resetConnection(conn)
 }
 
 func streamRoute(resumable bool) route.Route {
@@ -70,20 +70,20 @@
 
 func TestStreamIsPassedOnWhole(t *testing.T) {
 	s := newSite(t, streamRoute(false), events(5, 5, nil))
-	if got := s.post("id", "x"); got.err != nil || got.body != streamed(1, 5) {
+	if got := s.post("id", "x"); got.err != nil || got.body != eventsText(1, 5) {
 		t.Errorf("the caller got %q, %v", got.body, got.err)
 	}
 }
 
-// TestBrokenStreamGoesOnElsewhere: no piece is lost or comes twice, and the head
-// stays that of the first server.
+// TestBrokenStreamGoesOnElsewhere checks that no event is lost or duplicated and that the head is
+// that of the first server.
 func TestBrokenStreamGoesOnElsewhere(t *testing.T) {
-	for name, end := range map[string]func(net.Conn){"cut": cut, "within an event": halfEvent} {
+	for name, end := range map[string]func(net.Conn){"cut": resetConnection, "within an event": halfEvent} {
 		t.Run(name, func(t *testing.T) {
 			s := newSite(t, streamRoute(true), events(3, 8, end), events(8, 8, nil))
 			s.relay.Servers.Snapshot().Member("server-1").Failed(time.Now())
 			got := s.post("id", "x")
-			if got.err != nil || got.body != streamed(1, 8) || got.header.Get(testHeaders.Seal) != "seal-server-0" {
+			if got.err != nil || got.body != eventsText(1, 8) || got.header.Get(testHeaders.Seal) != "seal-server-0" {
 				t.Errorf("the caller got %q, %v, seal %q", got.body, got.err, got.header.Get(testHeaders.Seal))
 			}
 			arrived := s.arrivals()
@@ -94,45 +94,46 @@
 	}
 }
 
-// TestBrokenStreamThatMayNotGoOnLooksBroken: it does not end as a complete one.
+// TestBrokenStreamThatMayNotGoOnLooksBroken checks that a broken stream does not end like a
+// complete one.
 func TestBrokenStreamThatMayNotGoOnLooksBroken(t *testing.T) {
-	s := newSite(t, streamRoute(false), events(3, 8, cut), events(8, 8, nil))
+	s := newSite(t, streamRoute(false), events(3, 8, resetConnection), events(8, 8, nil))
 	s.relay.Servers.Snapshot().Member("server-1").Failed(time.Now())
 	got := s.post("id", "x")
 	if got.err == nil {
 		t.Errorf("a broken stream ended as complete: %q", got.body)
 	}
 	if len(s.arrivals()) != 1 {
-		t.Errorf("%d arrivals of a stream that may run once", len(s.arrivals()))
+		t.Errorf("%d requests at servers for a stream that may run once", len(s.arrivals()))
 	}
 }
 
-// TestStalledStreamMovesAndStopsAtTheOldServer: a run that goes on elsewhere has
-// stopped where it was.
+// TestStalledStreamMovesAndStopsAtTheOldServer checks that a run stops at the old server before it
+// continues elsewhere.
 func TestStalledStreamMovesAndStopsAtTheOldServer(t *testing.T) {
 	stalled := func(w http.ResponseWriter, r *http.Request, s seen) {
 		w.Header().Set(testHeaders.Seal, "seal-"+s.server)
 		w.Header().Set(testHeaders.RequestID, s.id)
-		_, _ = io.WriteString(w, streamed(1, 2))
+		_, _ = io.WriteString(w, eventsText(1, 2))
 		_ = http.NewResponseController(w).Flush()
 		<-r.Context().Done()
 	}
 	var s *site
-	// The second server waits until the first one was left.
+	// The second server waits until the connection to the first one is closed.
 	waiting := func(w http.ResponseWriter, r *http.Request, at seen) {
 		select {
-		case <-s.arrivals()[0].left:
+		case <-s.arrivals()[0].disconnected:
 		case <-time.After(3 * time.Second):
-			t.Error("the old server still works on a stream that went on elsewhere")
+			t.Error("the old server still works on a stream that continued elsewhere")
 		}
 		events(6, 6, nil)(w, r, at)
 	}
 	s = newSite(t, streamRoute(true), stalled, waiting)
-	for range 4 { // so that the first is preferred
+	for range 4 { // makes the first server preferred
 		s.relay.Servers.Snapshot().Member("server-1").Begin(time.Now(), "")
 	}
 	got := s.post("id", "x")
-	if got.err != nil || got.body != streamed(1, 6) {
+	if got.err != nil || got.body != eventsText(1, 6) {
 		t.Errorf("the caller got %q, %v", got.body, got.err)
 	}
 	arrived := s.arrivals()
@@ -141,14 +142,14 @@
 	}
 }
 
-// TestStreamLeavesAServerThatWillBeGone: a server that leaves at short notice
-// loses its streams in time.
+// TestStreamLeavesAServerThatWillBeGone checks that a stream moves in time from a server that
+// leaves at short notice.
 func TestStreamLeavesAServerThatWillBeGone(t *testing.T) {
 	slow := func(w http.ResponseWriter, r *http.Request, s seen) {
 		w.Header().Set(testHeaders.Seal, "seal-"+s.server)
 		w.Header().Set(testHeaders.RequestID, s.id)
 		for i := 1; i <= 200 && r.Context().Err() == nil; i++ {
-			_, _ = io.WriteString(w, streamed(i, i))
+			_, _ = io.WriteString(w, eventsText(i, i))
 			_ = http.NewResponseController(w).Flush()
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -164,43 +165,43 @@
 	leaving.Draining, leaving.LeaveAt, leaving.Version = true, time.Now().Add(leaveMargin+100*time.Millisecond), 2
 	s.relay.Servers.Replace([]*backendServer{&leaving, s.servers[1]}, 2)
 	got := <-done
-	if got.err != nil || got.body != streamed(1, 200) {
+	if got.err != nil || got.body != eventsText(1, 200) {
 		t.Errorf("the caller got %d bytes, %v", len(got.body), got.err)
 	}
 	if arrived := s.arrivals(); len(arrived) != 2 || arrived[1].server != "server-1" {
-		t.Errorf("the stream did not move: %d arrivals", len(arrived))
+		t.Errorf("the stream did not move: %d requests at servers", len(arrived))
 	}
 }
 
-// TestResumedStreamThatFailsLooksBroken: a failure of the server that was to go
-// on is no part of the answer, and does not end it.
+// TestResumedStreamThatFailsLooksBroken checks that a failure of the next server is neither part of
+// the answer nor its regular end.
 func TestResumedStreamThatFailsLooksBroken(t *testing.T) {
-	s := newSite(t, streamRoute(true), events(3, 8, cut), sealed(http.StatusInternalServerError, "bad"))
-	for range 4 { // so that the first is preferred
+	s := newSite(t, streamRoute(true), events(3, 8, resetConnection), sealed(http.StatusInternalServerError, "bad"))
+	for range 4 { // makes the first server preferred
 		s.relay.Servers.Snapshot().Member("server-1").Begin(time.Now(), "")
 	}
 	got := s.post("id", "x")
-	if got.err == nil || got.body != streamed(1, 3) {
+	if got.err == nil || got.body != eventsText(1, 3) {
 		t.Errorf("the caller got %q as a complete answer (%v)", got.body, got.err)
 	}
 }
 
-// lateWaker says that a model will be ready after the target of the test's route.
+// lateWaker reports that a model will be ready after the target of the test's route.
 type lateWaker struct{}
 
-func (lateWaker) Wake(context.Context, Wish) (Outlook, error) {
-	return Outlook{ReadyIn: 3 * time.Second}, nil
+func (lateWaker) Wake(context.Context, LoadRequest) (LoadStatus, error) {
+	return LoadStatus{ReadyIn: 3 * time.Second}, nil
 }
 
-// TestBrokenStreamWaitsForItsModel: a stream that has begun is not refused while
-// it could still go on.
+// TestBrokenStreamWaitsForItsModel checks that a stream that has begun is not refused while it can
+// still continue.
 func TestBrokenStreamWaitsForItsModel(t *testing.T) {
 	r := streamRoute(true)
 	r.Sticky = true // the service has an engine with the model m
 	var s *site
 	goneThenCut := func(conn net.Conn) {
 		s.relay.Servers.Replace(s.servers[1:], 3)
-		cut(conn)
+		resetConnection(conn)
 	}
 	s = newSite(t, r, events(3, 8, goneThenCut), events(8, 8, nil))
 	s.relay.Waker = lateWaker{}
@@ -217,22 +218,22 @@
 	holds.Version, holds.Models = 2, []backend.Holding{{Model: "m"}}
 	time.Sleep(300 * time.Millisecond)
 	s.relay.Servers.Replace([]*backendServer{&holds}, 4)
-	if got := <-done; got.err != nil || got.body != streamed(1, 8) {
+	if got := <-done; got.err != nil || got.body != eventsText(1, 8) {
 		t.Errorf("the caller got %q, %v", got.body, got.err)
 	}
 }
 
-// TestServersThatEndedDoNotCount: the route allows one server, and the one that
-// had the request crashed.
-func TestServersThatEndedDoNotCount(t *testing.T) {
+// TestCrashedServersDoNotCount crashes the server of a request whose route allows one server. The
+// request may go to another one.
+func TestCrashedServersDoNotCount(t *testing.T) {
 	for name, whenCut := range map[string]int{"before its answer": 0, "midway": 3} {
 		t.Run(name, func(t *testing.T) {
 			r := streamRoute(true)
 			r.MaxAttempts = 1
 			var s *site
 			crash := func(conn net.Conn) {
-				s.end(0)
-				cut(conn)
+				s.crash(0)
+				resetConnection(conn)
 			}
 			first := events(whenCut, 8, crash)
 			if whenCut == 0 {
@@ -244,27 +245,27 @@
 			s = newSite(t, r, first, events(8, 8, nil))
 			s.relay.Servers.Snapshot().Member("server-1").Failed(time.Now())
 			got := s.post("id", "x")
-			if got.err != nil || got.body != streamed(1, 8) {
+			if got.err != nil || got.body != eventsText(1, 8) {
 				t.Errorf("the caller got %q, %v", got.body, got.err)
 			}
 			if n := len(s.arrivals()); n != 2 {
-				t.Errorf("%d arrivals", n)
+				t.Errorf("%d requests at servers, want 2", n)
 			}
 		})
 	}
 }
 
-// TestServersThatRunOnCount: the route allows one server, and the one that had
-// the request lost its answer and runs on.
-func TestServersThatRunOnCount(t *testing.T) {
+// TestRunningServersCount breaks the connection to a running server of a request whose route allows
+// one server. The request must not go to another one.
+func TestRunningServersCount(t *testing.T) {
 	r := streamRoute(true)
 	r.MaxAttempts = 1
-	s := newSite(t, r, events(3, 8, cut), events(8, 8, nil))
+	s := newSite(t, r, events(3, 8, resetConnection), events(8, 8, nil))
 	s.relay.Servers.Snapshot().Member("server-1").Failed(time.Now())
 	if got := s.post("id", "x"); got.err == nil {
 		t.Errorf("the caller got %q as a complete answer", got.body)
 	}
 	if n := len(s.arrivals()); n != 1 {
-		t.Errorf("%d arrivals at servers that run on, of a request that may go to one", n)
+		t.Errorf("%d requests at running servers, want 1", n)
 	}
 }
--- a/pkg/site/site.go
+++ b/pkg/site/site.go
@@ -148,7 +148,7 @@
 	s.relay = &relay.Relay{
 		Headers: s.Headers, Node: s.Self.Name, Zone: s.Self.Zone, Regions: s.Regions, Routes: s.Routes, Keys: s.Keys, Quotas: s.member, Servers: s.Servers, Waker: s.member,
 		Quarantine: s.member, Slots: s.member, Places: s.member, Mover: s.Mover, DrainTime: s.DrainTime,
-		Nodes: s.member.Fleet, Budget: s.Budget, Lender: s.member, Began: s.budgetBegan(clock.Now()), Logger: s.Logger.Named("relay"),
+		Nodes: s.member.Fleet, Budget: s.Budget, Lender: s.member, BudgetStart: s.budgetBegan(clock.Now()), Logger: s.Logger.Named("relay"),
 		Metrics: relay.NewMetrics(s.Registry), Arrived: s.member.Arrived,
 	}
 	return l, holder, transport
@@ -326,7 +326,7 @@
 		time.Sleep(stopLook)
 	}
 	unfinished := s.relay.InFlight()
-	s.relay.End()
+	s.relay.CancelAll()
 	ctx, cancel := context.WithTimeout(context.Background(), lastWords)
 	defer cancel()
 	_ = server.Shutdown(ctx) // what is still open then is cut off
