--- a/pkg/clock/lint_test.go
+++ b/pkg/clock/lint_test.go
@@ -19,7 +19,7 @@
 var steadyUses = map[string]string{
 	"pkg/lease/lease.go: due := time.Now().Add(first)":                                                                   "when a timer fires, which goes by the steady clock",
 	"pkg/lease/lease.go: due = time.Now().Add(pause)":                                                                    "the same",
-	"pkg/lease/lease.go: if pause, may := l.freeIn(); may && time.Until(due) > pause {":                                  "the same",
+	"pkg/lease/lease.go: if pause, may := l.pollAfterSuspicion(); may && time.Until(due) > pause {":                                  "the same",
 	"pkg/backend/conn.go: _ = c.SetReadDeadline(time.Now().Add(answerAfterReset))":                                       "deadlines of connections go by the steady clock",
 	"pkg/backend/conn.go: _ = a.conn.SetReadDeadline(time.Now().Add(d)) // an end of the connection shows with the read": "the same",
 	`platform/run.go: Name: settings.Name, Life: time.Now().UnixNano(), Zone: settings.Zone,`:                            "numbers lives by the time of day",
--- a/pkg/coordinator/handover.go
+++ b/pkg/coordinator/handover.go
@@ -112,7 +112,7 @@
 	for _, i := range intents {
 		at := now.Add(-time.Duration(storeNow-i.At) * time.Millisecond)
 		quiet := at.Add(h.Turns + lease.PermitTime)
-		if h.Fenced && i.Term == h.Lease.OwnTerm() {
+		if h.Fenced && i.Term == h.Lease.OwnPreviousTerm() {
 			quiet = at
 		}
 		if i.Server == everyServer {
@@ -143,9 +143,9 @@
 // to refuse what may still come from it before it gets orders.
 func (h *Holder) takeOver(term uint64) {
 	record, _ := h.Lease.Current()
-	before := h.Lease.Before()
+	before := h.Lease.Previous()
 	h.taking, h.guarding = false, false
-	if since, is := h.Lease.AfterCopy(); is {
+	if since, is := h.Lease.TookOverAfterRestore(); is {
 		h.takeOverCopy(since, before)
 		return
 	}
@@ -154,7 +154,7 @@
 		return // this life went on in a new term after the store came back: the record tells of all its orders
 	case !h.Fenced || before.Holder == "":
 		return // it never goes on without the store, or it released the lease
-	case h.Lease.OwnTerm() > 0:
+	case h.Lease.OwnPreviousTerm() > 0:
 		h.guard("an earlier life of this node") // which can't be asked any more
 		return
 	}
--- a/pkg/coordinator/harness_test.go
+++ b/pkg/coordinator/harness_test.go
@@ -428,7 +428,7 @@
 	n.servers.Replace(s.list, 1)
 	n.lease = &lease.Lease{Store: n.store, Self: name, Address: name}
 	if machine, _, several := strings.Cut(name, "/"); several {
-		n.lease.Lives, n.lease.Address = machine+"/", machine
+		n.lease.IncarnationPrefix, n.lease.Address = machine+"/", machine
 	}
 	decider, _ := policy.ByName(policy.NameDemandFirst)
 	n.holder = &Holder{Quarantine: new(quarantine.Table),
@@ -436,7 +436,7 @@
 		Transport: directTransport{site: s}, Decider: decider, Turns: turns, Fenced: s.fenced,
 		Ceiling: Ceiling{Window: window}, Budget: s.budget(), Logger: s.logger, Nodes: func() []Node { return s.nodes },
 	}
-	n.lease.Fleet, n.lease.GoOn = n.holder.Fleet, n.holder.MayGoOn
+	n.lease.Fleet, n.lease.AllowOffline = n.holder.Fleet, n.holder.MayGoOn
 	s.mu.Lock()
 	s.running[name] = n
 	s.mu.Unlock()
--- a/pkg/coordinator/holder.go
+++ b/pkg/coordinator/holder.go
@@ -218,7 +218,7 @@
 	h.expiredAt, h.begunAt = now, now
 	h.followed.Store(nil)
 	h.asking.Store(nil)
-	_, copied := h.Lease.AfterCopy()
+	_, copied := h.Lease.TookOverAfterRestore()
 	h.fleet.begin(now, record.Fleet, len(h.Nodes()), copied)
 	h.slack.Budget = h.Budget
 	h.slack.Begin(now)
--- a/pkg/coordinator/world_test.go
+++ b/pkg/coordinator/world_test.go
@@ -152,7 +152,7 @@
 	if w.addressesStay {
 		address = fmt.Sprintf("node-%d", i)
 	}
-	own := &lease.Lease{Store: n, Self: n.name, Lives: fmt.Sprintf("node-%d/", i), Address: address}
+	own := &lease.Lease{Store: n, Self: n.name, IncarnationPrefix: fmt.Sprintf("node-%d/", i), Address: address}
 	decider, _ := policy.ByName(policy.NameDemandFirst)
 	n.node = &node{servers: servers, lease: own, stop: cancel}
 	known := new(quarantine.Table)
@@ -165,7 +165,7 @@
 		Lease: own, Holder: n.holder, Transport: n, Servers: servers, Logger: hclog.NewNullLogger(),
 	}
 	n.holder.Nodes, n.holder.Unheard, n.holder.ScarceTold = n.member.Nodes, n.member.Unheard, n.member.ScarceTold
-	own.Fleet, own.GoOn = n.holder.Fleet, n.holder.MayGoOn
+	own.Fleet, own.AllowOffline = n.holder.Fleet, n.holder.MayGoOn
 	own.Quotas = n.holder.QuotaBalances
 	own.Quarantine = func(recorded []quarantine.Aged) []quarantine.Aged { return known.Keep(time.Now(), recorded) }
 	if *exploreLogs {
--- a/pkg/lease/commit.go
+++ b/pkg/lease/commit.go
@@ -7,33 +7,33 @@
 	"martenwheel.dev/pkg/clock"
 )
 
-// commit is a wish to write intents.
-type commit struct {
+// commitRequest asks the goroutine of Run to write intents.
+type commitRequest struct {
 	intents []Intent
 	result  chan error
-	started time.Time
+	started time.Time // start of the write that had the intents
 }
 
-// Permit allows the orders whose intents were written.
+// Permit allows the node to give the orders whose intents were written.
 type Permit struct {
 	Term    uint64
 	Until   time.Time
-	Offline bool // the intents are not in the store's record yet
+	Offline bool // the intents are not in the stored record yet
 
 	time clock.Clock
 }
 
-// Valid tells whether orders may still be given by the permit.
+// Valid reports whether orders may still be given under the permit.
 func (p Permit) Valid() bool { return p.time.Now().Before(p.Until) }
 
-// Commit writes intents and returns the permit for their orders. A holder that goes on
-// without the store notes them, to be written later.
+// Commit writes intents to the record and returns the permit for their orders. A holder that continues
+// offline keeps the intents in memory and writes them once the store answers again.
 func (l *Lease) Commit(ctx context.Context, intents []Intent) (Permit, error) {
 	l.init()
 	if permit, offline := l.commitOffline(intents); offline {
 		return permit, nil
 	}
-	c := &commit{intents: intents, result: make(chan error, 1)}
+	c := &commitRequest{intents: intents, result: make(chan error, 1)}
 	select {
 	case l.commits <- c:
 	case <-ctx.Done():
@@ -54,9 +54,9 @@
 	}
 }
 
-// serveCommits writes the intents of all that wait in one write.
-func (l *Lease) serveCommits(ctx context.Context, first *commit) {
-	waiting := []*commit{first}
+// serveCommits writes the intents of all waiting requests in one write.
+func (l *Lease) serveCommits(ctx context.Context, first *commitRequest) {
+	waiting := []*commitRequest{first}
 	for more := true; more; {
 		select {
 		case c := <-l.commits:
--- a/pkg/lease/lease.go
+++ b/pkg/lease/lease.go
@@ -1,16 +1,14 @@
-// Package lease keeps one record in the platform's store that tells which node
-// coordinates, and what it is about to do. A lease only says when another node
-// may try; whether an order takes effect is judged by the servers, by the
-// record's term as the fence.
+// Package lease keeps one record in the platform's store that names the node that coordinates the site and
+// the orders that it is about to give. The lease only tells when another node may try to take over; whether
+// an order takes effect is decided by the servers, which use the record's term as a fence.
 //
-// Each order is preceded by a conditional write of its intent: a holder that was
-// deposed while it was paused fails to write and gives no order, and the next
-// holder reads what may still be on its way.
+// Each order is preceded by a conditional write of its intent. A holder that was replaced while it was paused
+// fails to write and gives no order, and the next holder reads which orders may still arrive.
 //
-// lease.go takes, renews and releases the lease; look.go tells when to look at the record
-// of another holder; commit.go has the intents of orders written; offline.go has a holder
-// go on while the store does not answer; write.go and insist.go write the record and find
-// out what became of a write whose answer was lost; record.go is what the store keeps.
+// lease.go takes, renews and releases the lease; poll.go decides when to read the record while another node
+// holds it; commit.go writes the intents of orders; offline.go lets a holder continue while the store does
+// not answer; write.go and retry.go write the record and find out the outcome of writes whose answer was
+// lost; restored.go handles a store that was restored from a backup; record.go defines what is stored.
 package lease
 
 import (
@@ -27,141 +25,139 @@
 	"martenwheel.dev/pkg/quota"
 )
 
-// Times of a lease.
+// Times and limits of a lease.
 const (
 	// Renewal is the time between two renewals.
 	Renewal = 700 * time.Millisecond
-	// Hold is how long a holder counts itself as such after the start of its
-	// last renewal. It is shorter than Expiry, so that the holder stops first.
+	// Hold is how long a holder regards itself as the holder after the start of its last renewal. It is
+	// shorter than Expiry, so that the holder stops before another node takes over.
 	Hold = 2 * time.Second
-	// Expiry is the age of a renewal at which another node may take over.
+	// Expiry is the age of the last renewal at which another node may take over.
 	Expiry = 2500 * time.Millisecond
-	// PermitTime bounds the time from the start of the write of an intent to
-	// its order.
+	// PermitTime limits the time between the start of an intent's write and its order.
 	PermitTime = 800 * time.Millisecond
 	// IntentTime is how long intents stay in the record.
 	IntentTime = 12 * time.Second
 
-	callTimeout = 800 * time.Millisecond
-	lookPause   = 400 * time.Millisecond
-	lookRest    = time.Minute
-	// mostDoublings bounds the pause after looks that fail: 1.6 s, so that many nodes
-	// before a store that is down don't all ask it several times a second.
-	mostDoublings = 2
-	// promptLooks is how many looks in a row for suspicions are taken at once: a holder
-	// that stops as planned releases the lease about when it stops to answer.
-	promptLooks = 1
-	// episode is the time after which a suspicion counts as a new one.
-	episode    = 2 * Expiry
-	maxIntents = 200
+	callTimeout      = 800 * time.Millisecond // of one call of the store
+	pollInterval     = 400 * time.Millisecond // between reads of a record that is free
+	heldPollInterval = time.Minute            // between reads of a record that another node holds
+	// maxDoublings limits the interval after failed reads to 1.6 s. Without the growing interval, many nodes
+	// would each ask a store that is down several times a second.
+	maxDoublings = 2
+	// promptPolls is how many suspicions in a row lead to a read at once: on a planned stop a holder releases
+	// the lease at about the time when it stops answering.
+	promptPolls = 1
+	// suspicionWindow is the time since the last read after which a suspicion starts a new series.
+	suspicionWindow = 2 * Expiry
+	maxIntents      = 200 // kept in the record; the oldest are dropped
 )
 
-// Lease is this node's part in holding the lease. Set the fields before Run.
+// Lease takes, holds and observes the lease for this node. Set the exported fields before Run.
 type Lease struct {
-	Store   Store
-	Self    string // name of this life of the node; unique
-	Lives   string // what the names of all lives of the node begin with; empty: not told
-	Address string
-	// Eager tells whether this node is among the few on which the others rely to take
-	// the lease: those ask a store that fails without growing pauses. It may be nil.
+	Store             Store
+	Self              string // unique name of this incarnation of the node
+	IncarnationPrefix string // common prefix of the names of all incarnations of this node; empty: unknown
+	Address           string // of this node, for other nodes
+	// Eager reports whether this node is one of the few that are expected to take the lease. Such nodes poll
+	// a failing store without a growing interval. It may be nil.
 	Eager func() bool
-	// First tells that the whole site starts for the first time: nodes then look one after
-	// the other, so that the first one takes the lease and the others find it held.
-	First bool
-	// Patience tells how long this node leaves a free lease to better ones; none if nil.
-	// It may be called with the lease locked and is not to call it.
-	Patience func() time.Duration
-	// Fleet tells how many nodes the site has, for the record; zero keeps what the
-	// record says. It may be nil.
+	// FirstStart tells that the whole site starts for the first time. Nodes then read the record at different
+	// times, so that the first one takes the lease and the others find it held.
+	FirstStart bool
+	// TakeoverDelay returns how long this node leaves a free lease to better suited nodes; nil means no
+	// delay. It may be called with the lease locked and must not call the lease.
+	TakeoverDelay func() time.Duration
+	// Fleet returns the number of nodes of the site, which is stored in the record; zero keeps the stored
+	// number. It may be nil.
 	Fleet func() int
-	// GoOn tells whether this node, as the holder, may give orders while the store does not
-	// answer: servers refuse those of lower terms, and most nodes follow it. Nil: it may
-	// not. It is called with the lease locked and is not to call it.
-	GoOn func() bool
-	// Quarantine takes in the evidence that the record has and returns what it is to have; the
-	// record keeps its own if nil. It is called with the lease locked and is not to call it.
+	// AllowOffline reports whether this node, as the holder, may give orders while the store does not answer.
+	// This is safe if servers refuse orders of lower terms and most nodes report to this holder. If nil, it
+	// may not. It is called with the lease locked and must not call the lease.
+	AllowOffline func() bool
+	// Quarantine takes in the evidence in the record and returns the evidence that the record is to have; if
+	// nil, the record keeps its evidence. It is called with the lease locked and must not call the lease.
 	Quarantine func(recorded []quarantine.Aged) []quarantine.Aged
-	// Quotas returns what scarce tenants' quotas hold, as the record is to have it; false if it
-	// keeps its own, as it does if this is nil. It is called with the lease locked and is not to
-	// call it.
+	// Quotas returns the balances of scarce tenants' quotas that the record is to have. If it returns false
+	// or is nil, the record keeps its balances. It is called with the lease locked and must not call the
+	// lease.
 	Quotas func(term uint64) ([]quota.Balance, bool)
 	Time   clock.Clock
 	Log    func(message string, fields ...any)
 
-	mu         sync.Mutex
-	seen       Stored
-	epochSince time.Time // since when the store has been in the epoch of seen, as far as is known
-	known      bool
-	told       Record        // by its holder, maybe newer than seen
-	offset     time.Duration // the store's clock less the steady one
-	term       uint64        // held; zero: none
-	until      time.Time     // end of the hold
-	start      time.Time     // zero of the steady clock
-	suspects   chan struct{}
-	waited     bool      // the free lease was left to better nodes
-	failed     int       // looks that failed in a row
-	vain       int       // looks for suspicions that found the record held, in a row
-	asked      bool      // the next look is for a suspicion
-	looks      time.Time // when the record was last looked at
-	commits    chan *commit
-	pace       pace
+	mu               sync.Mutex
+	seen             Stored              // newest record that was read or written
+	epochSince       time.Time           // when this node first saw the epoch of seen
+	known            bool                // seen is set
+	announced        Record              // by a holder to other nodes; may be newer than seen
+	clockOffset      time.Duration       // store's clock less the local monotonic clock
+	term             uint64              // that this node holds; zero: none
+	holdUntil        time.Time           // end of the hold time
+	start            time.Time           // zero of the local monotonic clock
+	suspicions       chan struct{}       // wakes Run after a Suspect
+	deferred         bool                // the free lease was left to better suited nodes
+	failedPolls      int                 // reads that failed in a row
+	suspicionPolls   int                 // successful reads in a row that were due to suspicions
+	pollForSuspicion bool                // the next read is due to a suspicion
+	lastPoll         time.Time           // time of the last successful read
+	commits          chan *commitRequest // requests to Run to write intents
+	writeLatency     latency             // of the store's answers to writes
 
-	failing   time.Time // start of the first write of the holder that failed; zero: the last one was done
-	unwritten []Intent  // of orders given since
-	lastTerm  uint64    // that this life held
-	before    Record    // that this life's last term took the place of
-	afterCopy bool      // that record was of a copy of the store, and may not have been the last one
+	failingSince       time.Time // start of the first failed write of the holder; zero: the last one succeeded
+	unwritten          []Intent  // intents of orders given offline
+	lastTerm           uint64    // last term that this incarnation held
+	previous           Record    // record that the last term of this incarnation replaced
+	previousFromBackup bool      // previous came from a restored store and may not have been the last record
 }
 
 func (l *Lease) init() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.suspects == nil {
+	if l.suspicions == nil {
 		l.start = l.Time.Now()
-		l.suspects = make(chan struct{}, 1)
-		l.commits = make(chan *commit)
+		l.suspicions = make(chan struct{}, 1)
+		l.commits = make(chan *commitRequest)
 	}
 }
 
-// Current returns the newest record that was seen or told.
+// Current returns the newest record that was read or announced.
 func (l *Lease) Current() (Record, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.told.Term > l.seen.Record.Term {
-		return l.told, true
+	if l.announced.Term > l.seen.Record.Term {
+		return l.announced, true
 	}
 	return l.seen.Record, l.known
 }
 
-// Announced takes in what a holder tells of itself. It is a hint: only the
-// stored record counts for taking the lease.
+// Announced takes in the record that a holder announces. It is only a hint: taking the lease depends on the
+// stored record alone.
 func (l *Lease) Announced(r Record) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if r.Term > l.told.Term {
-		l.told = r
+	if r.Term > l.announced.Term {
+		l.announced = r
 	}
 }
 
-// Held returns the term in which this node holds the lease now, or goes on without the
-// store; false if it does neither.
+// Held returns the term in which this node holds the lease or continues offline, and false if it does
+// neither.
 func (l *Lease) Held() (uint64, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.term, l.term > 0 && (l.Time.Now().Before(l.until) || l.offline())
+	return l.term, l.term > 0 && (l.Time.Now().Before(l.holdUntil) || l.offline())
 }
 
-// Suspect makes the lease look at the record, as soon as it may be free by what is known
-// of it: its holder does not answer.
+// Suspect reports that the holder does not answer. The record is read as soon as it may be free.
 func (l *Lease) Suspect() {
 	l.init()
 	select {
-	case l.suspects <- struct{}{}:
+	case l.suspicions <- struct{}{}:
 	default:
 	}
 }
 
-// Resign gives up the term, as when a server refused its fence.
+// Resign gives up the term, for example after a server refused its fence.
 func (l *Lease) Resign(term uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -171,25 +167,25 @@
 	}
 }
 
-// Now returns the store's clock as far as it is known.
+// Now returns the estimated time of the store's clock in milliseconds.
 func (l *Lease) Now() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.storeNow()
 }
 
+// storeNow is like Now. The caller holds mu.
 func (l *Lease) storeNow() int64 {
-	return (l.Time.Since(l.start) + l.offset).Milliseconds()
+	return (l.Time.Since(l.start) + l.clockOffset).Milliseconds()
 }
 
-// Run looks for a free lease, takes it and renews it until ctx ends; then it
-// releases the lease.
+// Run polls for a free lease, takes it and renews it until ctx ends; then it releases the lease.
 func (l *Lease) Run(ctx context.Context) {
 	l.init()
 	first := time.Duration(0)
-	if l.First {
-		first = l.patience() + rand.N(lookPause)
-		l.setWaited(true)
+	if l.FirstStart {
+		first = l.takeoverDelay() + rand.N(pollInterval)
+		l.setDeferred(true)
 	}
 	timer := time.NewTimer(first)
 	defer timer.Stop()
@@ -203,76 +199,76 @@
 		case <-ctx.Done():
 			l.release()
 			return
-		case <-l.suspects:
-			// A look that is due sooner stays: suspicions may come at any rate.
-			if pause, may := l.freeIn(); may && time.Until(due) > pause {
+		case <-l.suspicions:
+			// An earlier poll is not put off, as suspicions may come at any rate.
+			if pause, may := l.pollAfterSuspicion(); may && time.Until(due) > pause {
 				next(pause)
 			}
 		case c := <-l.commits:
 			l.serveCommits(ctx, c)
 			next(Renewal)
 		case <-timer.C:
-			next(l.turn(ctx))
+			next(l.renewOrPoll(ctx))
 		}
 	}
 }
 
-// jitter spreads a pause over half to one and a half of it.
+// jitter returns a random pause between half and one and a half times the given one.
 func jitter(pause time.Duration) time.Duration {
 	return pause/2 + time.Duration(rand.Int64N(int64(pause)+1))
 }
 
-// turn renews the lease or looks whether it is free, and returns when to do it
-// again.
-func (l *Lease) turn(ctx context.Context) time.Duration {
+// renewOrPoll renews the lease, or reads the record and takes the lease if it is free. It returns when to
+// call it again.
+func (l *Lease) renewOrPoll(ctx context.Context) time.Duration {
 	if _, held := l.heldTerm(); held {
 		switch err := l.renew(ctx, nil); {
 		case errors.Is(err, errEpochWait):
-			return min(Renewal, max(l.epochWait(l.lastSeen()), 0)+time.Millisecond)
+			return min(Renewal, max(l.epochWaitLeft(l.lastSeen()), 0)+time.Millisecond)
 		case err != nil:
-			return jitter(lookPause / 2)
+			return jitter(pollInterval / 2)
 		}
 		return Renewal
 	}
 	s, err := l.read(ctx)
-	doublings := l.looked(err)
+	doublings := l.notePoll(err)
 	if err != nil && l.Eager != nil && l.Eager() {
-		return jitter(lookPause)
+		return jitter(pollInterval)
 	}
 	if err != nil {
-		return jitter(lookPause << doublings)
+		return jitter(pollInterval << doublings)
 	}
-	if s.copied() {
-		s = l.lastSeen() // with what this node knows and the copy lacks
+	if s.fromEarlierEpoch() {
+		s = l.lastSeen() // includes what this node knows and the backup lacks
 	}
-	own := l.ownLife(s) && !s.copied()
-	if !l.free(s) && !own {
-		l.setWaited(false)
-		return l.rest(s)
+	ownEarlier := l.heldByEarlierIncarnation(s) && !s.fromEarlierEpoch()
+	if !l.free(s) && !ownEarlier {
+		l.setDeferred(false)
+		return l.nextPoll(s)
 	}
-	if pause := l.patience(); pause > 0 && !own && !l.setWaited(true) {
-		return pause + rand.N(lookPause/4)
+	if pause := l.takeoverDelay(); pause > 0 && !ownEarlier && !l.setDeferred(true) {
+		return pause + rand.N(pollInterval/4)
 	}
-	l.setWaited(false)
-	err = l.take(ctx, s)
+	l.setDeferred(false)
+	err = l.acquire(ctx, s)
 	switch {
 	case err == nil:
 		return Renewal
 	case errors.Is(err, ErrConflict):
-		return l.rest(l.lastSeen())
+		return l.nextPoll(l.lastSeen())
 	default:
-		return jitter(lookPause)
+		return jitter(pollInterval)
 	}
 }
 
-// lastSeen returns the newest record that was seen.
+// lastSeen returns the newest record that was read or written.
 func (l *Lease) lastSeen() Stored {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.seen
 }
 
-// heldTerm returns the term that was not lost, though its hold may be over.
+// heldTerm returns the term that this node took and has not lost, even if its hold time is over.
 func (l *Lease) heldTerm() (uint64, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -284,31 +280,31 @@
 	defer cancel()
 	s, err := l.Store.Read(ctx)
 	if err == nil {
-		l.see(s)
+		l.observe(s)
 	}
 	return s, err
 }
 
-// see takes in a record that was read.
-func (l *Lease) see(s Stored) {
+// observe takes in a record that was read.
+func (l *Lease) observe(s Stored) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.offset = time.Duration(s.Now)*time.Millisecond - l.Time.Since(l.start)
+	l.clockOffset = time.Duration(s.Now)*time.Millisecond - l.Time.Since(l.start)
 	if l.known && s.Version < l.seen.Version {
 		return
 	}
-	l.sawEpoch(s)
-	if l.known && s.copied() {
-		s.Record = merged(l.seen.Record, s.Record)
+	l.noteEpoch(s)
+	if l.known && s.fromEarlierEpoch() {
+		s.Record = mergeRecords(l.seen.Record, s.Record)
 	}
 	if l.Quarantine != nil {
-		l.Quarantine(s.Record.Aged(s.Now)) // a node that no holder tells learns of it here
+		l.Quarantine(s.Record.Aged(s.Now)) // for nodes that get no reports from a holder
 	}
 	changed := s.Record.Holder != l.seen.Record.Holder || s.Record.Term != l.seen.Record.Term
 	l.seen, l.known = s, true
 	if l.term > 0 && (s.Record.Term != l.term || s.Record.Holder != l.Self) {
 		l.log("lease lost", "term", l.term, "holder", s.Record.Holder, "new_term", s.Record.Term)
-		l.term, l.failing = 0, time.Time{}
+		l.term, l.failingSince = 0, time.Time{}
 	}
 	if changed {
 		l.log("lease holder", "holder", s.Record.Holder, "address", s.Record.Address, "term", s.Record.Term,
@@ -316,27 +312,27 @@
 	}
 }
 
-// take writes the record of a new term.
-func (l *Lease) take(ctx context.Context, s Stored) error {
+// acquire writes the record of a new term.
+func (l *Lease) acquire(ctx context.Context, s Stored) error {
 	l.mu.Lock()
-	l.before, l.afterCopy = s.Record, s.copied() && !l.surelyHeld()
+	l.previous, l.previousFromBackup = s.Record, s.fromEarlierEpoch() && !l.withinHold()
 	intents := slices.Clone(s.Record.Intents)
 	if l.term > 0 {
 		intents = append(intents, l.unwritten...)
 	}
 	next := Record{
 		Term: s.nextTerm(), Holder: l.Self, Address: l.Address, Renewed: max(s.Now, l.storeNow()), Epoch: s.Version.Epoch(), Mark: newMark(),
-		Fleet: s.Record.Fleet, Intents: fresh(intents, s.Now), Quarantine: s.Record.Quarantine, Quotas: s.Record.Quotas,
+		Fleet: s.Record.Fleet, Intents: unexpired(intents, s.Now), Quarantine: s.Record.Quarantine, Quotas: s.Record.Quotas,
 	}
 	next.EpochAt = s.Record.EpochAt
-	if s.copied() {
+	if s.fromEarlierEpoch() {
 		next.EpochAt = l.storeNow() - l.Time.Since(l.epochSince).Milliseconds()
 	}
 	l.mu.Unlock()
 	return l.put(ctx, next, s)
 }
 
-// release lets another node take over at once.
+// release writes a record without a holder, so that another node can take over at once.
 func (l *Lease) release() {
 	if _, held := l.heldTerm(); !held {
 		return
@@ -345,18 +341,18 @@
 	s := l.seen
 	next := s.Record
 	next.Holder, next.Address, next.Mark = "", "", newMark()
-	next.Intents = fresh(append(slices.Clone(next.Intents), l.unwritten...), l.storeNow())
-	l.tellQuotas(&next, l.storeNow())
+	next.Intents = unexpired(append(slices.Clone(next.Intents), l.unwritten...), l.storeNow())
+	l.updateQuotas(&next, l.storeNow())
 	term := l.term
 	l.term = 0
 	l.mu.Unlock()
-	err := l.giveBack(next, s)
+	err := l.writeRelease(next, s)
 	l.log("lease released", "term", term, "error", err)
 }
 
-// giveBack writes a record without a holder, also if a write of this node whose
-// answer is unknown came between.
-func (l *Lease) giveBack(next Record, over Stored) error {
+// writeRelease writes a record without a holder. It tries again if a write of this node whose outcome was
+// unknown came between.
+func (l *Lease) writeRelease(next Record, over Stored) error {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	s, err := l.Store.Write(ctx, next, over)
--- a/pkg/lease/lease_test.go
+++ b/pkg/lease/lease_test.go
@@ -13,57 +13,57 @@
 	"martenwheel.dev/pkg/quota"
 )
 
-// memory is a store with faults.
-type memory struct {
-	mu      sync.Mutex
-	stored  Stored
-	down    bool
-	lost    int           // answers of writes that are lost, as the caller sees at once
-	silent  int           // answers of writes that never come
-	late    int           // writes that are done only after writeLate, without an answer
-	writes  int           // that were asked for
-	slow    time.Duration // further time of a write
-	inTurn  time.Duration // that each write takes, one after the other
-	free    time.Time     // when the writes that wait are done
-	started time.Time
-	reads   int
+// fakeStore is an in-memory Store with faults that tests can inject.
+type fakeStore struct {
+	mu             sync.Mutex
+	stored         Stored
+	down           bool
+	failedAnswers  int           // number of coming writes that are done but return an error
+	missingAnswers int           // number of coming writes that are done but never answered
+	lateWrites     int           // number of coming writes that are done after lateWriteDelay and never answered
+	writes         int           // number of calls of Write
+	extraWriteTime time.Duration // added to the time of each write
+	writeTime      time.Duration // of each write; writes are done one after the other
+	queueEnd       time.Time     // when the last queued write is done
+	started        time.Time
+	reads          int // number of calls of Read
 }
 
-var errAway = errors.New("the store is away")
+var errUnavailable = errors.New("the store is unavailable")
 
-func (m *memory) now() int64 { return time.Since(m.started).Milliseconds() }
+func (m *fakeStore) now() int64 { return time.Since(m.started).Milliseconds() }
 
-func (m *memory) Read(context.Context) (Stored, error) {
+func (m *fakeStore) Read(context.Context) (Stored, error) {
 	time.Sleep(4 * time.Millisecond)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.reads++
 	if m.down {
-		return Stored{}, errAway
+		return Stored{}, errUnavailable
 	}
 	s := m.stored
 	s.Now = m.now()
 	return s, nil
 }
 
-// writeLate is how late a late write is done.
-const writeLate = 2 * time.Second
+// lateWriteDelay is the delay of late writes.
+const lateWriteDelay = 2 * time.Second
 
-func (m *memory) Write(ctx context.Context, r Record, over Stored) (Stored, error) {
+func (m *fakeStore) Write(ctx context.Context, r Record, over Stored) (Stored, error) {
 	m.mu.Lock()
-	m.free = time.Now().Add(max(time.Until(m.free), 0) + m.inTurn)
-	wait := time.Until(m.free)
+	m.queueEnd = time.Now().Add(max(time.Until(m.queueEnd), 0) + m.writeTime)
+	wait := time.Until(m.queueEnd)
 	m.mu.Unlock()
-	time.Sleep(4*time.Millisecond + m.slow + wait)
+	time.Sleep(4*time.Millisecond + m.extraWriteTime + wait)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.writes++
 	if m.down {
-		return Stored{}, errAway
+		return Stored{}, errUnavailable
 	}
-	if m.late > 0 {
-		m.late--
-		time.AfterFunc(writeLate, func() { _, _ = m.Write(context.Background(), r, over) })
+	if m.lateWrites > 0 {
+		m.lateWrites--
+		time.AfterFunc(lateWriteDelay, func() { _, _ = m.Write(context.Background(), r, over) })
 		m.mu.Unlock()
 		<-ctx.Done()
 		m.mu.Lock()
@@ -75,12 +75,12 @@
 		return s, ErrConflict
 	}
 	m.stored = Stored{Record: r, Version: m.stored.Version + 1, Now: m.now()}
-	if m.lost > 0 {
-		m.lost--
-		return Stored{}, errAway
+	if m.failedAnswers > 0 {
+		m.failedAnswers--
+		return Stored{}, errUnavailable
 	}
-	if m.silent > 0 {
-		m.silent--
+	if m.missingAnswers > 0 {
+		m.missingAnswers--
 		m.mu.Unlock()
 		<-ctx.Done()
 		m.mu.Lock()
@@ -89,30 +89,30 @@
 	return m.stored, nil
 }
 
-func (m *memory) looks() int {
+func (m *fakeStore) readCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.reads
 }
 
-func (m *memory) asked() int {
+func (m *fakeStore) writeCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.writes
 }
 
-func (m *memory) set(f func()) {
+func (m *fakeStore) set(f func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	f()
 }
 
-// run starts a lease and returns how to stop it.
-func run(t *testing.T, m *memory, name string) (*Lease, context.CancelFunc) {
+// run starts a lease with default fields and returns a function that stops it.
+func run(t *testing.T, m *fakeStore, name string) (*Lease, context.CancelFunc) {
 	return runLease(t, &Lease{Store: m, Self: name, Address: name})
 }
 
-// runLease is run for a lease with fields of its own.
+// runLease starts a lease and returns a function that stops it.
 func runLease(t *testing.T, l *Lease) (*Lease, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -131,13 +131,14 @@
 	return ok
 }
 
-func bubble(t *testing.T, f func(t *testing.T, m *memory)) {
+// bubble runs a test with a fake store and virtual time.
+func bubble(t *testing.T, f func(t *testing.T, m *fakeStore)) {
 	t.Helper()
-	synctest.Test(t, func(t *testing.T) { f(t, &memory{started: time.Now()}) })
+	synctest.Test(t, func(t *testing.T) { f(t, &fakeStore{started: time.Now()}) })
 }
 
 func TestOneOfManyHolds(t *testing.T) {
-	bubble(t, func(t *testing.T, m *memory) {
+	bubble(t, func(t *testing.T, m *fakeStore) {
 		var leases []*Lease
 		for _, name := range []string{"a", "b", "c"} {
 			l, stop := run(t, m, name)
@@ -157,10 +158,10 @@
 	})
 }
 
-// TestSuspicionsDoNotPutOffTheLook: however often a holder is missed, the record
-// is looked at.
+// TestSuspicionsDoNotPutOffTheLook guards against a read of the record that is rescheduled by every suspicion
+// and so never happens when suspicions come often.
 func TestSuspicionsDoNotPutOffTheLook(t *testing.T) {
-	bubble(t, func(t *testing.T, m *memory) {
+	bubble(t, func(t *testing.T, m *fakeStore) {
 		m.down = true
 		l, stop := run(t, m, "a")
 		defer stop()
@@ -175,15 +176,15 @@
 	})
 }
 
-// TestTakeoverAfterADeath: another node takes over after Expiry, and the dead
-// one's term is over before.
+// TestTakeoverAfterADeath checks that another node takes over soon after Expiry when the holder dies, and
+// that the two never hold the lease at the same time.
 func TestTakeoverAfterADeath(t *testing.T) {
-	bubble(t, func(t *testing.T, m *memory) {
+	bubble(t, func(t *testing.T, m *fakeStore) {
 		dead, kill := run(t, m, "a")
 		time.Sleep(time.Second)
 		next, stop := run(t, m, "b")
 		defer stop()
-		m.set(func() { m.down = true }) // so that the dead one can't give it back
+		m.set(func() { m.down = true }) // so that the dead holder can't release the lease
 		kill()
 		died := time.Now()
 		time.Sleep(100 * time.Millisecond)
@@ -201,18 +202,19 @@
 	})
 }
 
-// TestPlannedStopHandsOverAtOnce also after a write whose answer was lost.
+// TestPlannedStopHandsOverAtOnce checks that a planned stop hands the lease over at once, also after a write
+// whose answer was lost.
 func TestPlannedStopHandsOverAtOnce(t *testing.T) {
 	for name, lost := range map[string]int{"calm": 0, "answer lost": 1} {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, func(t *testing.T, m *memory) {
+			bubble(t, func(t *testing.T, m *fakeStore) {
 				first, stopFirst := run(t, m, "a")
 				time.Sleep(time.Second)
 				next, stop := run(t, m, "b")
 				defer stop()
 				time.Sleep(100 * time.Millisecond)
 				if lost > 0 {
-					m.set(func() { m.lost = lost })
+					m.set(func() { m.failedAnswers = lost })
 					go func() { _, _ = first.Commit(t.Context(), []Intent{{Server: "s"}}) }()
 					time.Sleep(6 * time.Millisecond)
 				}
@@ -230,16 +232,17 @@
 	}
 }
 
-// TestACommitWithoutAnswerIsFoundOut: the write was done, so the permit is good.
-func TestACommitWithoutAnswerIsFoundOut(t *testing.T) {
-	bubble(t, func(t *testing.T, m *memory) {
+// TestACommitWithoutAnswerReturnsAPermit checks that Commit returns a valid permit if the write was done but its
+// answer was lost.
+func TestACommitWithoutAnswerReturnsAPermit(t *testing.T) {
+	bubble(t, func(t *testing.T, m *fakeStore) {
 		l, stop := run(t, m, "a")
 		defer stop()
 		time.Sleep(time.Second)
-		m.set(func() { m.lost = 1 })
+		m.set(func() { m.failedAnswers = 1 })
 		permit, err := l.Commit(t.Context(), []Intent{{Server: "s", Need: "m"}})
 		if err != nil || !permit.Valid() {
-			t.Errorf("permit %+v, %v", permit, err)
+			t.Errorf("Commit returned permit %+v, error %v", permit, err)
 		}
 		intents := 0
 		for _, i := range m.stored.Record.Intents {
@@ -248,14 +251,15 @@
 			}
 		}
 		if intents != 1 {
-			t.Errorf("the intent stands %d times in the record", intents)
+			t.Errorf("the record has the intent %d times, want once", intents)
 		}
 	})
 }
 
-// TestADeposedHolderGetsNoPermit: it was paused while another took over.
+// TestADeposedHolderGetsNoPermit checks that a holder gets no permit if another node took over while it was
+// paused.
 func TestADeposedHolderGetsNoPermit(t *testing.T) {
-	bubble(t, func(t *testing.T, m *memory) {
+	bubble(t, func(t *testing.T, m *fakeStore) {
 		l, stop := run(t, m, "a")
 		defer stop()
 		time.Sleep(time.Second)
@@ -264,47 +268,49 @@
 			m.stored.Version++
 		})
 		if permit, err := l.Commit(t.Context(), []Intent{{Server: "s"}}); err == nil {
-			t.Errorf("a deposed holder got the permit %+v", permit)
+			t.Errorf("a replaced holder got the permit %+v", permit)
 		}
 		if held(l) {
-			t.Error("a deposed holder still holds")
+			t.Error("a replaced holder still holds the lease")
 		}
 	})
 }
 
-// TestAHolderWithoutTheStoreStops before another may take over.
+// TestAHolderWithoutTheStoreStops checks that a holder that can't reach the store stops before another node
+// may take over.
 func TestAHolderWithoutTheStoreStops(t *testing.T) {
-	bubble(t, func(t *testing.T, m *memory) {
+	bubble(t, func(t *testing.T, m *fakeStore) {
 		l, stop := run(t, m, "a")
 		defer stop()
 		time.Sleep(time.Second)
 		m.set(func() { m.down = true })
 		time.Sleep(Hold)
 		if held(l) {
-			t.Errorf("still held %v after the store went away", Hold)
+			t.Errorf("the lease is still held %v after the store became unavailable", Hold)
 		}
 	})
 }
 
-// TestFollowersAreQuiet: while the holder renews, nobody else reads the record.
-func TestFollowersAreQuiet(t *testing.T) {
-	bubble(t, func(t *testing.T, m *memory) {
+// TestOtherNodesDoNotReadWhileTheHolderRenews guards against nodes that poll the store while there is a
+// working holder.
+func TestOtherNodesDoNotReadWhileTheHolderRenews(t *testing.T) {
+	bubble(t, func(t *testing.T, m *fakeStore) {
 		_, stopFirst := run(t, m, "a")
 		defer stopFirst()
 		time.Sleep(time.Second)
 		_, stop := run(t, m, "b")
 		defer stop()
 		time.Sleep(time.Second)
-		before := m.looks()
+		before := m.readCount()
 		time.Sleep(10 * time.Second)
-		if more := m.looks() - before; more > 1 {
+		if more := m.readCount() - before; more > 1 {
 			t.Errorf("%d reads in 10s", more)
 		}
 	})
 }
 
-// TestALostAnswerDoesNotHoldUpOrders: the answer of a write that never comes costs
-// orders a moment, not the whole time of a call.
+// TestALostAnswerDoesNotHoldUpOrders checks that orders wait only a moment, not for the whole call timeout,
+// if the answer of a write never comes.
 func TestALostAnswerDoesNotHoldUpOrders(t *testing.T) {
 	cases := []struct {
 		name         string
@@ -317,13 +323,13 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			bubble(t, func(t *testing.T, m *memory) {
+			bubble(t, func(t *testing.T, m *fakeStore) {
 				l, stop := run(t, m, "a")
 				defer stop()
 				for !held(l) {
 					time.Sleep(time.Millisecond)
 				}
-				m.set(func() { m.silent, m.late = c.silent, c.late })
+				m.set(func() { m.missingAnswers, m.lateWrites = c.silent, c.late })
 				began := time.Now()
 				if _, err := l.Commit(t.Context(), []Intent{{Server: "s"}}); err != nil {
 					t.Fatalf("the intent was not written: %v", err)
@@ -331,51 +337,50 @@
 				if took := time.Since(began); took > 200*time.Millisecond {
 					t.Errorf("the intent was written after %v", took)
 				}
-				time.Sleep(2 * writeLate)
+				time.Sleep(2 * lateWriteDelay)
 				if !held(l) {
 					t.Error("the lease was lost")
 				}
 				if record, _ := l.Current(); len(record.Intents) != 1 {
-					t.Errorf("the record has %d intents in place of one", len(record.Intents))
+					t.Errorf("the record has %d intents, want 1", len(record.Intents))
 				}
 			})
 		})
 	}
 }
 
-// TestManyNodesStartWithFewCalls: the store writes one record after the other, and
-// all nodes of a large site start at once. Each asks once whether the lease is free
-// and tries once to take it.
+// TestManyNodesStartWithFewCalls starts all nodes of a large site at once with a store that does one write
+// after the other. Each node may read the record once and try once to take the lease.
 func TestManyNodesStartWithFewCalls(t *testing.T) {
 	const nodes = 60
-	bubble(t, func(t *testing.T, m *memory) {
-		m.inTurn = 5 * time.Millisecond
+	bubble(t, func(t *testing.T, m *fakeStore) {
+		m.writeTime = 5 * time.Millisecond
 		for i := range nodes {
 			_, stop := run(t, m, fmt.Sprint(i))
 			defer stop()
 		}
 		time.Sleep(3 * time.Second)
-		if asked := m.asked(); asked > nodes+10 {
+		if asked := m.writeCount(); asked > nodes+10 {
 			t.Errorf("%d writes by %d nodes", asked, nodes)
 		}
-		if reads := m.looks(); reads > nodes+10 {
+		if reads := m.readCount(); reads > nodes+10 {
 			t.Errorf("%d reads by %d nodes", reads, nodes)
 		}
 	})
 }
 
-// TestASlowStoreIsNotAskedInALoop: writes are not repeated while the store answers
-// as slowly as it did of late.
+// TestASlowStoreIsNotAskedInALoop checks that writes are not repeated while the store answers as slowly as it
+// lately did.
 func TestASlowStoreIsNotAskedInALoop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := &memory{started: time.Now(), slow: 200 * time.Millisecond}
+		m := &fakeStore{started: time.Now(), extraWriteTime: 200 * time.Millisecond}
 		l, stop := run(t, m, "a")
 		defer stop()
 		time.Sleep(5 * time.Second)
-		before := m.asked()
+		before := m.writeCount()
 		time.Sleep(20 * time.Second)
-		if asked := m.asked() - before; asked > 25 {
-			t.Errorf("%d writes in 20s, of a renewal each 0.7s", asked)
+		if asked := m.writeCount() - before; asked > 25 {
+			t.Errorf("%d writes in 20s, with a renewal every 0.7s", asked)
 		}
 		if !held(l) {
 			t.Error("the lease is not held")
@@ -383,35 +388,35 @@
 	})
 }
 
-// TestTheNextLifeTakesOverAtOnce: the holder is killed and comes back before its lease
-// has expired; other nodes still wait for that.
-func TestTheNextLifeTakesOverAtOnce(t *testing.T) {
+// TestTheNextIncarnationTakesOverAtOnce checks that a holder that is killed and restarted before its lease has
+// expired takes it again at once, while other nodes wait for the expiry.
+func TestTheNextIncarnationTakesOverAtOnce(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		own  bool
 	}{{"node-1/b", true}, {"node-12/b", false}, {"node-2/b", false}} {
 		t.Run(c.name, func(t *testing.T) {
-			bubble(t, func(t *testing.T, m *memory) {
+			bubble(t, func(t *testing.T, m *fakeStore) {
 				m.stored = Stored{Record: Record{Term: 4, Holder: "node-1/a", Renewed: m.now()}, Version: 9}
 				node, _, _ := strings.Cut(c.name, "/")
-				l := &Lease{Store: m, Self: c.name, Lives: node + "/", Address: "x"}
+				l := &Lease{Store: m, Self: c.name, IncarnationPrefix: node + "/", Address: "x"}
 				ctx, cancel := context.WithCancel(t.Context())
 				go l.Run(ctx)
 				took := suspectAll([]*Lease{l}, time.Minute)
-				if c.own && took > 2*lookPause || !c.own && took < Expiry-lookPause {
-					t.Errorf("it held the lease after %v", took)
+				if c.own && took > 2*pollInterval || !c.own && took < Expiry-pollInterval {
+					t.Errorf("the node held the lease after %v", took)
 				}
 				cancel()
-				time.Sleep(time.Second) // virtual; for what is under way to end
+				time.Sleep(time.Second) // virtual; lets calls in progress end
 			})
 		})
 	}
 }
 
-// TestBetterNodesGoFirst: of nodes that find a free lease the one with the least patience
-// takes it, on a first start, after a restart and when a holder died.
+// TestBetterNodesGoFirst checks that of all nodes that find a free lease, the one with the shortest
+// TakeoverDelay takes it: on a first start, after a restart and when the holder died.
 func TestBetterNodesGoFirst(t *testing.T) {
-	const weak = 2 * lookPause
+	const weak = 2 * pollInterval
 	for name, stored := range map[string]Stored{
 		"first start":  {},
 		"released":     {Record: Record{Term: 3}, Version: 7},
@@ -419,13 +424,13 @@
 		"long expired": {Record: Record{Term: 3, Holder: "dead", Renewed: -time.Hour.Milliseconds()}, Version: 7},
 	} {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, func(t *testing.T, m *memory) {
+			bubble(t, func(t *testing.T, m *fakeStore) {
 				m.stored = stored
 				var leases []*Lease
 				for i := range 12 {
-					l := &Lease{Store: m, Self: fmt.Sprint("n", i), Address: "x", First: stored.Version == 0}
+					l := &Lease{Store: m, Self: fmt.Sprint("n", i), Address: "x", FirstStart: stored.Version == 0}
 					if i > 0 {
-						l.Patience = func() time.Duration { return weak }
+						l.TakeoverDelay = func() time.Duration { return weak }
 					}
 					_, stop := runLease(t, l)
 					defer stop()
@@ -440,10 +445,10 @@
 	}
 }
 
-// TestQuotasOutliveTheHolder: the record keeps what a holder told of scarce tenants' quotas until the
-// next one tells.
+// TestQuotasOutliveTheHolder checks that the record keeps the quota balances of scarce tenants that a holder
+// reported until the next holder reports them.
 func TestQuotasOutliveTheHolder(t *testing.T) {
-	bubble(t, func(t *testing.T, m *memory) {
+	bubble(t, func(t *testing.T, m *fakeStore) {
 		left, known := []quota.Balance{{Tenant: "a", Amount: -7}}, true
 		_, stop := runLease(t, &Lease{Store: m, Self: "a", Address: "a", Quotas: func(uint64) ([]quota.Balance, bool) { return left, known }})
 		time.Sleep(2 * Renewal)
@@ -458,10 +463,10 @@
 		record, _ := next.Current()
 		inherited := record.Inherited(m.now())
 		if len(inherited) != 1 || inherited[0].Balance != left[0] {
-			t.Fatalf("the record tells %+v, want %+v", inherited, left)
+			t.Fatalf("the record has the balances %+v, want %+v", inherited, left)
 		}
 		if age := inherited[0].Age; age < 2*Renewal || age > 2*Renewal+Expiry {
-			t.Errorf("what is left is %v old: the new holder did not tell anything in %v", age, 2*Renewal)
+			t.Errorf("the balance is %v old, though the new holder reported none for %v", age, 2*Renewal)
 		}
 	})
 }
--- a/pkg/lease/offline.go
+++ b/pkg/lease/offline.go
@@ -5,40 +5,38 @@
 	"time"
 )
 
-// offlineAfter is how long the record can't be written before its holder goes on without
-// the store. It is shorter than Hold, less the time between renewals, so that the nodes
-// are not without a holder in between; a store that throttles for a moment is waited for.
+// offlineAfter is how long writes of the record must have failed before its holder continues offline. It is
+// shorter than Hold less Renewal, so that the nodes have a holder throughout; a store that throttles for a
+// moment is waited for.
 const offlineAfter = time.Second
 
-// offline tells whether this node goes on as the holder though the record can't be
-// written. Nobody else can take the lease from the store while it fails for all; if it
-// fails for this node alone, the next holder has the servers refuse its orders, and tells
-// it (Yield). The caller holds mu.
+// offline reports whether this node continues as the holder although it can't write the record. If the store
+// fails for all nodes, nobody else can take the lease. If it fails for this node alone, the next holder has
+// the servers refuse this node's orders and tells it so (see Yield). The caller holds mu.
 func (l *Lease) offline() bool {
-	return !l.failing.IsZero() && l.Time.Since(l.failing) > offlineAfter &&
-		l.told.Term <= l.term && l.GoOn != nil && l.GoOn()
+	return !l.failingSince.IsZero() && l.Time.Since(l.failingSince) > offlineAfter &&
+		l.announced.Term <= l.term && l.AllowOffline != nil && l.AllowOffline()
 }
 
-// noteFailure notes a write of the record that began then and got no answer, if this node holds
-// it.
+// noteFailure records that a write of the holder, which started at began, got no answer.
 func (l *Lease) noteFailure(began time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.term > 0 && l.failing.IsZero() {
-		l.failing = began
+	if l.term > 0 && l.failingSince.IsZero() {
+		l.failingSince = began
 		l.log("lease can't be written", "term", l.term)
 	}
 }
 
-// fails tells whether the last write of the holder failed.
-func (l *Lease) fails() bool {
+// writesFail reports whether the last write of the holder failed.
+func (l *Lease) writesFail() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return !l.failing.IsZero()
+	return !l.failingSince.IsZero()
 }
 
-// commitOffline notes intents for the next write and returns the permit for their orders;
-// false if they are to be written first.
+// commitOffline keeps intents for the next write and returns the permit for their orders. It returns false if
+// the node is not offline and the intents have to be written first.
 func (l *Lease) commitOffline(intents []Intent) (Permit, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -53,58 +51,58 @@
 	return Permit{Term: l.term, Until: l.Time.Now().Add(PermitTime), Offline: true, time: l.Time}, true
 }
 
-// wroteIntents notes that so many of the unwritten intents, the first ones, are in the
-// record by now.
-func (l *Lease) wroteIntents(n int) {
+// dropWrittenIntents removes the first n unwritten intents, which are in the stored record now.
+func (l *Lease) dropWrittenIntents(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.unwritten = l.unwritten[min(n, len(l.unwritten)):]
 }
 
-// Handover is what an earlier holder tells the next one.
+// Handover is what an earlier holder reports to the next one.
 type Handover struct {
-	Holder  string   // life that was asked
-	Term    uint64   // the last one that it held; zero: none
+	Holder  string   // name of the incarnation that was asked
+	Term    uint64   // last term that it held; zero: none
 	Intents []Intent // of its orders that are not in the record
 }
 
-// Yield ends this node's term, which is over by the record of a later one, and tells what
-// the record does not.
+// Yield ends this node's term if the record of a later term is given, and returns the intents that are not in
+// the stored record.
 func (l *Lease) Yield(next Record) Handover {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if next.Term > l.told.Term {
-		l.told = next
+	if next.Term > l.announced.Term {
+		l.announced = next
 	}
 	if l.term > 0 && l.term < next.Term {
 		l.log("lease yielded", "term", l.term, "holder", next.Holder, "new_term", next.Term, "unwritten", len(l.unwritten))
-		l.term, l.failing = 0, time.Time{}
+		l.term, l.failingSince = 0, time.Time{}
 	}
-	return Handover{Holder: l.Self, Term: l.lastTerm, Intents: fresh(l.unwritten, l.storeNow())}
+	return Handover{Holder: l.Self, Term: l.lastTerm, Intents: unexpired(l.unwritten, l.storeNow())}
 }
 
-// OwnTerm returns the term of an earlier life of this node, if its record was the one that
-// this life's last term took the place of; zero otherwise.
-func (l *Lease) OwnTerm() uint64 {
+// OwnPreviousTerm returns the term of an earlier incarnation of this node if the last term of this
+// incarnation replaced that one's record, and zero otherwise.
+func (l *Lease) OwnPreviousTerm() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.Lives == "" || !strings.HasPrefix(l.before.Holder, l.Lives) {
+	if l.IncarnationPrefix == "" || !strings.HasPrefix(l.previous.Holder, l.IncarnationPrefix) {
 		return 0
 	}
-	return l.before.Term
+	return l.previous.Term
 }
 
-// AfterCopy tells whether the record that this node's last term took the place of was of a copy of the store that may
-// lack later ones with their terms and intents, and since when this node has known that the store came back.
-func (l *Lease) AfterCopy() (since time.Time, is bool) {
+// TookOverAfterRestore reports whether the record that this node's last term replaced came from a restored
+// store, which may lack later records with their terms and intents. since is when this node first saw that
+// the store was restored.
+func (l *Lease) TookOverAfterRestore() (since time.Time, restored bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.epochSince, l.afterCopy
+	return l.epochSince, l.previousFromBackup
 }
 
-// Before returns the record that this node's last term took the place of.
-func (l *Lease) Before() Record {
+// Previous returns the record that this node's last term replaced.
+func (l *Lease) Previous() Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.before
+	return l.previous
 }
--- a/pkg/lease/record.go
+++ b/pkg/lease/record.go
@@ -12,47 +12,47 @@
 	"martenwheel.dev/pkg/revision"
 )
 
-// Intent is an order that the holder is about to give.
+// Intent is an order that the holder is about to give to a server.
 type Intent struct {
 	Server string
-	Load   bool // or unload
-	Need   string
-	Fetch  bool   // a load from the weight store
-	After  uint64 // orders that the server has taken once it took this one
-	Term   uint64 // in which it was written
-	At     int64  // by the store's clock, in milliseconds
+	Load   bool   // load a model; false: unload it
+	Need   string // "model" or "model/adapter" that is loaded or unloaded
+	Fetch  bool   // load it from the weight store
+	After  uint64 // number of orders that the server has taken including this one
+	Term   uint64 // term in which the intent was written
+	At     int64  // time of the write by the store's clock, in milliseconds
 }
 
-// Record is what the store keeps. Times are by the store's clock, in
-// milliseconds.
+// Record is the stored record of the lease. Times are by the store's clock, in milliseconds.
 type Record struct {
 	Term    uint64
-	Holder  string // empty: released
+	Holder  string // name of the holder's incarnation; empty: released
 	Address string // of the holder, for other nodes
-	Renewed int64
-	// Epoch is that of the store as the term was taken.
+	Renewed int64  // time of the last renewal
+	// Epoch is the epoch of the store in which the term was taken.
 	Epoch uint64 `json:",omitempty"`
-	// EpochAt is when a holder first knew of that epoch, by the store's clock in milliseconds; zero: the
-	// store never came back from a copy.
+	// EpochAt is when a holder first saw that epoch, by the store's clock in milliseconds; zero if the store
+	// was never restored.
 	EpochAt int64 `json:",omitempty"`
-	// Mark names this write among all. Versions are given out again by a store that comes back from a
-	// copy: a write is done only over the record that it expects by both.
+	// Mark identifies one write of the record. A restored store gives out the same versions again, so that a
+	// write is done only if both version and mark are the expected ones.
 	Mark    string `json:",omitempty"`
-	Fleet   int    // nodes of the site, the most that holders lately knew of; zero: not known
+	Fleet   int    // number of nodes of the site, the most that holders lately knew of; zero: unknown
 	Intents []Intent
-	// Quarantine is of requests that end servers, so that it outlives all nodes.
+	// Quarantine is the evidence against requests that crash servers. It is stored so that it outlives all
+	// nodes.
 	Quarantine []Quarantined `json:",omitempty"`
-	// Quotas is what scarce tenants' quotas held, so that it outlives the holder.
+	// Quotas is the balances of scarce tenants' quotas. They are stored so that they outlive the holder.
 	Quotas []QuotaBalance `json:",omitempty"`
 }
 
-// QuotaBalance is what a scarce tenant's bucket held.
+// QuotaBalance is the balance of a scarce tenant's token bucket.
 type QuotaBalance struct {
 	quota.Balance
-	At int64 // in milliseconds by the store's clock
+	At int64 // when it was reported, by the store's clock in milliseconds
 }
 
-// Inherited returns what the record tells of quotas, with its age by the store's clock.
+// Inherited returns the quota balances of the record with their ages by the store's clock.
 func (r Record) Inherited(now int64) []quota.Inherited {
 	list := make([]quota.Inherited, len(r.Quotas))
 	for i, q := range r.Quotas {
@@ -61,8 +61,8 @@
 	return list
 }
 
-// quotaBalances is the inverse of Inherited for what is left now.
-func quotaBalances(left []quota.Balance, now int64) []QuotaBalance {
+// toQuotaBalances is the inverse of Inherited, for balances reported now.
+func toQuotaBalances(left []quota.Balance, now int64) []QuotaBalance {
 	var list []QuotaBalance
 	for _, one := range left {
 		list = append(list, QuotaBalance{one, now})
@@ -73,7 +73,7 @@
 // Quarantined is the evidence against a request.
 type Quarantined struct {
 	quarantine.Evidence
-	At int64 // when its last news came, in milliseconds by the store's clock
+	At int64 // when the evidence last changed, by the store's clock in milliseconds
 }
 
 // Aged returns the evidence of the record with its age by the store's clock.
@@ -85,8 +85,8 @@
 	return aged
 }
 
-// quarantined is the inverse of Aged.
-func quarantined(aged []quarantine.Aged, now int64) []Quarantined {
+// toQuarantined is the inverse of Aged.
+func toQuarantined(aged []quarantine.Aged, now int64) []Quarantined {
 	var list []Quarantined
 	for _, a := range aged {
 		list = append(list, Quarantined{a.Evidence, now - a.Age.Milliseconds()})
@@ -94,39 +94,38 @@
 	return list
 }
 
-// Stored is a record as it was read.
+// Stored is a record as it was read from the store.
 type Stored struct {
 	Record  Record
-	Version revision.Revision // its number is zero: there is none yet
-	Now     int64             // the store's clock
+	Version revision.Revision // number zero: there is no record yet
+	Now     int64             // time of the read by the store's clock, in milliseconds
 }
 
-// ErrConflict means that the record has changed; the one that is there comes
-// with it.
+// ErrConflict means that the record has changed. Store.Write returns the current record with it.
 var ErrConflict = errors.New("lease: the record has changed")
 
 // ErrNotHeld means that this node does not hold the lease.
 var ErrNotHeld = errors.New("lease: not held")
 
-// Store keeps the record. It writes one over the record that is expected there, with its version and
-// its mark. Any other error than ErrConflict leaves open whether a write was done, or will be.
+// Store keeps the record. Write replaces the record only if the stored one has the version and the mark of
+// over. After any error other than ErrConflict, the write may have been done or may still be done later.
 type Store interface {
 	Read(ctx context.Context) (Stored, error)
 	Write(ctx context.Context, r Record, over Stored) (Stored, error)
 }
 
-// free tells whether another node may take the lease.
+// free reports whether another node may take the lease.
 func (s Stored) free() bool {
 	return s.Version.Number() == 0 || s.Record.Holder == "" || s.age() > Expiry
 }
 
-// age is the time since the last renewal.
+// age returns the time since the last renewal.
 func (s Stored) age() time.Duration {
 	return time.Duration(s.Now-s.Record.Renewed) * time.Millisecond
 }
 
-// fresh returns the intents that still count, in a new slice.
-func fresh(intents []Intent, now int64) []Intent {
+// unexpired returns the intents that are younger than IntentTime, in a new slice.
+func unexpired(intents []Intent, now int64) []Intent {
 	return slices.DeleteFunc(slices.Clone(intents), func(i Intent) bool {
 		return now-i.At > IntentTime.Milliseconds()
 	})
--- a/pkg/lease/copied_test.go
+++ b/pkg/lease/restored_test.go
@@ -10,54 +10,55 @@
 	"martenwheel.dev/pkg/revision"
 )
 
-// comeBack has the store hold what it did when a copy was made, in the next epoch.
-func (m *memory) comeBack(copied Stored) {
+// restore replaces the store's state by that of a backup, in a new epoch.
+func (m *fakeStore) restore(backup Stored) {
 	m.set(func() {
-		copied.Version, _ = revision.New(m.stored.Version.Epoch()+1, copied.Version.Number())
-		m.stored = copied
+		backup.Version, _ = revision.New(m.stored.Version.Epoch()+1, backup.Version.Number())
+		m.stored = backup
 	})
 }
 
-// copied returns what the store holds.
-func (m *memory) copied() Stored {
+// snapshot returns what the store holds.
+func (m *fakeStore) snapshot() Stored {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.stored
 }
 
-// termsOf notes which lives held which terms.
-type termsOf struct {
-	mu    sync.Mutex
-	lives map[uint64]map[string]bool
+// termHolders collects which incarnations held which terms.
+type termHolders struct {
+	mu           sync.Mutex
+	incarnations map[uint64]map[string]bool
 }
 
-// watch notes the terms of a lease until the test ends.
-func (o *termsOf) watch(ctx context.Context, l *Lease) {
+// watch collects the terms that a lease holds until ctx ends.
+func (o *termHolders) watch(ctx context.Context, l *Lease) {
 	for ctx.Err() == nil {
 		if term, is := l.Held(); is {
 			o.mu.Lock()
-			if o.lives == nil {
-				o.lives = make(map[uint64]map[string]bool)
+			if o.incarnations == nil {
+				o.incarnations = make(map[uint64]map[string]bool)
 			}
-			if o.lives[term] == nil {
-				o.lives[term] = make(map[string]bool)
+			if o.incarnations[term] == nil {
+				o.incarnations[term] = make(map[string]bool)
 			}
-			o.lives[term][l.Self] = true
+			o.incarnations[term][l.Self] = true
 			o.mu.Unlock()
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// TestONENoTermIsGivenTwiceByACopiedStore: the copy has the record of the term before, which was released or whose
-// holder is dead, and the holder of the last term goes on or is cut off.
-func TestONENoTermIsGivenTwiceByACopiedStore(t *testing.T) {
+// TestONENoTermIsGivenTwiceByARestoredStore guards against one term held by two incarnations: the store is
+// restored from a backup with the record of the term before, which was released or whose holder died, while
+// the holder of the last term continues or is cut off.
+func TestONENoTermIsGivenTwiceByARestoredStore(t *testing.T) {
 	for name, renewed := range map[string]bool{"a released record": false, "a record of a dead holder": true} {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, func(t *testing.T, m *memory) {
+			bubble(t, func(t *testing.T, m *fakeStore) {
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				var terms termsOf
+				var terms termHolders
 				first := Stored{Record: Record{Term: 1}, Version: 5}
 				if renewed {
 					first.Record.Holder, first.Record.Address, first.Record.Renewed = "dead", "dead", m.now()
@@ -75,7 +76,7 @@
 				}
 				m.set(func() { m.down = true })
 				time.Sleep(500 * time.Millisecond)
-				m.comeBack(first)
+				m.restore(first)
 				m.set(func() { m.down = false })
 				c, stopC := run(t, m, "c")
 				defer stopC()
@@ -88,12 +89,12 @@
 					t.Errorf("b holds the lease: %t, c: %t", held(b), held(c))
 				}
 				cancel()
-				time.Sleep(time.Second) // for those that note to end
+				time.Sleep(time.Second) // lets the calls of termHolders.watch end
 				terms.mu.Lock()
 				defer terms.mu.Unlock()
-				for term, lives := range terms.lives {
-					if len(lives) > 1 {
-						t.Errorf("ONE: term %d was held by %v", term, lives)
+				for term, incarnations := range terms.incarnations {
+					if len(incarnations) > 1 {
+						t.Errorf("ONE: term %d was held by %v", term, incarnations)
 					}
 				}
 			})
@@ -101,42 +102,42 @@
 	}
 }
 
-// cutStore is a node's way to the store, which may be cut.
-type cutStore struct {
-	*memory
+// partitionedStore is one node's connection to the store, which can be cut.
+type partitionedStore struct {
+	*fakeStore
 	mu  sync.Mutex
 	cut bool
 }
 
-func (c *cutStore) away() bool {
+func (c *partitionedStore) isCut() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.cut
 }
 
-func (c *cutStore) setCut(cut bool) {
+func (c *partitionedStore) setCut(cut bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.cut = cut
 }
 
-func (c *cutStore) Read(ctx context.Context) (Stored, error) {
-	if c.away() {
-		return Stored{}, errAway
+func (c *partitionedStore) Read(ctx context.Context) (Stored, error) {
+	if c.isCut() {
+		return Stored{}, errUnavailable
 	}
-	return c.memory.Read(ctx)
+	return c.fakeStore.Read(ctx)
 }
 
-func (c *cutStore) Write(ctx context.Context, r Record, over Stored) (Stored, error) {
-	if c.away() {
-		return Stored{}, errAway
+func (c *partitionedStore) Write(ctx context.Context, r Record, over Stored) (Stored, error) {
+	if c.isCut() {
+		return Stored{}, errUnavailable
 	}
-	return c.memory.Write(ctx, r, over)
+	return c.fakeStore.Write(ctx, r, over)
 }
 
-// TestONENobodyTakesTheTermOfACopyWhileItsHolderMayHold: the record of a copy looks long expired, or released, though its
-// holder renewed the lease a moment before the store went.
-func TestONENobodyTakesTheTermOfACopyWhileItsHolderMayHold(t *testing.T) {
+// TestONENobodyTakesARestoredRecordWhileItsHolderMayHold guards against a takeover of a record in a restored
+// store that looks expired or released, although its holder renewed the lease a moment before the restore.
+func TestONENobodyTakesARestoredRecordWhileItsHolderMayHold(t *testing.T) {
 	for name, change := range map[string]func(r *Record){
 		"expired":         func(r *Record) { r.Renewed -= 10 * Expiry.Milliseconds() },
 		"released":        func(r *Record) { r.Holder, r.Address = "", "" },
@@ -144,12 +145,12 @@
 		"the term before": func(r *Record) { r.Holder, r.Term = "dead", r.Term-1 },
 	} {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, func(t *testing.T, m *memory) {
-				way := &cutStore{memory: m}
+			bubble(t, func(t *testing.T, m *fakeStore) {
+				way := &partitionedStore{fakeStore: m}
 				a, stopA := runLease(t, &Lease{Store: way, Self: "a", Address: "a"})
 				defer stopA()
 				time.Sleep(time.Second)
-				c, stopC := runLease(t, &Lease{Store: m, Self: "c/now", Lives: "c/", Address: "c"})
+				c, stopC := runLease(t, &Lease{Store: m, Self: "c/now", IncarnationPrefix: "c/", Address: "c"})
 				defer stopC()
 				time.Sleep(5 * time.Second)
 				if !held(a) || held(c) {
@@ -158,7 +159,7 @@
 				copied := m.stored
 				change(&copied.Record)
 				way.setCut(true)
-				m.comeBack(copied)
+				m.restore(copied)
 				both, took := false, time.Duration(0)
 				for began := time.Now(); time.Since(began) < 10*time.Second && !held(c); took = time.Since(began) {
 					c.Suspect()
@@ -166,7 +167,7 @@
 					both = both || held(a) && held(c)
 				}
 				if both {
-					t.Error("ONE: both held the lease at a time")
+					t.Error("ONE: both nodes held the lease at the same time")
 				}
 				if took > 2*Expiry {
 					t.Errorf("nobody held the lease for %v", took)
@@ -176,11 +177,12 @@
 	}
 }
 
-// TestTheHolderGoesOnInANewTermOfANewEpoch, with what it was about to do before.
+// TestTheHolderGoesOnInANewTermOfANewEpoch checks that a holder takes a new term after the store was
+// restored, and keeps the intents that the backup lacks.
 func TestTheHolderGoesOnInANewTermOfANewEpoch(t *testing.T) {
 	for name, clockBack := range map[string]time.Duration{"the clock goes on": 0, "the clock goes back": time.Hour} {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, func(t *testing.T, m *memory) {
+			bubble(t, func(t *testing.T, m *fakeStore) {
 				m.started = m.started.Add(-2 * time.Hour)
 				a, stop := run(t, m, "a")
 				defer stop()
@@ -190,7 +192,7 @@
 				if _, err := a.Commit(t.Context(), []Intent{{Server: "s", Need: "lost"}}); err != nil {
 					t.Fatal(err)
 				}
-				m.comeBack(copied)
+				m.restore(copied)
 				m.set(func() { m.started = m.started.Add(clockBack) })
 				time.Sleep(2 * Renewal)
 				term, is := a.Held()
@@ -223,56 +225,57 @@
 	}
 }
 
-// TestAHolderThatWaitedForAnEpochHoldsFromThenOn: its hold was over as the store came back, and its record is not one
-// that looks expired as it is written.
+// TestAHolderThatWaitedForAnEpochHoldsFromThenOn has a holder whose hold time is over when the store is
+// restored. It must wait for Expiry before it takes a new term, and must write a record that does not look
+// expired.
 func TestAHolderThatWaitedForAnEpochHoldsFromThenOn(t *testing.T) {
-	bubble(t, func(t *testing.T, m *memory) {
-		a, stop := runLease(t, &Lease{Store: m, Self: "a", Address: "a", GoOn: func() bool { return true }})
+	bubble(t, func(t *testing.T, m *fakeStore) {
+		a, stop := runLease(t, &Lease{Store: m, Self: "a", Address: "a", AllowOffline: func() bool { return true }})
 		defer stop()
 		time.Sleep(2 * time.Second)
 		copied := m.stored
 		m.set(func() { m.down = true })
 		time.Sleep(Hold + time.Second)
 		m.set(func() { m.down = false })
-		m.comeBack(copied)
+		m.restore(copied)
 		for began := time.Now(); time.Since(began) < 2*Expiry; time.Sleep(10 * time.Millisecond) {
 			record, _ := a.Current()
 			if record.Epoch == 0 {
 				continue
 			}
 			if waited := time.Since(began); waited < Expiry {
-				t.Errorf("it took the lease after %v, though another one may have held it", waited)
+				t.Errorf("the node took the lease after %v, though another node may still hold it", waited)
 			}
 			if age := m.now() - record.Renewed; age > Renewal.Milliseconds() {
 				t.Errorf("the record of its new term is %d ms old", age)
 			}
 			return
 		}
-		t.Error("it does not hold the lease")
+		t.Error("the node does not hold the lease")
 	})
 }
 
-// TestWhatACopyLacksIsWrittenBackWhileNobodyHoldsTheLease: evidence that the holder has outlives all nodes again within a
-// moment, and nobody holds the lease by it.
-func TestWhatACopyLacksIsWrittenBackWhileNobodyHoldsTheLease(t *testing.T) {
-	bubble(t, func(t *testing.T, m *memory) {
+// TestStateThatABackupLacksIsWrittenBack checks that the holder soon writes evidence that the backup lacks to
+// the restored store, so that it outlives all nodes again, and that nobody holds the lease by this write.
+func TestStateThatABackupLacksIsWrittenBack(t *testing.T) {
+	bubble(t, func(t *testing.T, m *fakeStore) {
 		known := []quarantine.Aged{{Evidence: quarantine.Evidence{Request: quarantine.FingerprintOf("POST", "h", "/", nil)}}}
-		a, stop := runLease(t, &Lease{Store: m, Self: "a", Address: "a", GoOn: func() bool { return true },
+		a, stop := runLease(t, &Lease{Store: m, Self: "a", Address: "a", AllowOffline: func() bool { return true },
 			Quarantine: func([]quarantine.Aged) []quarantine.Aged { return known }})
 		defer stop()
-		copied := m.copied()
+		copied := m.snapshot()
 		time.Sleep(2 * time.Second)
 		m.set(func() { m.down = true })
 		time.Sleep(Hold + time.Second)
-		m.comeBack(copied)
+		m.restore(copied)
 		m.set(func() { m.down = false })
-		time.Sleep(Renewal + 2*lookPause)
-		back := m.copied()
+		time.Sleep(Renewal + 2*pollInterval)
+		back := m.snapshot()
 		if len(back.Record.Quarantine) != 1 || back.Record.Term != 1 || back.Record.Holder != "a" {
-			t.Errorf("the store has %+v", back.Record)
+			t.Errorf("the stored record is %+v", back.Record)
 		}
-		if !back.copied() {
-			t.Error("somebody holds the lease by what was written back")
+		if !back.fromEarlierEpoch() {
+			t.Error("the written record is of the new epoch, so that it grants the lease")
 		}
 		c, stopC := run(t, m, "c")
 		defer stopC()
@@ -285,57 +288,59 @@
 	})
 }
 
-// TestAWriteOverACopyIsNoHold: the copy has just the record that a write expects, whose holder was cut off for longer than its
-// hold; others may have held the lease in what the store lost.
-func TestAWriteOverACopyIsNoHold(t *testing.T) {
-	bubble(t, func(t *testing.T, m *memory) {
-		way := &cutStore{memory: m}
+// TestAWriteOverARestoredRecordGrantsNoLease has a backup with exactly the record that a holder's write
+// expects. The holder was cut off for longer than its hold time, and others may have held the lease in terms
+// that the restored store lacks.
+func TestAWriteOverARestoredRecordGrantsNoLease(t *testing.T) {
+	bubble(t, func(t *testing.T, m *fakeStore) {
+		way := &partitionedStore{fakeStore: m}
 		a, stop := runLease(t, &Lease{Store: way, Self: "a", Address: "a"})
 		defer stop()
 		time.Sleep(2 * time.Second)
 		way.setCut(true)
 		time.Sleep(Hold + time.Second)
-		m.comeBack(m.copied())
+		m.restore(m.snapshot())
 		way.setCut(false)
 		for began := time.Now(); time.Since(began) < Expiry; time.Sleep(10 * time.Millisecond) {
 			if held(a) {
-				t.Fatalf("it holds the lease %v after the store came back", time.Since(began))
+				t.Fatalf("the node holds the lease %v after the restore", time.Since(began))
 			}
 		}
 		time.Sleep(2 * Renewal)
 		if term, is := a.Held(); !is || term <= epochTerms {
-			t.Errorf("later it holds the lease: %t, in term %d", is, term)
+			t.Errorf("after the wait the node holds the lease: %t, in term %d", is, term)
 		}
 	})
 }
 
-// TestONEAFirstStartEndsWithTheFirstHolder: a copy from before the first record is waited out like any other by nodes that
-// started with the site and have seen a holder since, or were told of one.
+// TestONEAFirstStartEndsWithTheFirstHolder has a backup from before the first record. A node that started
+// with the site and has seen a holder, or got its announcement, must wait after the restore as after any
+// other.
 func TestONEAFirstStartEndsWithTheFirstHolder(t *testing.T) {
-	for name, told := range map[string]bool{"it saw the record": false, "the holder told it": true} {
+	for name, announced := range map[string]bool{"it saw the record": false, "the holder told it": true} {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, func(t *testing.T, m *memory) {
-				way := &cutStore{memory: m}
-				a, stopA := runLease(t, &Lease{Store: way, Self: "a", Address: "a", First: true})
+			bubble(t, func(t *testing.T, m *fakeStore) {
+				way := &partitionedStore{fakeStore: m}
+				a, stopA := runLease(t, &Lease{Store: way, Self: "a", Address: "a", FirstStart: true})
 				defer stopA()
 				time.Sleep(2 * time.Second)
-				c := &Lease{Store: m, Self: "c", Address: "c", First: true}
-				if told {
-					c.Announced(m.copied().Record)
+				c := &Lease{Store: m, Self: "c", Address: "c", FirstStart: true}
+				if announced {
+					c.Announced(m.snapshot().Record)
 					way.setCut(true)
-					m.comeBack(Stored{})
+					m.restore(Stored{})
 				}
 				c, stopC := runLease(t, c)
 				defer stopC()
 				time.Sleep(time.Second)
-				if !told {
+				if !announced {
 					way.setCut(true)
-					m.comeBack(Stored{})
+					m.restore(Stored{})
 				}
 				for began := time.Now(); time.Since(began) < Hold; time.Sleep(10 * time.Millisecond) {
 					c.Suspect()
 					if held(a) && held(c) {
-						t.Fatal("ONE: both hold the lease")
+						t.Fatal("ONE: both nodes hold the lease")
 					}
 				}
 			})
@@ -343,9 +348,10 @@
 	}
 }
 
-// TestATakerKnowsMoreThanTheCopy: what it saw of the record before the store went counts, also its intents.
-func TestATakerKnowsMoreThanTheCopy(t *testing.T) {
-	bubble(t, func(t *testing.T, m *memory) {
+// TestATakeoverAfterARestoreKeepsKnownIntents checks that a node that takes over after a restore counts the
+// record and the intents that it read before the restore, though the backup lacks them.
+func TestATakeoverAfterARestoreKeepsKnownIntents(t *testing.T) {
+	bubble(t, func(t *testing.T, m *fakeStore) {
 		older := Stored{Record: Record{Term: 1, Holder: "dead", Address: "dead"}, Version: 3}
 		m.set(func() {
 			m.stored = Stored{Record: Record{Term: 2, Holder: "last", Address: "last", Renewed: m.now(),
@@ -354,19 +360,20 @@
 		c, stop := run(t, m, "c")
 		defer stop()
 		time.Sleep(100 * time.Millisecond)
-		m.comeBack(older)
+		m.restore(older)
 		for began := time.Now(); time.Since(began) < 3*Expiry && !held(c); time.Sleep(10 * time.Millisecond) {
 			c.Suspect()
 		}
-		if before := c.Before(); !held(c) || before.Holder != "last" || before.Term != 2 || len(before.Intents) != 1 {
-			t.Errorf("it holds the lease: %t, after %+v", held(c), before)
+		if before := c.Previous(); !held(c) || before.Holder != "last" || before.Term != 2 || len(before.Intents) != 1 {
+			t.Errorf("c holds the lease: %t, after the record %+v", held(c), before)
 		}
 	})
 }
 
-// TestTermsRiseOverEpochs also where a copy is older than the last one.
+// TestTermsRiseOverEpochs checks that terms rise with every restore, also if each time the same old backup is
+// restored.
 func TestTermsRiseOverEpochs(t *testing.T) {
-	bubble(t, func(t *testing.T, m *memory) {
+	bubble(t, func(t *testing.T, m *fakeStore) {
 		a, stop := run(t, m, "a")
 		defer stop()
 		time.Sleep(time.Second)
@@ -378,7 +385,7 @@
 				t.Fatalf("a holds the lease: %t, in term %d after %d", is, term, last)
 			}
 			last = term
-			m.comeBack(first)
+			m.restore(first)
 			time.Sleep(2 * Renewal)
 		}
 	})
--- a/pkg/membership/digest_test.go
+++ b/pkg/membership/digest_test.go
@@ -13,6 +13,8 @@
 	return CellVersion{Cell: api.CellName(name), Term: 1, Version: version}
 }
 
+// TestDigestsReachNeighboursAndFollowChanges checks, with and without packet loss, that each neighbour has
+// the sender's last digest, without its cells if it is in another region.
 func TestDigestsReachNeighboursAndFollowChanges(t *testing.T) {
 	for _, loss := range []float64{0, 0.1} {
 		n := newNetwork(t, networkConfig{seed: 21, nodes: 12, regions: 2, zones: 4, loss: loss, duplicates: loss, jitter: 20 * time.Millisecond})
@@ -25,12 +27,12 @@
 			{TreeRevision: 3, Cells: nil},
 		}
 		for _, digest := range changes {
-			teller := n.node("n005")
-			teller.machine.SetDigest(digest)
+			sender := n.node("n005")
+			sender.machine.SetDigest(digest)
 			n.run(5 * time.Second)
-			for _, neighbour := range teller.machine.Neighbours() {
+			for _, neighbour := range sender.machine.Neighbours() {
 				want := digest
-				if neighbour.Region != teller.ref.Region {
+				if neighbour.Region != sender.ref.Region {
 					want.Cells = nil
 				}
 				got, known := n.node(neighbour.ID).machine.Digest("n005")
@@ -42,7 +44,8 @@
 	}
 }
 
-func TestDigestOfAnEarlierLifeIsDropped(t *testing.T) {
+// TestDigestOfAnEarlierIncarnationIsDropped checks that the digest of a node that was restarted is forgotten.
+func TestDigestOfAnEarlierIncarnationIsDropped(t *testing.T) {
 	n := newNetwork(t, networkConfig{seed: 22, nodes: 3, regions: 1, zones: 3})
 	n.run(5 * time.Second)
 	n.node("n001").machine.SetDigest(Digest{TreeRevision: 9})
@@ -51,7 +54,7 @@
 	n.start(1, 2)
 	n.run(2 * time.Second)
 	if got, known := n.node("n000").machine.Digest("n001"); known {
-		t.Errorf("digest of the earlier life is still known: %v", got)
+		t.Errorf("digest of the earlier incarnation is still known: %v", got)
 	}
 	n.node("n001").machine.SetDigest(Digest{TreeRevision: 4})
 	n.run(2 * time.Second)
@@ -60,8 +63,8 @@
 	}
 }
 
-// TestDigestNewsCarryChangesOnly checks that a change of one cell does not send
-// the others again.
+// TestDigestNewsCarryChangesOnly checks that a change of one cell does not cause the other cells to be sent
+// again.
 func TestDigestNewsCarryChangesOnly(t *testing.T) {
 	var state digestState
 	digest := Digest{TreeRevision: 1}
@@ -70,7 +73,7 @@
 	}
 	state.set(digest)
 	if news := state.newsSince(0, true); len(news.Cells) != 10 {
-		t.Errorf("first news have %d cells, want 10", len(news.Cells))
+		t.Errorf("the first news has %d cells, want 10", len(news.Cells))
 	}
 	known := state.serial
 	if news := state.newsSince(known, true); news != nil {
--- a/pkg/membership/gossip.go
+++ b/pkg/membership/gossip.go
@@ -7,41 +7,40 @@
 	"martenwheel.dev/pkg/api"
 )
 
-// rumourRepeats is how often an update rides on probes and answers after it
-// was sent to all neighbours. What still gets lost is found by the comparison
-// of tables.
+// rumourRepeats is how many probes and answers carry an update after it was sent to all neighbours. Updates
+// that still get lost are found by comparing tables.
 const rumourRepeats = 4
 
 // rumour is a row of the table that is still being spread.
 type rumour struct {
 	id        api.NodeID
-	heardFrom api.NodeID // has it already
-	remaining int        // further messages that it rides on
+	heardFrom api.NodeID // node that sent it and so needs no copy
+	remaining int        // number of further messages that carry it
 }
 
-// rumours are the rows to be spread: first those not yet sent to the
-// neighbours, then those that ride on probes and answers.
+// rumours are the rows that are being spread: first those not yet sent to the neighbours, then those
+// piggybacked on probes and answers.
 type rumours struct {
-	fresh  []*rumour
-	riding []*rumour // the ones that rode least lately first
+	unsent      []*rumour
+	piggybacked []*rumour // the least recently sent first
 }
 
-// addRumour starts to spread the row of id, in place of an earlier rumour.
+// addRumour starts to spread the row of id. It replaces an earlier rumour about it.
 func (m *Machine) addRumour(id, heardFrom api.NodeID) {
 	sameID := func(r *rumour) bool { return r.id == id }
-	m.rumours.fresh = slices.DeleteFunc(m.rumours.fresh, sameID)
-	m.rumours.riding = slices.DeleteFunc(m.rumours.riding, sameID)
-	m.rumours.fresh = append(m.rumours.fresh, &rumour{id: id, heardFrom: heardFrom, remaining: rumourRepeats})
+	m.rumours.unsent = slices.DeleteFunc(m.rumours.unsent, sameID)
+	m.rumours.piggybacked = slices.DeleteFunc(m.rumours.piggybacked, sameID)
+	m.rumours.unsent = append(m.rumours.unsent, &rumour{id: id, heardFrom: heardFrom, remaining: rumourRepeats})
 }
 
-// spreadRumours sends the fresh rumours to the neighbours, as many as fit into
-// one message each; the rest waits for the next tick.
+// spreadRumours sends the unsent rumours to the neighbours, as many as fit into one message; the rest waits
+// for the next tick.
 func (m *Machine) spreadRumours(packets []Packet) []Packet {
-	batch := m.rumours.fresh[:min(MaxUpdates, len(m.rumours.fresh))]
+	batch := m.rumours.unsent[:min(MaxUpdates, len(m.rumours.unsent))]
 	if len(batch) == 0 {
 		return packets
 	}
-	for _, to := range m.around.all {
+	for _, to := range m.neighbours.all {
 		receiver, exists := m.table[to]
 		updates := m.updatesFor(to, batch)
 		if len(updates) == 0 || !exists {
@@ -50,12 +49,12 @@
 		header := Header{Refutation: m.self.update.Refutation, TableHash: m.tableHash, Updates: updates}
 		packets = append(packets, Packet{To: receiver.update.Ref, Message: Gossip{Header: header}})
 	}
-	m.rumours.riding = append(m.rumours.riding, batch...)
-	m.rumours.fresh = slices.Clone(m.rumours.fresh[len(batch):])
+	m.rumours.piggybacked = append(m.rumours.piggybacked, batch...)
+	m.rumours.unsent = slices.Clone(m.rumours.unsent[len(batch):])
 	return packets
 }
 
-// updatesFor returns the rows of a batch that a node does not have yet.
+// updatesFor returns the rows of a batch that a node may lack.
 func (m *Machine) updatesFor(to api.NodeID, batch []*rumour) []Update {
 	updates := make([]Update, 0, len(batch))
 	for _, spread := range batch {
@@ -66,14 +65,14 @@
 	return updates
 }
 
-// takeRumours returns first and the rumours that ride on a message to a node.
-func (m *Machine) takeRumours(to api.NodeID, first []Update) []Update {
-	room := min(MaxUpdates-len(first), len(m.rumours.riding))
-	if room <= 0 {
+// piggybackRumours returns first and the rumours to be carried by a message to a node.
+func (m *Machine) piggybackRumours(to api.NodeID, first []Update) []Update {
+	free := min(MaxUpdates-len(first), len(m.rumours.piggybacked))
+	if free <= 0 {
 		return first
 	}
-	batch := m.rumours.riding[:room]
-	waiting := slices.Clone(m.rumours.riding[room:])
+	batch := m.rumours.piggybacked[:free]
+	waiting := slices.Clone(m.rumours.piggybacked[free:])
 	updates := append(slices.Clone(first), m.updatesFor(to, batch)...)
 	for _, spread := range batch {
 		spread.remaining--
@@ -81,18 +80,18 @@
 			waiting = append(waiting, spread)
 		}
 	}
-	m.rumours.riding = waiting
+	m.rumours.piggybacked = waiting
 	return updates
 }
 
-// compareTables asks a neighbour for its table if it has differed from the own
-// one for longer than updates take to spread.
+// compareTables asks a neighbour for its table if its hash has differed from the own one for longer than
+// updates take to spread.
 func (m *Machine) compareTables(now time.Time, from api.NodeRef, hash uint32, packets []Packet) []Packet {
 	if hash == m.tableHash {
 		delete(m.differing, from.ID)
 		return packets
 	}
-	if !slices.Contains(m.around.all, from.ID) {
+	if !slices.Contains(m.neighbours.all, from.ID) {
 		return packets
 	}
 	since, differed := m.differing[from.ID]
@@ -131,16 +130,16 @@
 	return append(packets, Packet{To: from, Message: page})
 }
 
-// takePage takes over a page of another node's table and asks for the next.
-func (m *Machine) takePage(now time.Time, from api.NodeRef, page SyncPage, packets []Packet) []Packet {
+// applyPage applies a page of another node's table and asks for the next one.
+func (m *Machine) applyPage(now time.Time, from api.NodeRef, page SyncPage, packets []Packet) []Packet {
 	for _, update := range page.Members {
 		known, exists := m.table[update.Ref.ID]
-		sameLife := exists && known.update.Ref.Incarnation == update.Ref.Incarnation
-		saidDead := sameLife && update.State == StateDead && known.update.State.live()
-		heldDead := sameLife && update.State.live() && known.update.State == StateDead
-		if update.Ref.ID != m.self.update.Ref.ID && (saidDead || heldDead) && !known.settles(update) {
-			// One of the two was cut off from the member. Ask the member
-			// itself, else a healed cut would have all declared dead.
+		sameIncarnation := exists && known.update.Ref.Incarnation == update.Ref.Incarnation
+		reportedDead := sameIncarnation && update.State == StateDead && known.update.State.live()
+		knownDead := sameIncarnation && update.State.live() && known.update.State == StateDead
+		if update.Ref.ID != m.self.update.Ref.ID && (reportedDead || knownDead) && !known.decidedByRefutation(update) {
+			// One of the two nodes was cut off from the member. Probe the member itself; otherwise, after a
+			// partition heals, all nodes would be declared dead.
 			m.addVerify(update.Ref.ID)
 			continue
 		}
@@ -154,9 +153,9 @@
 	return append(packets, Packet{To: from, Message: next})
 }
 
-// settles tells whether the member itself spoke after the older of the row and
-// an update about the same life, so that the newer one is to be believed.
-func (r *member) settles(update Update) bool {
+// decidedByRefutation reports whether the refutation counters show which of the row and an update about the
+// same incarnation is newer, because the member itself refuted the older one.
+func (r *member) decidedByRefutation(update Update) bool {
 	if update.State.live() {
 		return update.Refutation > r.update.Refutation
 	}
--- a/pkg/membership/lag.go
+++ b/pkg/membership/lag.go
@@ -2,15 +2,14 @@
 
 import "time"
 
-// lag tells how far this node is behind itself. A node that is short of
-// processor time finds the answers of others late in its own queues; it must
-// not take that for their silence.
+// lag measures how far this node is behind its schedule. A node that is short of processor time finds the
+// answers of others late in its own queues, and must not take the delay for silence.
 type lag struct {
 	level  int // 0 to MaxLag
-	inTime int // ticks in a row
+	inTime int // ticks in time in a row
 }
 
-// tick takes over the time between two ticks.
+// tick updates the lag by the time between two ticks.
 func (l *lag) tick(gap time.Duration) {
 	if gap > LateTick {
 		l.raise()
@@ -29,7 +28,7 @@
 	l.level = min(l.level+1, MaxLag)
 }
 
-// prolong returns a time-out as this node is to apply it.
-func (l *lag) prolong(timeout time.Duration) time.Duration {
+// extend returns a timeout extended by the current lag.
+func (l *lag) extend(timeout time.Duration) time.Duration {
 	return timeout * time.Duration(1+l.level)
 }
--- a/pkg/membership/machine.go
+++ b/pkg/membership/machine.go
@@ -8,31 +8,30 @@
 	"martenwheel.dev/pkg/api"
 )
 
-// Machine is the membership as one node sees it. It is not safe for use by
-// several goroutines at once.
+// Machine is the membership as one node sees it. It is not safe for concurrent use.
 type Machine struct {
-	self       *member
-	seeds      []string
-	random     *rand.Rand
-	table      map[api.NodeID]*member
-	ids        []api.NodeID // of table, sorted
-	version    uint64
-	listed     []Member // of Members; nil after a change
-	tableHash  uint32
-	around     neighbours
-	liveCount  int
-	stale      bool // around is to be worked out again
-	superseded bool
-	digest     digestState
+	self            *member
+	seeds           []string
+	random          *rand.Rand
+	table           map[api.NodeID]*member
+	ids             []api.NodeID // of table, sorted
+	version         uint64
+	membersCache    []Member // result of Members; nil after a change
+	tableHash       uint32
+	neighbours      neighbours
+	liveCount       int
+	neighboursStale bool // neighbours must be computed again
+	superseded      bool
+	digest          digestState
 
 	sequence  uint64
-	schedule  map[api.NodeID]time.Time // when to probe each subject next
+	schedule  map[api.NodeID]time.Time // time of the next probe by subject
 	probes    map[uint64]*probe
 	relays    map[uint64]relay
-	suspects  map[api.NodeID]time.Time // when each is declared dead
+	suspects  map[api.NodeID]time.Time // time at which each is declared dead
 	rumours   rumours
-	verify    []api.NodeID // to be probed because views of it differ
-	differing map[api.NodeID]time.Time
+	toVerify  []api.NodeID             // to be probed because views of them differ
+	differing map[api.NodeID]time.Time // time since which the table hash of a neighbour has differed
 	sweeps    sweeps
 
 	lag        lag
@@ -42,7 +41,7 @@
 	nextForget time.Time
 }
 
-// New returns the machine of a node that knows no other yet.
+// New returns the machine of a node that knows no other node yet.
 func New(config Config) *Machine {
 	m := &Machine{
 		random:    rand.New(rand.NewPCG(config.Seed, config.Self.Incarnation)),
@@ -62,12 +61,11 @@
 	m.self = newMember(Update{Ref: config.Self}, time.Time{})
 	m.insert(m.self)
 	m.tableHash = m.self.hash()
-	m.stale = true
+	m.neighboursStale = true
 	return m
 }
 
-// Tick does what is due at now and returns the packets to send. It is called
-// about every 100 ms.
+// Tick does what is due at now and returns the packets to send. It must be called about every 100 ms.
 func (m *Machine) Tick(now time.Time) []Packet {
 	if m.lastTick.IsZero() {
 		m.self.since = now
@@ -92,40 +90,40 @@
 	return m.spreadRumours(packets)
 }
 
-// Receive takes a message from another node and returns the packets to send.
-// A message of a foreign type or over the bounds is ignored.
+// Receive handles a message from another node and returns the packets to send. It ignores messages of unknown
+// types and messages that exceed a limit.
 func (m *Machine) Receive(now time.Time, from api.NodeRef, message any) []Packet {
 	header, valid := headerOf(message)
-	nameless := from.ID == "" || from.PeerAddress == ""
-	if !valid || nameless || from.ID == m.self.update.Ref.ID || m.self.update.State == StateLeft {
+	invalidSender := from.ID == "" || from.PeerAddress == ""
+	if !valid || invalidSender || from.ID == m.self.update.Ref.ID || m.self.update.State == StateLeft {
 		return nil
 	}
 	known := m.table[from.ID]
 	if known != nil && known.update.Ref.Incarnation > from.Incarnation {
-		return m.tellReplaced(from, known)
+		return m.notifySuperseded(from, known)
 	}
-	_, joins := message.(SyncRequest)
-	packets := m.meet(now, from, header, joins)
+	_, joining := message.(SyncRequest)
+	packets := m.noteSender(now, from, header, joining)
 	m.applyAll(now, from.ID, header.Updates)
 	switch received := message.(type) {
 	case Probe:
 		packets = m.answerProbe(from, received, packets)
 	case Ack:
-		packets = m.takeAck(now, from, received, packets)
+		packets = m.handleAck(now, from, received, packets)
 	case ProbeRequest:
 		packets = m.relayProbe(now, from, received, packets)
 	case RelayedAck:
-		m.takeRelayedAck(received)
+		m.handleRelayedAck(received)
 	case SyncRequest:
 		packets = m.sendPage(from, received, packets)
 	case SyncPage:
-		packets = m.takePage(now, from, received, packets)
+		packets = m.applyPage(now, from, received, packets)
 	}
 	return m.compareTables(now, from, header.TableHash, packets)
 }
 
-// Leave tells the neighbours that this node stops as planned. The machine
-// does nothing more, but a few ticks repeat the news.
+// Leave tells the neighbours that this node stops as planned. Afterwards the machine only repeats this in the
+// next ticks.
 func (m *Machine) Leave(now time.Time) []Packet {
 	m.refreshNeighbours(now)
 	left := m.self.update
@@ -137,26 +135,25 @@
 	return m.spreadRumours(nil)
 }
 
-// Members returns all nodes known, this one included, in order of ID. The
-// slice is shared: it is not to be changed, and a later call returns another
-// one if Version has grown.
+// Members returns all known nodes, including this one, in order of ID. The slice is shared and must not be
+// changed. A later call returns a new slice if Version has grown.
 func (m *Machine) Members() []Member {
-	if m.listed == nil {
-		m.listed = make([]Member, 0, len(m.ids))
+	if m.membersCache == nil {
+		m.membersCache = make([]Member, 0, len(m.ids))
 		for _, id := range m.ids {
-			m.listed = append(m.listed, m.table[id].public())
+			m.membersCache = append(m.membersCache, m.table[id].public())
 		}
 	}
-	return m.listed
+	return m.membersCache
 }
 
-// changed records that the result of Members changed.
+// changed must be called after each change of the result of Members.
 func (m *Machine) changed() {
 	m.version++
-	m.listed = nil
+	m.membersCache = nil
 }
 
-// Member returns what is known of a node.
+// Member returns the member with an ID.
 func (m *Machine) Member(id api.NodeID) (Member, bool) {
 	known, ok := m.table[id]
 	if !ok {
@@ -165,13 +162,13 @@
 	return known.public(), true
 }
 
-// Version grows with each change of Members.
+// Version returns a number that grows with each change of Members.
 func (m *Machine) Version() uint64 {
 	return m.version
 }
 
-// Superseded tells whether a later life of a node with this node's ID was
-// heard of. Such a process is to stop: others do not count it as a member.
+// Superseded reports whether a later incarnation of this node is known. This process must then stop, as other
+// nodes no longer count it as a member.
 func (m *Machine) Superseded() bool {
 	return m.superseded
 }
@@ -181,14 +178,13 @@
 	return m.self.update.Ref
 }
 
-// SetDigest replaces what this node tells its neighbours about itself.
+// SetDigest sets the digest that this node sends to its neighbours.
 func (m *Machine) SetDigest(digest Digest) {
 	m.digest.set(digest)
 }
 
-// Digest returns the last digest received from a live node. Only nodes that
-// probe each other exchange digests: what is to reach all nodes must be
-// repeated in the digests of those that learn it.
+// Digest returns the last digest received from a live node. Only nodes that probe each other exchange
+// digests; information for all nodes has to be repeated in the digests of those that learn it.
 func (m *Machine) Digest(id api.NodeID) (Digest, bool) {
 	known, ok := m.table[id]
 	if !ok || !known.update.State.live() || known.digestSerial == 0 {
@@ -197,11 +193,10 @@
 	return known.digest, true
 }
 
-// Neighbours returns the live members that exchange probes with this node, in
-// order of ID.
+// Neighbours returns the live members that exchange probes with this node, in order of ID.
 func (m *Machine) Neighbours() []api.NodeRef {
-	refs := make([]api.NodeRef, 0, len(m.around.all))
-	for _, id := range m.around.all {
+	refs := make([]api.NodeRef, 0, len(m.neighbours.all))
+	for _, id := range m.neighbours.all {
 		if known, ok := m.table[id]; ok {
 			refs = append(refs, known.update.Ref)
 		}
@@ -209,22 +204,21 @@
 	return refs
 }
 
-// header returns the header of a message to a node, with first ahead of the
-// updates that wait to be spread.
+// header returns the header of a message to a node, with the updates of first ahead of the rumours.
 func (m *Machine) header(to api.NodeID, first ...Update) Header {
 	return Header{
 		Refutation: m.self.update.Refutation,
 		TableHash:  m.tableHash,
-		Updates:    m.takeRumours(to, first),
+		Updates:    m.piggybackRumours(to, first),
 	}
 }
 
-// refreshNeighbours works the rings out again after a change.
+// refreshNeighbours computes the neighbours again after a change of the members.
 func (m *Machine) refreshNeighbours(now time.Time) {
-	if !m.stale {
+	if !m.neighboursStale {
 		return
 	}
-	m.stale = false
+	m.neighboursStale = false
 	live := make([]*member, 0, len(m.table))
 	for _, known := range m.table {
 		if known.update.State.live() {
@@ -232,9 +226,9 @@
 		}
 	}
 	m.liveCount = len(live)
-	m.around = findNeighbours(m.self, live)
-	schedule := make(map[api.NodeID]time.Time, len(m.around.subjects))
-	for _, id := range m.around.subjects {
+	m.neighbours = findNeighbours(m.self, live)
+	schedule := make(map[api.NodeID]time.Time, len(m.neighbours.subjects))
+	for _, id := range m.neighbours.subjects {
 		due, scheduled := m.schedule[id]
 		if !scheduled {
 			due = now.Add(time.Duration(m.random.Int64N(int64(ProbeInterval))))
@@ -243,23 +237,23 @@
 	}
 	m.schedule = schedule
 	for id := range m.differing {
-		if !slices.Contains(m.around.all, id) {
+		if !slices.Contains(m.neighbours.all, id) {
 			delete(m.differing, id)
 		}
 	}
 }
 
-// noteGap records the time between two ticks.
+// noteGap updates the lag by the time between two ticks, and shifts the timers if this process was frozen.
 func (m *Machine) noteGap(gap time.Duration) {
 	m.lag.tick(gap)
 	if gap > StallLimit {
-		m.forgiveStall(gap)
+		m.shiftTimers(gap)
 	}
 }
 
-// forgiveStall shifts all timers after this process was frozen: the others
-// could not have answered in time.
-func (m *Machine) forgiveStall(stalled time.Duration) {
+// shiftTimers drops open probes and postpones deadlines after this process was frozen, as the answers of
+// others could not be received in time.
+func (m *Machine) shiftTimers(stalled time.Duration) {
 	clear(m.probes)
 	clear(m.relays)
 	for id, deadline := range m.suspects {
--- a/pkg/membership/membership_test.go
+++ b/pkg/membership/membership_test.go
@@ -13,7 +13,7 @@
 	return api.NodeID(fmt.Sprintf("n%03d", index))
 }
 
-// sizes are the shapes at which promises about time are checked.
+// sizes are the cluster sizes for which detection times and traffic are checked.
 var sizes = []struct {
 	nodes, regions, zones int
 	noticedWithin         time.Duration
@@ -36,7 +36,7 @@
 			for index := range min(size.nodes-2, 5) {
 				worst = max(worst, n.timeToNotice(nodeName(index*size.nodes/7)))
 			}
-			t.Logf("worst of the deaths: %v", worst)
+			t.Logf("longest time until a death was known to all: %v", worst)
 			if worst > size.noticedWithin {
 				t.Errorf("a death was known to all after %v, want %v", worst, size.noticedWithin)
 			}
@@ -44,7 +44,7 @@
 	}
 }
 
-// timeToNotice kills a node and returns the time until all others know.
+// timeToNotice kills a node and returns the time until all others see it as dead.
 func (n *network) timeToNotice(id api.NodeID) time.Duration {
 	n.kill(id)
 	start := n.now
@@ -57,7 +57,7 @@
 	return n.now.Sub(start)
 }
 
-// allSee tells whether all other nodes see a node in a state.
+// allSee reports whether all other nodes see a node in a state.
 func (n *network) allSee(id api.NodeID, state State) bool {
 	return !slices.ContainsFunc(n.nodes, func(node *testNode) bool {
 		seen, known := node.machine.Member(id)
@@ -65,15 +65,15 @@
 	})
 }
 
-// fault is something that goes wrong for a while in a settled network.
+// fault is a temporary fault in a settled network.
 type fault struct {
 	name  string
 	start func(n *network)
-	// lasts is how long, and settled how long after its end all agree again.
-	lasts, settled time.Duration
-	end            func(n *network)
-	running        int  // nodes afterwards, of 9 before
-	quiet          bool // nobody may be declared dead meanwhile; else somebody must
+	// duration is the length of the fault, and settleTime the time after its end until all nodes agree again.
+	duration, settleTime time.Duration
+	end                  func(n *network)
+	runningAfter         int  // number of nodes at the end, of 9 at the start
+	noDeaths             bool // nobody may be declared dead during the fault; otherwise somebody must be
 }
 
 func cutZone(zone string) func(from, to api.NodeRef) bool {
@@ -82,118 +82,118 @@
 
 func heal(n *network) { n.cut = nil }
 
-// faults is the table of fault cases in a network of 9 nodes in 3 zones.
+// faults are the fault cases for a network of 9 nodes in 3 zones.
 var faults = []fault{
 	{
-		name: "one-way cut between two nodes", running: 9, quiet: true,
+		name: "one-way cut between two nodes", runningAfter: 9, noDeaths: true,
 		start: func(n *network) {
 			n.cut = func(from, to api.NodeRef) bool { return from.ID == "n001" && to.ID == "n002" }
 		},
-		lasts: 10 * time.Second, end: heal, settled: time.Second,
+		duration: 10 * time.Second, end: heal, settleTime: time.Second,
 	},
 	{
-		name: "cut between two nodes", running: 9, quiet: true,
+		name: "cut between two nodes", runningAfter: 9, noDeaths: true,
 		start: func(n *network) {
 			n.cut = func(from, to api.NodeRef) bool {
 				return from.ID == "n001" && to.ID == "n002" || from.ID == "n002" && to.ID == "n001"
 			}
 		},
-		lasts: 10 * time.Second, end: heal, settled: time.Second,
+		duration: 10 * time.Second, end: heal, settleTime: time.Second,
 	},
 	{
-		name: "node that receives nothing", running: 9,
-		start: func(n *network) { n.cut = func(_, to api.NodeRef) bool { return to.ID == "n003" } },
-		lasts: 20 * time.Second, end: heal, settled: 10 * time.Second,
+		name: "node that receives nothing", runningAfter: 9,
+		start:    func(n *network) { n.cut = func(_, to api.NodeRef) bool { return to.ID == "n003" } },
+		duration: 20 * time.Second, end: heal, settleTime: 10 * time.Second,
 	},
 	{
-		name: "node that sends nothing", running: 9,
-		start: func(n *network) { n.cut = func(from, _ api.NodeRef) bool { return from.ID == "n003" } },
-		lasts: 20 * time.Second, end: heal, settled: 10 * time.Second,
+		name: "node that sends nothing", runningAfter: 9,
+		start:    func(n *network) { n.cut = func(from, _ api.NodeRef) bool { return from.ID == "n003" } },
+		duration: 20 * time.Second, end: heal, settleTime: 10 * time.Second,
 	},
 	{
-		name: "zone cut off for a minute", running: 9,
-		start: func(n *network) { n.cut = cutZone("zone-1") },
-		lasts: time.Minute, end: heal, settled: 10 * time.Second,
+		name: "zone cut off for a minute", runningAfter: 9,
+		start:    func(n *network) { n.cut = cutZone("zone-1") },
+		duration: time.Minute, end: heal, settleTime: 10 * time.Second,
 	},
 	{
-		name: "zone cut off for an hour", running: 9,
-		start: func(n *network) { n.cut = cutZone("zone-0") }, // with a seed
-		lasts: time.Hour, end: heal, settled: 10 * time.Second,
+		name: "zone cut off for an hour", runningAfter: 9,
+		start:    func(n *network) { n.cut = cutZone("zone-0") }, // has a seed
+		duration: time.Hour, end: heal, settleTime: 10 * time.Second,
 	},
 	{
-		name: "one-way cut of a zone", running: 9,
+		name: "one-way cut of a zone", runningAfter: 9,
 		start: func(n *network) {
 			n.cut = func(from, to api.NodeRef) bool { return from.Zone == "zone-1" && to.Zone != "zone-1" }
 		},
-		lasts: 20 * time.Second, end: heal, settled: 10 * time.Second,
+		duration: 20 * time.Second, end: heal, settleTime: 10 * time.Second,
 	},
 	{
-		name: "zone dies", running: 6,
-		start: func(n *network) { n.kill("n001"); n.kill("n004"); n.kill("n007") },
-		lasts: 4 * time.Second,
+		name: "zone dies", runningAfter: 6,
+		start:    func(n *network) { n.kill("n001"); n.kill("n004"); n.kill("n007") },
+		duration: 4 * time.Second,
 	},
 	{
-		name: "short freeze", running: 9, quiet: true,
-		start: func(n *network) { n.freeze("n004", 500*time.Millisecond) },
-		lasts: 5 * time.Second,
+		name: "short freeze", runningAfter: 9, noDeaths: true,
+		start:    func(n *network) { n.freeze("n004", 500*time.Millisecond) },
+		duration: 5 * time.Second,
 	},
 	{
-		name: "long freeze", running: 9,
-		start: func(n *network) { n.freeze("n004", 30*time.Second) },
-		lasts: 30 * time.Second, settled: 3 * time.Second,
+		name: "long freeze", runningAfter: 9,
+		start:    func(n *network) { n.freeze("n004", 30*time.Second) },
+		duration: 30 * time.Second, settleTime: 3 * time.Second,
 	},
 	{
-		name: "all freeze", running: 9, quiet: true,
+		name: "all freeze", runningAfter: 9, noDeaths: true,
 		start: func(n *network) {
 			for index := range 9 {
 				n.freeze(nodeName(index), time.Minute)
 			}
 		},
-		lasts: time.Minute, settled: 5 * time.Second,
+		duration: time.Minute, settleTime: 5 * time.Second,
 	},
 	{
-		name: "restart", running: 9, quiet: true,
-		start: func(n *network) { n.kill("n005"); n.start(5, 2) },
-		lasts: 3 * time.Second,
+		name: "restart", runningAfter: 9, noDeaths: true,
+		start:    func(n *network) { n.kill("n005"); n.start(5, 2) },
+		duration: 3 * time.Second,
 	},
 	{
-		name: "restart after death was known", running: 9,
-		start: func(n *network) { n.kill("n005") },
-		lasts: 5 * time.Second, end: func(n *network) { n.start(5, 2) }, settled: 3 * time.Second,
+		name: "restart after death was known", runningAfter: 9,
+		start:    func(n *network) { n.kill("n005") },
+		duration: 5 * time.Second, end: func(n *network) { n.start(5, 2) }, settleTime: 3 * time.Second,
 	},
 	{
-		name: "all seeds restart", running: 9,
+		name: "all seeds restart", runningAfter: 9,
 		start: func(n *network) {
 			for index := range 3 {
 				n.kill(nodeName(index))
 			}
 		},
-		lasts: 3 * time.Second,
+		duration: 3 * time.Second,
 		end: func(n *network) {
 			for index := range 3 {
 				n.start(index, 2)
 			}
 		},
-		settled: 12 * time.Second, // the seeds know only each other at first
+		settleTime: 12 * time.Second, // the seeds know only each other at first
 	},
 	{
-		name: "join during a cut", running: 10,
-		start: func(n *network) { n.cut = cutZone("zone-1"); n.start(9, 1) },
-		lasts: 20 * time.Second, end: heal, settled: 10 * time.Second,
+		name: "join during a cut", runningAfter: 10,
+		start:    func(n *network) { n.cut = cutZone("zone-1"); n.start(9, 1) },
+		duration: 20 * time.Second, end: heal, settleTime: 10 * time.Second,
 	},
 	{
-		name: "restart during a cut", running: 9,
-		start: func(n *network) { n.cut = cutZone("zone-1"); n.run(5 * time.Second); n.kill("n004"); n.start(4, 2) },
-		lasts: 20 * time.Second, end: heal, settled: 10 * time.Second,
+		name: "restart during a cut", runningAfter: 9,
+		start:    func(n *network) { n.cut = cutZone("zone-1"); n.run(5 * time.Second); n.kill("n004"); n.start(4, 2) },
+		duration: 20 * time.Second, end: heal, settleTime: 10 * time.Second,
 	},
 	{
-		name: "planned stop", running: 8, quiet: true,
+		name: "planned stop", runningAfter: 8, noDeaths: true,
 		start: func(n *network) {
 			leaver := n.node("n006")
 			n.send(leaver, leaver.machine.Leave(n.now))
 			n.kill("n006")
 		},
-		lasts: time.Second,
+		duration: time.Second,
 	},
 }
 
@@ -220,26 +220,26 @@
 	n.t.Helper()
 	fault.start(n)
 	dead := api.NodeID("")
-	n.watch = func(node *testNode) {
+	n.onStep = func(node *testNode) {
 		for id, seen := range node.machine.table {
 			if seen.update.State == StateDead {
 				dead = id
 			}
 		}
 	}
-	n.run(fault.lasts)
-	if fault.quiet != (dead == "") {
-		n.t.Errorf("declared dead: %q, want nobody: %v", dead, fault.quiet)
+	n.run(fault.duration)
+	if fault.noDeaths != (dead == "") {
+		n.t.Errorf("node %q was declared dead, want no deaths: %v", dead, fault.noDeaths)
 	}
-	n.watch = nil
+	n.onStep = nil
 	if fault.end != nil {
 		fault.end(n)
 	}
-	n.run(fault.settled)
+	n.run(fault.settleTime)
 	if n.config.loss > 0 {
-		n.awaitAgreement(fault.running, 10*time.Second) // a suspicion may be open
+		n.awaitAgreement(fault.runningAfter, 10*time.Second) // a suspicion may still be open
 	}
-	n.requireAgreement(fault.running)
+	n.requireAgreement(fault.runningAfter)
 }
 
 func (n *network) awaitAgreement(want int, limit time.Duration) {
@@ -248,20 +248,20 @@
 	}
 }
 
-// TestIndirectProbesPreventFalseDeaths switches the indirect probes off and
-// shows that a cut between two nodes then makes one suspected.
+// TestIndirectProbesPreventFalseDeaths shows that a cut between two nodes causes a suspicion only without
+// indirect probes.
 func TestIndirectProbesPreventFalseDeaths(t *testing.T) {
 	for _, indirect := range []bool{true, false} {
 		n := newNetwork(t, networkConfig{seed: 3, nodes: 9, regions: 1, zones: 3})
 		n.run(10 * time.Second)
-		subject := n.node("n001").machine.around.subjects[0]
+		subject := n.node("n001").machine.neighbours.subjects[0]
 		n.cut = func(from, to api.NodeRef) bool { return from.ID == "n001" && to.ID == subject }
 		n.drop = func(message any) bool {
 			_, isRequest := message.(ProbeRequest)
 			return isRequest && !indirect
 		}
 		suspected := false
-		n.watch = func(node *testNode) {
+		n.onStep = func(node *testNode) {
 			seen, _ := node.machine.Member(subject)
 			suspected = suspected || seen.State == StateSuspect
 		}
@@ -272,42 +272,42 @@
 	}
 }
 
-// TestSlowNodeAccusesNobody lets a node run in short moments only, so that it
-// finds answers late. Without the prolonged time-outs it accuses others.
-func TestSlowNodeAccusesNobody(t *testing.T) {
+// TestSlowNodeSuspectsNobody has a node that runs in short moments only, so that it finds answers late. It
+// must not suspect others; without extended timeouts it does.
+func TestSlowNodeSuspectsNobody(t *testing.T) {
 	for run := range uint64(20) {
-		prolongs, seed := run%2 == 0, run/2+1
+		extends, seed := run%2 == 0, run/2+1
 		n := newNetwork(t, networkConfig{seed: seed, nodes: 9, regions: 1, zones: 3})
 		n.run(10 * time.Second)
 		slow := n.node("n004")
-		slow.slowBy = 390 * time.Millisecond
-		accusations := 0
-		n.watch = func(node *testNode) {
-			if !prolongs {
+		slow.maxStepDelay = 390 * time.Millisecond
+		suspicions := 0
+		n.onStep = func(node *testNode) {
+			if !extends {
 				node.machine.lag = lag{}
 			}
 			if node != slow {
 				return
 			}
-			accusations += len(node.machine.suspects)
+			suspicions += len(node.machine.suspects)
 		}
 		n.run(2 * time.Minute)
-		if prolongs != (accusations == 0) {
-			t.Errorf("seed %d, prolonged time-outs %v: %d accusations", seed, prolongs, accusations)
+		if extends != (suspicions == 0) {
+			t.Errorf("seed %d, extended timeouts %v: %d suspicions", seed, extends, suspicions)
 		}
 	}
 }
 
-// TestRefutationPreventsFalseDeaths switches refutation off by taking the
-// updates about a node away from it.
+// TestRefutationPreventsFalseDeaths shows that a falsely suspected node is declared dead only if it can't
+// refute the suspicion, because updates about it are kept from it.
 func TestRefutationPreventsFalseDeaths(t *testing.T) {
 	for _, refutes := range []bool{true, false} {
 		n := newNetwork(t, networkConfig{seed: 3, nodes: 9, regions: 1, zones: 3})
 		n.run(10 * time.Second)
 		victim := n.node("n004")
-		victim.deafToSelf = !refutes
-		accuser := n.node("n001")
-		accuser.machine.suspect(n.now, "n004")
+		victim.ignoresUpdatesAboutSelf = !refutes
+		suspecting := n.node("n001")
+		suspecting.machine.suspect(n.now, "n004")
 		n.run(3 * time.Second)
 		if dead := n.allSee("n004", StateDead); dead == refutes {
 			t.Errorf("refutation %v: dead %v", refutes, dead)
@@ -321,7 +321,7 @@
 	n.run(10 * time.Second)
 	suspicions, deaths := 0, 0
 	states := make(map[[2]api.NodeID]State)
-	n.watch = func(node *testNode) {
+	n.onStep = func(node *testNode) {
 		for id, seen := range node.machine.table {
 			key := [2]api.NodeID{node.ref.ID, id}
 			if states[key] == seen.update.State {
@@ -341,11 +341,11 @@
 	t.Logf("30 nodes, 5%% loss: %.2f suspicions per node and minute (each counted at every node that sees it), %d false deaths",
 		float64(suspicions)/30/minutes, deaths)
 	if deaths > 0 {
-		t.Errorf("%d times a running node was seen as dead", deaths)
+		t.Errorf("a running node was seen as dead %d times", deaths)
 	}
 }
 
-func TestLaterLifeReplacesEarlier(t *testing.T) {
+func TestLaterIncarnationReplacesEarlier(t *testing.T) {
 	n := newNetwork(t, networkConfig{seed: 6, nodes: 5, regions: 1, zones: 3})
 	n.run(5 * time.Second)
 	older := n.node("n003")
@@ -353,7 +353,7 @@
 	n.start(3, 2)
 	n.run(3 * time.Second)
 	n.requireAgreement(5)
-	// The older life was only frozen and goes on.
+	// The older incarnation was only frozen and continues.
 	for _, packet := range older.machine.Tick(n.now) {
 		n.launch(older.ref, packet)
 	}
@@ -365,7 +365,7 @@
 	n.run(time.Second)
 	n.requireAgreement(5)
 	if !older.machine.Superseded() {
-		t.Error("the older life does not know that it was replaced")
+		t.Error("the older incarnation does not know that it was replaced")
 	}
 }
 
@@ -392,7 +392,7 @@
 	} {
 		machine := New(Config{Self: self})
 		if packets := machine.Receive(time.Unix(1, 0), given.from, given.message); packets != nil {
-			t.Errorf("%s: answered by %v", name, packets)
+			t.Errorf("%s: answered with %v", name, packets)
 		}
 		if members := machine.Members(); len(members) != 1 {
 			t.Errorf("%s: members are %v", name, members)
@@ -403,7 +403,7 @@
 		{}, {Ref: other, State: 99}, {Ref: api.NodeRef{ID: "c", Incarnation: 1}},
 	}}})
 	if members := machine.Members(); len(members) != 2 || members[1].State != StateAlive {
-		t.Errorf("invalid updates were taken over: %v", members)
+		t.Errorf("invalid updates were applied: %v", members)
 	}
 }
 
--- a/pkg/membership/messages.go
+++ b/pkg/membership/messages.go
@@ -6,15 +6,15 @@
 	"martenwheel.dev/pkg/api"
 )
 
-// Update is news about a member. Of two updates about the same node, the one
-// that supersedes the other is kept.
+// Update is the state of a member. Of two updates about the same node, the one that supersedes the other is
+// kept.
 type Update struct {
 	Ref        api.NodeRef
-	Refutation uint32 // raised by the member itself to refute a suspicion
+	Refutation uint32 // increased by the member itself to refute a suspicion
 	State      State
 }
 
-// supersedes tells whether the update replaces known.
+// supersedes reports whether the update replaces known.
 func (u Update) supersedes(known Update) bool {
 	if u.Ref.Incarnation != known.Ref.Incarnation {
 		return u.Ref.Incarnation > known.Ref.Incarnation
@@ -28,16 +28,15 @@
 	return u.State > known.State
 }
 
-// Header rides on all messages.
+// Header is part of all messages.
 type Header struct {
 	Refutation uint32   // of the sender
-	TableHash  uint32   // of the sender's live members
+	TableHash  uint32   // hash of the sender's live members
 	Updates    []Update // at most MaxUpdates
 }
 
-// DigestNews is a change of the sender's digest. Serial counts the changes of
-// the digest in one life. Cells holds the cells that changed since Base, or
-// all if Base is zero.
+// DigestNews is a change of the sender's digest. Serial counts the changes of the digest in one incarnation.
+// Cells has the cells that changed since the serial Base, or all cells if Base is zero.
 type DigestNews struct {
 	Base         uint64
 	Serial       uint64
@@ -57,7 +56,7 @@
 type Ack struct {
 	Header      Header
 	Sequence    uint64 // of the Probe
-	KnownDigest uint64
+	KnownDigest uint64 // serial of the receiver's digest that the sender has
 	Digest      *DigestNews
 }
 
@@ -80,7 +79,7 @@
 	Header Header
 }
 
-// SyncRequest asks for the page of the member table after After.
+// SyncRequest asks for the page of the member table that follows the ID After.
 type SyncRequest struct {
 	Header Header
 	After  api.NodeID
@@ -90,7 +89,7 @@
 type SyncPage struct {
 	Header  Header
 	Members []Update // at most MaxPageMembers
-	More    bool
+	More    bool     // another page follows
 }
 
 // Messages returns a value of each message type, for registration with the
@@ -99,8 +98,7 @@
 	return []any{Probe{}, Ack{}, ProbeRequest{}, RelayedAck{}, Gossip{}, SyncRequest{}, SyncPage{}}
 }
 
-// headerOf returns the header of a message, or false if the type is not one
-// of this package or a bound is exceeded.
+// headerOf returns the header of a message, and false if the type is unknown or a limit is exceeded.
 func headerOf(message any) (Header, bool) {
 	var header Header
 	var digest *DigestNews
@@ -129,15 +127,15 @@
 	return header, withinBounds
 }
 
-// digestState is the own digest with the serial at which each part changed.
+// digestState is this node's digest with the serials at which its parts changed.
 type digestState struct {
 	current     Digest
 	serial      uint64
-	cellChanged map[api.CellName]uint64
-	cellRemoved uint64
+	cellChanged map[api.CellName]uint64 // serial of the last change by cell
+	cellRemoved uint64                  // serial of the last removal of a cell
 }
 
-// set replaces the digest and raises the serial if anything differs.
+// set replaces the digest and increases the serial if anything differs.
 func (d *digestState) set(next Digest) {
 	if len(next.Cells) > MaxDigestCells {
 		next.Cells = next.Cells[:MaxDigestCells]
@@ -162,8 +160,8 @@
 	d.current = Digest{TreeRevision: next.TreeRevision, Cells: slices.Clone(next.Cells)}
 }
 
-// newsSince returns what a node that has the digest of the serial known lacks,
-// or nil.
+// newsSince returns the changes for a node that has the digest with the serial known, or nil if there are
+// none.
 func (d *digestState) newsSince(known uint64, withCells bool) *DigestNews {
 	if known == d.serial {
 		return nil
--- a/pkg/membership/network_test.go
+++ b/pkg/membership/network_test.go
@@ -20,29 +20,29 @@
 	seed       uint64
 	nodes      int
 	regions    int
-	zones      int // in all; zones are dealt to the regions in turn
+	zones      int // in total; the zones belong to the regions in turn
 	loss       float64
 	duplicates float64
-	jitter     time.Duration // added to the delay at random: reorders
+	jitter     time.Duration // maximum random delay of a packet, which reorders packets
 	countBytes bool
 }
 
-// testNode is one life of a simulated node.
+// testNode is one incarnation of a simulated node.
 type testNode struct {
-	ref         api.NodeRef
-	machine     *Machine
-	frozenUntil time.Time
-	held        []delivery    // arrived while frozen
-	deafToSelf  bool          // does not hear what others say of it
-	slowBy      time.Duration // it steps up to that late, at random, and finds messages with each third step
-	steps       int
-	bytes       int // sent, as gob without type descriptors
-	messages    int
-	encoder     *gob.Encoder
-	encoded     bytes.Buffer
+	ref                     api.NodeRef
+	machine                 *Machine
+	frozenUntil             time.Time
+	queued                  []delivery    // packets that arrived while the node was frozen
+	ignoresUpdatesAboutSelf bool          // updates about the node are removed from messages to it
+	maxStepDelay            time.Duration // maximum random delay of a step; such a node receives messages only in every third step
+	steps                   int
+	bytes                   int // sent, in gob encoding without type descriptors
+	messages                int
+	encoder                 *gob.Encoder
+	encoded                 bytes.Buffer
 }
 
-// delivery is a packet on its way.
+// delivery is a packet in transit.
 type delivery struct {
 	at      time.Time
 	order   int
@@ -68,7 +68,7 @@
 	return last
 }
 
-// network is a set of machines and what is on its way between them.
+// network is a set of machines and the packets in transit between them.
 type network struct {
 	t         *testing.T
 	config    networkConfig
@@ -76,11 +76,11 @@
 	now       time.Time
 	nodes     []*testNode
 	byAddress map[string]*testNode
-	flying    deliveries
+	inFlight  deliveries
 	sent      int
-	cut       func(from, to api.NodeRef) bool // drops packets; nil: none
-	drop      func(message any) bool          // drops packets by content; nil: none
-	watch     func(node *testNode)            // called after each step of a node
+	cut       func(from, to api.NodeRef) bool // whether to drop packets between two nodes; nil: none
+	drop      func(message any) bool          // whether to drop a packet by its content; nil: none
+	onStep    func(node *testNode)            // called after each step of a node
 }
 
 func newNetwork(t *testing.T, config networkConfig) *network {
@@ -107,7 +107,7 @@
 	return fmt.Sprintf("10.0.%d.%d:7000", index/250, index%250)
 }
 
-// start starts a life of the node with an index, in place of an earlier one.
+// start starts an incarnation of the node with an index. It replaces an earlier one.
 func (n *network) start(index int, incarnation uint64) *testNode {
 	zone := index % n.config.zones
 	ref := api.NodeRef{
@@ -139,14 +139,14 @@
 	return nil
 }
 
-// kill ends a node at once.
+// kill removes a node at once.
 func (n *network) kill(id api.NodeID) {
 	node := n.node(id)
 	delete(n.byAddress, node.ref.PeerAddress)
 	n.nodes = slices.DeleteFunc(n.nodes, func(other *testNode) bool { return other == node })
 }
 
-// freeze stops a node for a time; packets to it wait.
+// freeze stops a node for some time; packets to it are queued.
 func (n *network) freeze(id api.NodeID, duration time.Duration) {
 	n.node(id).frozenUntil = n.now.Add(duration)
 }
@@ -169,34 +169,34 @@
 		return
 	}
 	node.steps++
-	if node.slowBy == 0 || node.steps%3 == 0 {
-		n.receiveHeld(node)
+	if node.maxStepDelay == 0 || node.steps%3 == 0 {
+		n.receiveQueued(node)
 	}
 	n.send(node, node.machine.Tick(n.now))
 	n.observe(node)
-	if node.slowBy > 0 {
-		node.frozenUntil = n.now.Add(time.Duration(n.random.Int64N(int64(node.slowBy))))
+	if node.maxStepDelay > 0 {
+		node.frozenUntil = n.now.Add(time.Duration(n.random.Int64N(int64(node.maxStepDelay))))
 	}
 }
 
-// receiveHeld lets a node receive what arrived while it was frozen.
-func (n *network) receiveHeld(node *testNode) {
-	held := node.held
-	node.held = nil
+// receiveQueued makes a node receive the packets that arrived while it was frozen.
+func (n *network) receiveQueued(node *testNode) {
+	held := node.queued
+	node.queued = nil
 	for _, arrived := range held {
 		n.receive(node, arrived)
 	}
 }
 
 func (n *network) deliverUntil(end time.Time) {
-	for len(n.flying) > 0 && !n.flying[0].at.After(end) {
-		arrived := heap.Pop(&n.flying).(delivery)
+	for len(n.inFlight) > 0 && !n.inFlight[0].at.After(end) {
+		arrived := heap.Pop(&n.inFlight).(delivery)
 		n.now = arrived.at
 		node := n.byAddress[arrived.address]
 		switch {
 		case node == nil:
-		case node.slowBy > 0 || arrived.at.Before(node.frozenUntil):
-			node.held = append(node.held, arrived)
+		case node.maxStepDelay > 0 || arrived.at.Before(node.frozenUntil):
+			node.queued = append(node.queued, arrived)
 		default:
 			n.receive(node, arrived)
 		}
@@ -205,14 +205,14 @@
 
 func (n *network) receive(node *testNode, arrived delivery) {
 	message := arrived.message
-	if node.deafToSelf {
+	if node.ignoresUpdatesAboutSelf {
 		message = withoutUpdatesAbout(node.ref.ID, message)
 	}
 	n.send(node, node.machine.Receive(n.now, arrived.from, message))
 	n.observe(node)
 }
 
-// withoutUpdatesAbout takes the updates about a node out of a message.
+// withoutUpdatesAbout returns a message without its updates about a node.
 func withoutUpdatesAbout(id api.NodeID, message any) any {
 	keep := func(updates []Update) []Update {
 		return slices.DeleteFunc(slices.Clone(updates), func(u Update) bool { return u.Ref.ID == id })
@@ -245,8 +245,8 @@
 }
 
 func (n *network) observe(node *testNode) {
-	if n.watch != nil {
-		n.watch(node)
+	if n.onStep != nil {
+		n.onStep(node)
 	}
 }
 
@@ -265,7 +265,7 @@
 
 func (n *network) count(node *testNode, packet Packet) {
 	if _, valid := headerOf(packet.Message); !valid {
-		n.t.Errorf("%s sends %T over the bounds", node.ref.ID, packet.Message)
+		n.t.Errorf("%s sends a %T that exceeds the limits", node.ref.ID, packet.Message)
 	}
 	node.messages++
 	if !n.config.countBytes {
@@ -288,7 +288,7 @@
 		return
 	}
 	n.sent++
-	heap.Push(&n.flying, delivery{
+	heap.Push(&n.inFlight, delivery{
 		at:      n.now.Add(n.delay(from, receiver.ref)),
 		order:   n.sent,
 		from:    from,
@@ -308,8 +308,7 @@
 	return delay
 }
 
-// requireAgreement fails unless each node sees exactly the running nodes as
-// alive.
+// requireAgreement fails the test unless each node sees exactly the running nodes as alive.
 func (n *network) requireAgreement(want int) {
 	n.t.Helper()
 	if problem := n.disagreement(want); problem != "" {
@@ -317,9 +316,10 @@
 	}
 }
 
+// disagreement returns how the nodes' views differ from the running nodes, or an empty text.
 func (n *network) disagreement(want int) string {
 	if len(n.nodes) != want {
-		return fmt.Sprintf("%d nodes run, want %d", len(n.nodes), want)
+		return fmt.Sprintf("%d nodes are running, want %d", len(n.nodes), want)
 	}
 	for _, node := range n.nodes {
 		alive := 0
--- a/pkg/membership/probing.go
+++ b/pkg/membership/probing.go
@@ -7,23 +7,23 @@
 	"martenwheel.dev/pkg/api"
 )
 
-// Limits of probing.
+// Limits of the numbers of probes.
 const (
-	indirectProbers  = 3  // members asked to probe one that does not answer
-	verifyPerTick    = 2  // members probed because views of them differ
-	maxRelays        = 64 // probes under way on behalf of others
-	joinSeedsPerTime = 3  // seeds asked at once while no member is known
+	indirectProbers = 3  // members asked to probe one that does not answer
+	verifyPerTick   = 2  // members probed in a tick because views of them differ
+	maxRelays       = 64 // probes in progress on behalf of others
+	seedsPerJoin    = 3  // seeds asked at a time while no member is known
 )
 
-// probe is a probe under way.
+// probe is a probe in progress.
 type probe struct {
-	target   api.NodeRef
-	sent     time.Time
-	indirect bool // others were asked to probe too
-	harmless bool // silence means nothing: the target may be dead
+	target       api.NodeRef
+	sent         time.Time
+	indirectSent bool // other members were asked to probe too
+	noSuspicion  bool // a missing answer causes no suspicion, as the target may be dead
 }
 
-// relay is a probe under way on behalf of another node.
+// relay is a probe in progress on behalf of another node.
 type relay struct {
 	target   api.NodeID
 	origin   api.NodeRef
@@ -31,16 +31,16 @@
 	sent     time.Time
 }
 
-// timeouts returns the direct and the whole timeout of a probe of ref.
-func (m *Machine) timeouts(ref api.NodeRef) (direct, whole time.Duration) {
-	direct, whole = DirectTimeout, DirectTimeout+IndirectTimeout
+// timeouts returns the direct and the total timeout of a probe of ref.
+func (m *Machine) timeouts(ref api.NodeRef) (direct, total time.Duration) {
+	direct, total = DirectTimeout, DirectTimeout+IndirectTimeout
 	if ref.Region != m.self.update.Ref.Region {
-		direct, whole = direct*RemoteFactor, whole*RemoteFactor
+		direct, total = direct*RemoteFactor, total*RemoteFactor
 	}
-	return m.lag.prolong(direct), m.lag.prolong(whole)
+	return m.lag.extend(direct), m.lag.extend(total)
 }
 
-// checkProbes acts on the probes that were not answered in time.
+// checkProbes handles the probes that were not answered in time.
 func (m *Machine) checkProbes(now time.Time, packets []Packet) []Packet {
 	sequences := make([]uint64, 0, len(m.probes))
 	for sequence := range m.probes {
@@ -49,15 +49,15 @@
 	slices.Sort(sequences)
 	for _, sequence := range sequences {
 		waiting := m.probes[sequence]
-		direct, whole := m.timeouts(waiting.target)
+		direct, total := m.timeouts(waiting.target)
 		age := now.Sub(waiting.sent)
 		switch {
-		case age >= whole:
+		case age >= total:
 			delete(m.probes, sequence)
-			m.missAnswer(now, waiting)
-		case age >= direct && !waiting.indirect && !waiting.harmless:
-			waiting.indirect = true
-			packets = m.askOthers(sequence, waiting.target, packets)
+			m.handleTimeout(now, waiting)
+		case age >= direct && !waiting.indirectSent && !waiting.noSuspicion:
+			waiting.indirectSent = true
+			packets = m.requestIndirectProbes(sequence, waiting.target, packets)
 		}
 	}
 	for sequence, relayed := range m.relays {
@@ -68,18 +68,17 @@
 	return packets
 }
 
-// missAnswer suspects a member whose probe failed, unless it was replaced or
-// is no neighbour any more.
-func (m *Machine) missAnswer(now time.Time, missed *probe) {
-	known, exists := m.table[missed.target.ID]
-	if missed.harmless || !exists || known.update.Ref.Incarnation != missed.target.Incarnation {
+// handleTimeout suspects a member whose probe failed, unless that incarnation was replaced or forgotten.
+func (m *Machine) handleTimeout(now time.Time, failed *probe) {
+	known, exists := m.table[failed.target.ID]
+	if failed.noSuspicion || !exists || known.update.Ref.Incarnation != failed.target.Incarnation {
 		return
 	}
-	m.suspect(now, missed.target.ID)
+	m.suspect(now, failed.target.ID)
 }
 
-// askOthers asks random live members to probe target, of its region first.
-func (m *Machine) askOthers(sequence uint64, target api.NodeRef, packets []Packet) []Packet {
+// requestIndirectProbes asks random live members to probe target, first those of its region.
+func (m *Machine) requestIndirectProbes(sequence uint64, target api.NodeRef, packets []Packet) []Packet {
 	var near, far []api.NodeRef
 	for _, id := range m.ids {
 		known := m.table[id]
@@ -106,9 +105,9 @@
 	m.random.Shuffle(len(refs), func(i, j int) { refs[i], refs[j] = refs[j], refs[i] })
 }
 
-// sendProbes probes the subjects that are due.
+// sendProbes probes the subjects whose probe is due.
 func (m *Machine) sendProbes(now time.Time, packets []Packet) []Packet {
-	for _, id := range m.around.subjects {
+	for _, id := range m.neighbours.subjects {
 		known, exists := m.table[id]
 		if !exists || now.Before(m.schedule[id]) {
 			continue
@@ -119,10 +118,10 @@
 	return packets
 }
 
-// probe starts a probe of a node that may be known by its address only.
-func (m *Machine) probe(now time.Time, target api.NodeRef, harmless bool) Packet {
+// probe starts a probe of a node. Of the node only its address may be known.
+func (m *Machine) probe(now time.Time, target api.NodeRef, noSuspicion bool) Packet {
 	m.sequence++
-	m.probes[m.sequence] = &probe{target: target, sent: now, harmless: harmless}
+	m.probes[m.sequence] = &probe{target: target, sent: now, noSuspicion: noSuspicion}
 	return Packet{To: target, Message: m.probeMessage(target, m.sequence)}
 }
 
@@ -133,46 +132,45 @@
 		message.Header = m.header(target.ID)
 		return message
 	}
-	message.Header = m.header(target.ID, accusation(known)...)
+	message.Header = m.header(target.ID, rowToRefute(known)...)
 	message.KnownDigest = known.digestSerial
-	message.Digest = m.newsFor(known)
+	message.Digest = m.digestNewsFor(known)
 	return message
 }
 
-// accusation returns the row of a member that is not seen as alive, which the
-// member is to refute.
-func accusation(known *member) []Update {
+// rowToRefute returns the row of a member that is not seen as alive, so that the member can refute it.
+func rowToRefute(known *member) []Update {
 	if known.update.State == StateAlive {
 		return nil
 	}
 	return []Update{known.update}
 }
 
-func (m *Machine) newsFor(known *member) *DigestNews {
+func (m *Machine) digestNewsFor(known *member) *DigestNews {
 	sameRegion := known.update.Ref.Region == m.self.update.Ref.Region
-	return m.digest.newsSince(known.knowsDigest, sameRegion)
+	return m.digest.newsSince(known.peerDigestSerial, sameRegion)
 }
 
 // answerProbe answers a probe.
 func (m *Machine) answerProbe(from api.NodeRef, received Probe, packets []Packet) []Packet {
 	known := m.table[from.ID]
-	known.knowsDigest = received.KnownDigest
-	known.takeDigest(received.Digest)
+	known.peerDigestSerial = received.KnownDigest
+	known.applyDigest(received.Digest)
 	ack := Ack{
-		Header:      m.header(from.ID, accusation(known)...),
+		Header:      m.header(from.ID, rowToRefute(known)...),
 		Sequence:    received.Sequence,
 		KnownDigest: known.digestSerial,
-		Digest:      m.newsFor(known),
+		Digest:      m.digestNewsFor(known),
 	}
 	return append(packets, Packet{To: from, Message: ack})
 }
 
-// takeAck ends a probe that was answered, or hands the answer on to the node
-// on whose behalf the probe was sent.
-func (m *Machine) takeAck(now time.Time, from api.NodeRef, received Ack, packets []Packet) []Packet {
+// handleAck ends a probe that was answered, or sends a RelayedAck to the node on whose behalf the probe was
+// sent.
+func (m *Machine) handleAck(now time.Time, from api.NodeRef, received Ack, packets []Packet) []Packet {
 	known := m.table[from.ID]
-	known.knowsDigest = received.KnownDigest
-	known.takeDigest(received.Digest)
+	known.peerDigestSerial = received.KnownDigest
+	known.applyDigest(received.Digest)
 	if waiting, exists := m.probes[received.Sequence]; exists && waiting.answeredBy(from) {
 		delete(m.probes, received.Sequence)
 	}
@@ -185,8 +183,8 @@
 	return append(packets, Packet{To: relayed.origin, Message: answer})
 }
 
-// answeredBy tells whether an answer from a node ends the probe. A target that
-// was known by its address only is answered by whoever is there.
+// answeredBy reports whether an answer from a node ends the probe. If only the target's address is known, an
+// answer from any node does.
 func (p *probe) answeredBy(from api.NodeRef) bool {
 	return p.target.ID == "" || p.target.ID == from.ID
 }
@@ -207,16 +205,16 @@
 	return append(packets, Packet{To: received.Target, Message: message})
 }
 
-func (m *Machine) takeRelayedAck(received RelayedAck) {
+func (m *Machine) handleRelayedAck(received RelayedAck) {
 	waiting, exists := m.probes[received.Sequence]
 	if exists && waiting.target.ID == received.Target {
 		delete(m.probes, received.Sequence)
 	}
 }
 
-// takeDigest takes over a change of the member's digest. A change that does
-// not fit what is known is ignored; the next message tells the member so.
-func (r *member) takeDigest(news *DigestNews) {
+// applyDigest applies a change of the member's digest. A change based on another serial than the known one is
+// ignored; the next message tells the member the known serial.
+func (r *member) applyDigest(news *DigestNews) {
 	if news == nil || news.Base != 0 && news.Base != r.digestSerial {
 		return
 	}
@@ -246,23 +244,23 @@
 	return merged
 }
 
-// addVerify has a member probed soon because views of it differ.
+// addVerify schedules a probe of a member because views of it differ.
 func (m *Machine) addVerify(id api.NodeID) {
-	if !slices.Contains(m.verify, id) {
-		m.verify = append(m.verify, id)
+	if !slices.Contains(m.toVerify, id) {
+		m.toVerify = append(m.toVerify, id)
 	}
 }
 
-// verifyMembers probes some of the members that others see differently, or
-// that talk although they are seen as dead. The probe carries the accusation.
+// verifyMembers probes some of the members that other nodes see differently, or that send messages although
+// they are seen as dead. The probe carries the row that the member may refute.
 func (m *Machine) verifyMembers(now time.Time, packets []Packet) []Packet {
 	for range verifyPerTick {
-		if len(m.verify) == 0 {
+		if len(m.toVerify) == 0 {
 			break
 		}
-		choice := m.random.IntN(len(m.verify))
-		id := m.verify[choice]
-		m.verify = slices.Delete(m.verify, choice, choice+1)
+		choice := m.random.IntN(len(m.toVerify))
+		id := m.toVerify[choice]
+		m.toVerify = slices.Delete(m.toVerify, choice, choice+1)
 		if known, exists := m.table[id]; exists && known.update.State != StateLeft {
 			packets = append(packets, m.probe(now, known.update.Ref, true))
 		}
@@ -270,20 +268,19 @@
 	return packets
 }
 
-// rejoin asks seeds for their tables while no other member is known. Later it
-// probes a dead member or an unknown seed now and then, so that the halves of
-// a healed cut find each other.
+// rejoin asks seeds for their tables while no other member is known. Later it occasionally probes a dead
+// member or a seed that is not a member, so that the parts of a healed partition find each other.
 func (m *Machine) rejoin(now time.Time, packets []Packet) []Packet {
 	if now.Before(m.nextRejoin) {
 		return packets
 	}
-	if len(m.around.all) == 0 {
+	if len(m.neighbours.all) == 0 {
 		m.nextRejoin = now.Add(SyncInterval)
 		return m.join(packets)
 	}
 	m.nextRejoin = now.Add(RejoinInterval)
 	if m.random.IntN(max(m.liveCount, 1)) >= RejoinProbes {
-		return packets // left to others
+		return packets // left to other nodes
 	}
 	addresses := make(map[string]bool, len(m.table))
 	var lost []api.NodeRef
@@ -305,14 +302,14 @@
 	return append(packets, m.probe(now, lost[m.random.IntN(len(lost))], true))
 }
 
-// join asks some seeds, and the dead members if all seem dead, for the table.
+// join asks some seeds for their tables, and probes some dead members, as no other member seems alive.
 func (m *Machine) join(packets []Packet) []Packet {
 	var targets []api.NodeRef
 	for _, seed := range m.seeds {
 		targets = append(targets, api.NodeRef{PeerAddress: seed})
 	}
 	m.shuffle(targets)
-	targets = targets[:min(joinSeedsPerTime, len(targets))]
+	targets = targets[:min(seedsPerJoin, len(targets))]
 	for _, target := range targets {
 		packets = append(packets, Packet{To: target, Message: SyncRequest{Header: m.header(target.ID)}})
 	}
@@ -323,7 +320,7 @@
 		}
 	}
 	m.shuffle(lost)
-	for _, target := range lost[:min(joinSeedsPerTime, len(lost))] {
+	for _, target := range lost[:min(seedsPerJoin, len(lost))] {
 		packets = append(packets, Packet{To: target, Message: Probe{Header: m.header(target.ID, m.table[target.ID].update)}})
 	}
 	return packets
--- a/pkg/membership/rings.go
+++ b/pkg/membership/rings.go
@@ -9,13 +9,13 @@
 	"martenwheel.dev/pkg/api"
 )
 
-// ringCount is the number of rings: two in the region, one over all regions.
+// ringCount is the number of rings: two within the region and one over all regions.
 const ringCount = 3
 
 // globalRing is the index of the ring over all regions.
 const globalRing = ringCount - 1
 
-// ringPositions returns the places of a node on the rings.
+// ringPositions returns the positions of a node on the rings.
 func ringPositions(id api.NodeID) [ringCount]uint64 {
 	var positions [ringCount]uint64
 	for ring := range positions {
@@ -26,12 +26,12 @@
 
 // neighbours are the members next to this node on the rings.
 type neighbours struct {
-	subjects []api.NodeID // successors: probed by this node
-	all      []api.NodeID // successors and predecessors, sorted: get news
+	subjects []api.NodeID // successors, which this node probes
+	all      []api.NodeID // successors and predecessors, sorted; they get all updates
 }
 
-// findNeighbours returns the neighbours of self among live, which holds self.
-// There are ringCount subjects if there are as many other members.
+// findNeighbours returns the neighbours of self among live, which includes self. There are ringCount subjects
+// if there are that many other members.
 func findNeighbours(self *member, live []*member) neighbours {
 	var found neighbours
 	predecessors := make([]api.NodeID, 0, ringCount)
@@ -46,13 +46,13 @@
 		if last < 1 {
 			continue
 		}
-		found.subjects = addFirstOther(found.subjects, order, place, 1)
-		predecessors = addFirstOther(predecessors, order, place, -1)
+		found.subjects = addNextUnchosen(found.subjects, order, place, 1)
+		predecessors = addNextUnchosen(predecessors, order, place, -1)
 	}
 	order := ringOrder(globalRing, live)
 	place := slices.Index(order, self)
 	for len(found.subjects) < min(ringCount, len(live)-1) {
-		found.subjects = addFirstOther(found.subjects, order, place, 1)
+		found.subjects = addNextUnchosen(found.subjects, order, place, 1)
 	}
 	found.all = append(predecessors, found.subjects...)
 	slices.Sort(found.all)
@@ -60,9 +60,9 @@
 	return found
 }
 
-// addFirstOther adds to chosen the first member after place, in the direction
-// of step, that is neither at place nor chosen already.
-func addFirstOther(chosen []api.NodeID, order []*member, place, step int) []api.NodeID {
+// addNextUnchosen appends to chosen the first member after place, in the direction of step, that is not
+// chosen yet.
+func addNextUnchosen(chosen []api.NodeID, order []*member, place, step int) []api.NodeID {
 	for offset := 1; offset < len(order); offset++ {
 		index := (place + step*offset + len(order)*offset) % len(order)
 		id := order[index].update.Ref.ID
--- a/pkg/membership/rules_test.go
+++ b/pkg/membership/rules_test.go
@@ -15,7 +15,7 @@
 	return api.NodeRef{ID: id, Incarnation: incarnation, PeerAddress: string(id) + ":7000", Region: "r", Zone: "z"}
 }
 
-// newPair returns a machine that sees another node in a state.
+// newPair returns a machine that sees another node in the given state.
 func newPair(state State) (*Machine, Update) {
 	machine := New(Config{Self: testRef("a", 1)})
 	other := Update{Ref: testRef("b", 1)}
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestFrozenProcessAccusesNobody(t *testing.T) {
+func TestFrozenProcessSuspectsNobody(t *testing.T) {
 	machine, other := newPair(StateAlive)
 	now := startTime
 	for range 10 {
@@ -56,16 +56,16 @@
 	}
 	machine.Tick(now.Add(time.Minute))
 	if seen, _ := machine.Member(other.Ref.ID); seen.State != StateAlive {
-		t.Errorf("after a freeze with a probe under way: %v", seen.State)
+		t.Errorf("after a freeze with a probe in progress the state is %v", seen.State)
 	}
 	machine, other = newPair(StateSuspect)
 	machine.Tick(startTime.Add(time.Minute))
 	if seen, _ := machine.Member(other.Ref.ID); seen.State != StateSuspect {
-		t.Errorf("after a freeze with a suspicion open: %v", seen.State)
+		t.Errorf("after a freeze with an open suspicion the state is %v", seen.State)
 	}
 }
 
-// probedWith returns the updates that ride on a probe of a node.
+// probedWith returns the updates in a probe of a node.
 func probedWith(packets []Packet, id api.NodeID) []Update {
 	for _, packet := range packets {
 		if sent, isProbe := packet.Message.(Probe); isProbe && packet.To.ID == id {
@@ -75,40 +75,40 @@
 	return nil
 }
 
-func TestDeadMemberThatTalksIsShownTheAccusation(t *testing.T) {
+func TestDeadMemberThatSendsMessagesIsToldToRefute(t *testing.T) {
 	machine, other := newPair(StateDead)
 	machine.Receive(startTime, other.Ref, Gossip{})
 	packets := machine.Tick(startTime.Add(100 * time.Millisecond))
 	if !slices.Contains(probedWith(packets, "b"), other) {
-		t.Errorf("no probe with the accusation: %v", packets)
+		t.Errorf("no probe has the row to refute: %v", packets)
 	}
 }
 
-// TestOldNewsOfADeathIsVerified has a node that was cut off tell in its table
-// that a running node is dead.
+// TestOldNewsOfADeathIsVerified has a node that was cut off send a table in which a running node is dead. The
+// receiver must probe that node instead of believing it.
 func TestOldNewsOfADeathIsVerified(t *testing.T) {
 	machine, other := newPair(StateAlive)
 	other.State = StateDead
 	from := testRef("c", 1)
 	machine.Receive(startTime, from, SyncPage{Members: []Update{other}})
 	if seen, _ := machine.Member("b"); seen.State != StateAlive {
-		t.Errorf("b is %v after old news", seen.State)
+		t.Errorf("b is %v after an outdated table", seen.State)
 	}
 	packets := machine.Tick(startTime.Add(100 * time.Millisecond))
 	if !slices.ContainsFunc(packets, func(p Packet) bool { _, isProbe := p.Message.(Probe); return isProbe && p.To.ID == "b" }) {
-		t.Errorf("b is not asked: %v", packets)
+		t.Errorf("b is not probed: %v", packets)
 	}
 }
 
-// TestLostUpdateIsFoundByComparison takes a row out of one table, as if all
-// messages about it had been lost.
+// TestLostUpdateIsFoundByComparison removes a row from one table, as if all messages about it had been lost.
+// The comparison of tables must restore it.
 func TestLostUpdateIsFoundByComparison(t *testing.T) {
 	n := newNetwork(t, networkConfig{seed: 41, nodes: 12, regions: 1, zones: 3})
 	n.run(10 * time.Second)
 	forgetful := n.node("n007").machine
-	isNeighbour := func(id api.NodeID) bool { return slices.Contains(forgetful.around.all, id) }
+	isNeighbour := func(id api.NodeID) bool { return slices.Contains(forgetful.neighbours.all, id) }
 	place := slices.IndexFunc(forgetful.ids, func(id api.NodeID) bool {
-		isSeed := id <= "n002" // which would be probed in any case
+		isSeed := id <= "n002" // seeds are probed in any case
 		return id != "n007" && !isSeed && !isNeighbour(id)
 	})
 	lost := forgetful.ids[place]
@@ -120,9 +120,9 @@
 	n.requireAgreement(12)
 }
 
-// TestAnyMessagesAreSurvived feeds a machine with messages of random content
-// and checks what must hold of its table.
-func TestAnyMessagesAreSurvived(t *testing.T) {
+// TestRandomMessagesKeepTheTableConsistent sends a machine messages with random content and checks the
+// invariants of its table.
+func TestRandomMessagesKeepTheTableConsistent(t *testing.T) {
 	const seed = 42
 	random := rand.New(rand.NewPCG(seed, 0))
 	machine := New(Config{Self: testRef("n3", 5), Seeds: []string{"x:1", "n4:7000"}})
@@ -131,7 +131,7 @@
 		now = now.Add(time.Duration(random.IntN(50)) * time.Millisecond)
 		for _, packet := range machine.Receive(now, randomUpdate(random).Ref, randomMessage(random)) {
 			if _, valid := headerOf(packet.Message); !valid {
-				t.Fatalf("seed %d, step %d: sends %T over the bounds", seed, step, packet.Message)
+				t.Fatalf("seed %d, step %d: sends a %T that exceeds the limits", seed, step, packet.Message)
 			}
 		}
 		machine.Tick(now)
@@ -143,7 +143,7 @@
 			t.Fatalf("seed %d, step %d: table and index differ", seed, step)
 		}
 		if self, _ := machine.Member("n3"); self.State != StateAlive || self.Ref.Incarnation != 5 {
-			t.Fatalf("seed %d, step %d: sees itself as %+v", seed, step, self)
+			t.Fatalf("seed %d, step %d: the node sees itself as %+v", seed, step, self)
 		}
 	}
 }
--- a/pkg/membership/size_test.go
+++ b/pkg/membership/size_test.go
@@ -8,17 +8,17 @@
 	"martenwheel.dev/pkg/api"
 )
 
-// maxBytesPerSecond bounds what membership sends per node and second when
-// nothing changes: a quarter of the 3 KB that a node has for control. The
-// frames of the transport add about 4 bytes a message.
+// maxBytesPerSecond is the maximum that membership may send per node and second when nothing changes: a
+// quarter of the 3 KB that a node has for control messages. The frames of the transport add about 4 bytes per
+// message.
 const maxBytesPerSecond = 750
 
-// maxBytesOfRestart bounds what a death and a restart of a node make each node
-// send beyond that, on average: at 400 a day, 50 bytes a second.
+// maxBytesOfRestart is the maximum mean number of further bytes that each node may send due to the death and
+// restart of a node. With 400 restarts a day this is 50 bytes a second.
 const maxBytesOfRestart = 10_000
 
-// extraBytes returns the bytes that an event makes a node send, on average,
-// beyond its steady bytes a second.
+// extraBytes returns the mean number of bytes that a node sends due to an event, beyond its steady bytes per
+// second.
 func (n *network) extraBytes(steady float64, event func()) float64 {
 	n.resetCounts()
 	start := n.now
@@ -60,18 +60,18 @@
 			bytes, messages := n.perNodeSecond(duration)
 			t.Logf("%.0f bytes and %.1f messages sent per node and second", bytes, messages)
 			if bytes > maxBytesPerSecond {
-				t.Errorf("%.0f bytes a second, allowed are %d", bytes, maxBytesPerSecond)
+				t.Errorf("%.0f bytes per node and second, want at most %d", bytes, maxBytesPerSecond)
 			}
 			replaced := n.extraBytes(bytes, func() { n.kill("n002"); n.run(5 * time.Second); n.start(2, 2) })
 			t.Logf("a death and a restart cost each node %.0f bytes more", replaced)
 			if replaced > maxBytesOfRestart {
-				t.Errorf("%.0f bytes for a death and a restart, allowed are %d", replaced, maxBytesOfRestart)
+				t.Errorf("%.0f bytes per node for a death and a restart, want at most %d", replaced, maxBytesOfRestart)
 			}
 		})
 	}
 }
 
-// TestCutsAtFullSize cuts a zone or region of the target size off and heals it.
+// TestCutsAtFullSize cuts off a zone or region of a cluster of the target size and then heals the partition.
 func TestCutsAtFullSize(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes some seconds")
@@ -101,7 +101,7 @@
 	}
 }
 
-// measure returns the time until reached, and logs it with the traffic.
+// measure runs until reached returns true. It returns the time this took, and logs it with the traffic.
 func (n *network) measure(t *testing.T, name string, reached func() bool) time.Duration {
 	n.resetCounts()
 	duration := n.timeUntil(time.Minute, reached)
@@ -118,8 +118,8 @@
 	return n.now.Sub(start)
 }
 
-// sideKnows tells whether the nodes on one side of a cut see those on the other
-// as dead and their own side as alive.
+// sideKnows reports whether the nodes on one side of a cut see those on the other side as dead and those on
+// their own side as alive.
 func (n *network) sideKnows(inside func(api.NodeRef) bool, ofInside bool) bool {
 	for _, node := range n.nodes {
 		if inside(node.ref) != ofInside {
--- a/pkg/membership/sweep.go
+++ b/pkg/membership/sweep.go
@@ -6,21 +6,19 @@
 	"martenwheel.dev/pkg/api"
 )
 
-// The ring neighbours of a node that is cut off with its zone or region are
-// often cut off with it. So deaths that come together start a sweep of their
-// zone by all other nodes.
+// If a zone or region is cut off, the ring neighbours of its nodes are often cut off with it and can't report
+// them. Therefore several deaths within a short time start a sweep of their zone by all other nodes.
 
-// zoneDeaths are the latest deaths in a zone.
+// zoneDeaths has the times of the latest deaths in a zone.
 type zoneDeaths struct {
 	last       time.Time
 	sweepUntil time.Time
 }
 
-// sweeps holds the zones in which somebody died lately.
+// sweeps has the zones with recent deaths.
 type sweeps map[string]zoneDeaths
 
-// recordDeath starts or prolongs a sweep if the death is not the first one
-// within SweepWindow.
+// recordDeath starts or extends a sweep if the death is not the first one within SweepWindow.
 func (s sweeps) recordDeath(now time.Time, zone string) {
 	deaths := s[zone]
 	if !deaths.last.IsZero() && now.Sub(deaths.last) <= SweepWindow {
@@ -30,7 +28,7 @@
 	s[zone] = deaths
 }
 
-// forgetOld drops the zones in which nobody died lately.
+// forgetOld removes the zones without recent deaths.
 func (s sweeps) forgetOld(now time.Time) {
 	for zone, deaths := range s {
 		if now.Sub(deaths.last) > SweepWindow {
@@ -39,9 +37,8 @@
 	}
 }
 
-// sweep probes a random live member of the zones that are swept. A node that
-// is behind itself leaves that to others: its own delay may be what made
-// members look dead.
+// sweep probes a random live member of the zones that are being swept. A node with a lag leaves this to
+// others, as its own delay may be why members seem dead.
 func (m *Machine) sweep(now time.Time, packets []Packet) []Packet {
 	m.sweeps.forgetOld(now)
 	if len(m.sweeps) == 0 || m.lag.level > 0 {
@@ -54,8 +51,8 @@
 	var candidates []api.NodeRef
 	for _, id := range m.ids {
 		known := m.table[id]
-		swept := now.Before(m.sweeps[known.update.Ref.Zone].sweepUntil)
-		if swept && known != m.self && known.update.State == StateAlive && !probed[id] {
+		sweeping := now.Before(m.sweeps[known.update.Ref.Zone].sweepUntil)
+		if sweeping && known != m.self && known.update.State == StateAlive && !probed[id] {
 			candidates = append(candidates, known.update.Ref)
 		}
 	}
--- a/pkg/membership/table.go
+++ b/pkg/membership/table.go
@@ -15,12 +15,12 @@
 // member is a row of the table.
 type member struct {
 	update    Update
-	since     time.Time
+	since     time.Time // when the member entered its state
 	positions [ringCount]uint64
 
-	digest       Digest // received from the member
-	digestSerial uint64 // of digest; zero if none
-	knowsDigest  uint64 // serial of the own digest that the member has
+	digest           Digest // received from the member
+	digestSerial     uint64 // serial of digest; zero: none received
+	peerDigestSerial uint64 // serial of this node's digest that the member has
 }
 
 func newMember(update Update, now time.Time) *member {
@@ -31,8 +31,8 @@
 	return Member{Ref: r.update.Ref, State: r.update.State, Since: r.since}
 }
 
-// hash returns the row's share of the table's hash: zero unless it is live.
-// Suspicion is left out, because it settles by itself.
+// hash returns the row's part of the table's hash, zero unless the row is live. It does not depend on
+// suspicions, which end by themselves.
 func (r *member) hash() uint32 {
 	if !r.update.State.live() {
 		return 0
@@ -44,21 +44,20 @@
 	return uint32(xxhash.Sum64(data))
 }
 
-// applyAll takes over updates that were heard from a node.
+// applyAll applies updates received from a node.
 func (m *Machine) applyAll(now time.Time, from api.NodeID, updates []Update) {
 	for _, update := range updates {
 		m.apply(now, from, update)
 	}
 }
 
-// apply takes over an update if it supersedes what is known, and spreads it.
-// It tells whether it did.
+// apply stores and spreads an update if it supersedes the known row, and reports whether it did.
 func (m *Machine) apply(now time.Time, from api.NodeID, update Update) bool {
 	if update.Ref.ID == "" || update.Ref.PeerAddress == "" || update.State > StateLeft {
 		return false
 	}
 	if update.Ref.ID == m.self.update.Ref.ID {
-		m.hearOfSelf(update)
+		m.refute(update)
 		return false
 	}
 	known, exists := m.table[update.Ref.ID]
@@ -66,14 +65,14 @@
 		return false
 	}
 	if !exists && !update.State.live() {
-		return false // nothing to take back
+		return false // there is no live row to change
 	}
 	m.store(now, known, update)
 	m.addRumour(update.Ref.ID, from)
 	return true
 }
 
-// insert adds a row to the table, in place of an earlier life.
+// insert adds a row to the table. It replaces the row of an earlier incarnation.
 func (m *Machine) insert(row *member) {
 	id := row.update.Ref.ID
 	m.table[id] = row
@@ -85,12 +84,12 @@
 // store writes an update into the table.
 func (m *Machine) store(now time.Time, known *member, update Update) {
 	id := update.Ref.ID
-	newLife := known == nil || known.update.Ref.Incarnation != update.Ref.Incarnation
+	newIncarnation := known == nil || known.update.Ref.Incarnation != update.Ref.Incarnation
 	wasLive := known != nil && known.update.State.live()
 	if known != nil {
 		m.tableHash ^= known.hash()
 	}
-	if newLife {
+	if newIncarnation {
 		known = newMember(update, now)
 		m.insert(known)
 	}
@@ -100,9 +99,9 @@
 	known.update = update
 	m.tableHash ^= known.hash()
 	m.changed()
-	m.stale = m.stale || newLife || wasLive != update.State.live()
+	m.neighboursStale = m.neighboursStale || newIncarnation || wasLive != update.State.live()
 	if !update.State.live() {
-		known.digest, known.digestSerial, known.knowsDigest = Digest{}, 0, 0
+		known.digest, known.digestSerial, known.peerDigestSerial = Digest{}, 0, 0
 	}
 	if update.State == StateDead {
 		m.sweeps.recordDeath(now, update.Ref.Zone)
@@ -114,8 +113,8 @@
 	}
 }
 
-// hearOfSelf refutes what others wrongly say of this node.
-func (m *Machine) hearOfSelf(update Update) {
+// refute handles an update about this node that another node sent, and refutes a suspicion.
+func (m *Machine) refute(update Update) {
 	self := &m.self.update
 	if update.Ref.Incarnation > self.Ref.Incarnation {
 		m.superseded = true
@@ -137,30 +136,30 @@
 	m.addRumour(self.Ref.ID, "")
 }
 
-// meet records that a message came from a node. It returns a request for the
-// node's table if the two were cut off from each other, or never heard of each
-// other. A node that has just started has nothing to tell.
-func (m *Machine) meet(now time.Time, from api.NodeRef, header Header, joins bool) []Packet {
+// noteSender records that a message came from a node. It returns a request for the node's table if the two
+// nodes were cut off from each other, or did not know each other. A node that has just started has no table
+// worth asking for.
+func (m *Machine) noteSender(now time.Time, from api.NodeRef, header Header, joining bool) []Packet {
 	known, exists := m.table[from.ID]
 	wasCutOff := exists && known.update.State == StateDead && known.update.Ref.Incarnation == from.Incarnation
-	isStranger := !exists && !joins
+	isUnknown := !exists && !joining
 	m.apply(now, from.ID, Update{Ref: from, Refutation: header.Refutation})
 	known = m.table[from.ID]
 	if known.update.State == StateSuspect || known.update.State == StateDead {
 		m.addVerify(from.ID)
 	}
-	if !wasCutOff && !isStranger {
+	if !wasCutOff && !isUnknown {
 		return nil
 	}
 	return m.requestSync(now, known.update.Ref)
 }
 
-// tellReplaced answers a node whose ID has a later life.
-func (m *Machine) tellReplaced(from api.NodeRef, known *member) []Packet {
+// notifySuperseded answers a node that has a later incarnation.
+func (m *Machine) notifySuperseded(from api.NodeRef, known *member) []Packet {
 	return []Packet{{To: from, Message: Gossip{Header: m.header(from.ID, known.update)}}}
 }
 
-// declareDead declares the suspects dead that did not refute in time.
+// declareDead declares suspects dead that did not refute in time.
 func (m *Machine) declareDead(now time.Time) {
 	for _, id := range sortedKeys(m.suspects) {
 		if now.Before(m.suspects[id]) {
@@ -183,14 +182,14 @@
 	m.apply(now, "", update)
 }
 
-// suspicionTimeout returns how long a suspect has in a cluster of this size.
+// suspicionTimeout returns how long a suspect has to refute in a cluster of this size.
 func (m *Machine) suspicionTimeout() time.Duration {
 	base := bits.Len(uint(SuspicionScaleNodes))
 	size := max(base, bits.Len(uint(len(m.table))))
-	return m.lag.prolong(SuspicionTimeout * time.Duration(size) / time.Duration(base))
+	return m.lag.extend(SuspicionTimeout * time.Duration(size) / time.Duration(base))
 }
 
-// forgetOld drops members that died or left long ago.
+// forgetOld removes members that died or left long ago.
 func (m *Machine) forgetOld(now time.Time) {
 	if now.Before(m.nextForget) {
 		return
--- a/pkg/site/site.go
+++ b/pkg/site/site.go
@@ -113,7 +113,7 @@
 		Self: s.ref(), Logger: s.Logger, Counters: s.traffic.counters, Timeouts: peer.Timeouts{Dial: peerDial, Write: time.Second, Ping: time.Second},
 	})
 	l := &lease.Lease{
-		Store: s.Store, Lives: s.Self.Name + "/", Self: s.Self.Name + "/" + strconv.FormatInt(s.Self.Life, 36),
+		Store: s.Store, IncarnationPrefix: s.Self.Name + "/", Self: s.Self.Name + "/" + strconv.FormatInt(s.Self.Life, 36),
 		Address: s.Self.Peers,
 		Log:     func(message string, fields ...any) { s.Logger.Info(message, fields...) },
 	}
@@ -135,14 +135,14 @@
 	s.hub = &watch.Hub{
 		Self: watchNode(s.Self), Nodes: s.watchNodes, Known: s.member.Known, Transport: transport,
 		Tables: s.Tables, FirstStart: s.First, Logger: s.Logger.Named("watch"),
-		Whole: func() bool { _, held := l.Held(); return held },
+		NeedsWhole: func() bool { _, held := l.Held(); return held },
 	}
 	holder.Complete = s.tablesWhole
 	s.member.Nearest, s.member.Cover = s.nearest, s.cover
-	l.Fleet, l.GoOn = holder.Fleet, holder.MayGoOn
+	l.Fleet, l.AllowOffline = holder.Fleet, holder.MayGoOn
 	l.Quarantine = func(recorded []quarantine.Aged) []quarantine.Aged { return known.Keep(clock.Now(), recorded) }
 	l.Quotas = holder.QuotaBalances
-	l.First, l.Patience = s.First, s.leasePatience
+	l.FirstStart, l.TakeoverDelay = s.First, s.leasePatience
 	l.Eager = func() bool { return s.member.Known() && s.hub.Watching() }
 	s.member.Candidate = s.hub.Watching
 	s.relay = &relay.Relay{
@@ -202,7 +202,7 @@
 	if s.tablesWhole() {
 		return ""
 	}
-	return s.hub.Main()
+	return s.hub.MainParent()
 }
 
 // cover has this node told of lives of servers that it does not know.
@@ -212,7 +212,7 @@
 		keys[i] = backend.ParseLife(id).Instance
 	}
 	for _, t := range s.Tables {
-		if !t.Parted {
+		if !t.Partitioned {
 			continue
 		}
 		if err := s.hub.Cover(ctx, t.Name, keys...); err != nil {
--- a/pkg/watch/breaker.go
+++ b/pkg/watch/breaker.go
@@ -9,22 +9,21 @@
 	"martenwheel.dev/pkg/clock"
 )
 
-// breaker keeps the tables of a node from asking a store that fails all at once: after a
-// failure one of them asks after a pause, and once it is answered all go on. Safe for
-// concurrent use.
+// breaker keeps the tables of a node from all asking a failing store at once: after a failure, one of them
+// asks after a pause, and once it gets an answer all continue. It is safe for concurrent use.
 type breaker struct {
 	mu       sync.Mutex
-	failures int // in a row; zero: closed
-	until    time.Time
-	probing  bool          // a call is under way that tells whether the store is back
+	failures int           // in a row; zero: closed
+	until    time.Time     // time of the next probe
+	probing  bool          // a call that finds out whether the store answers again is in progress
 	changed  chan struct{} // closed when any of this changes
 }
 
-// mostDoublings bounds the doublings of retryPause: to some four seconds.
-const mostDoublings = 5
+// maxDoublings limits how often retryPause is doubled: to a pause of some four seconds.
+const maxDoublings = 5
 
-// enter waits until the caller may ask the store, and returns whether it is the one that
-// finds out whether the store is back. Without an error leave or skip is to follow.
+// enter waits until the caller may ask the store. It reports whether the call is a probe, which finds out
+// whether the store answers again. Unless it returns an error, leave or skip must follow.
 func (b *breaker) enter(ctx context.Context) (probe bool, err error) {
 	for {
 		wait, changed := b.try(clock.Now())
@@ -44,11 +43,11 @@
 	}
 }
 
-// longProbe is how long to wait at most for the call of another table.
-const longProbe = time.Minute
+// maxProbeWait is the longest wait for another table's probe before the state is checked again.
+const maxProbeWait = time.Minute
 
-// try tells how long to wait until the store may be asked, or until the channel is
-// closed. Zero: now; without a channel to find out whether the store is back.
+// try returns how long to wait before the store may be asked; the wait also ends when the channel is closed.
+// Zero means now, and without a channel the call is a probe.
 func (b *breaker) try(now time.Time) (time.Duration, <-chan struct{}) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -59,7 +58,7 @@
 	case b.failures == 0:
 		return 0, b.changed
 	case b.probing:
-		return longProbe, b.changed
+		return maxProbeWait, b.changed
 	case now.Before(b.until):
 		return b.until.Sub(now), b.changed
 	}
@@ -67,36 +66,37 @@
 	return 0, nil
 }
 
-// skip tells that the caller does not ask after all.
+// skip ends a call that was allowed by enter and was not made.
 func (b *breaker) skip() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.probing = false
-	b.tell()
+	b.notify()
 }
 
-// pauses bounds the pause after a call that failed, before half of it is left to chance.
-type pauses struct {
-	least, most time.Duration
+// pauseLimits bounds the pause after a failed call. The actual pause is random, half to one and a half times
+// as long.
+type pauseLimits struct {
+	min, max time.Duration
 }
 
-// leave notes how a call ended.
-func (b *breaker) leave(failed bool, p pauses) {
+// leave records how a call ended.
+func (b *breaker) leave(failed bool, p pauseLimits) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.probing = false
 	if failed {
 		b.failures++
-		pause := max(min(retryPause<<min(b.failures, mostDoublings), p.most), p.least)
+		pause := max(min(retryPause<<min(b.failures, maxDoublings), p.max), p.min)
 		b.until = clock.Now().Add(pause/2 + rand.N(pause))
 	} else {
 		b.failures = 0
 	}
-	b.tell()
+	b.notify()
 }
 
-// tell wakes those who wait. The caller holds mu.
-func (b *breaker) tell() {
+// notify wakes the waiting callers. The caller holds mu.
+func (b *breaker) notify() {
 	close(b.changed)
 	b.changed = make(chan struct{})
 }
--- a/pkg/watch/breaker_test.go
+++ b/pkg/watch/breaker_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestBreaker: of several callers before a store that fails one asks now and then, and
-// all go on once it is answered.
+// TestBreaker checks that of several callers of a failing store only one asks now and then, and that all
+// continue once it gets an answer.
 func TestBreaker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const callers, away, took = 3, 10 * time.Second, 100 * time.Millisecond
@@ -29,7 +29,7 @@
 					}
 					time.Sleep(took)
 					failed := time.Now().Before(back)
-					b.leave(failed, pauses{most: retryMost})
+					b.leave(failed, pauseLimits{max: maxRetryPause})
 					if failed {
 						calls.Add(1)
 					} else {
@@ -41,38 +41,38 @@
 			}()
 		}
 		time.Sleep(away)
-		// All fail once; then one asks after pauses of half of retryMost at least.
-		if n := calls.Load(); n < 5 || n > callers+int64(away/(retryMost/2+took)) {
+		// All callers fail once; then one asks after pauses of at least half of maxRetryPause.
+		if n := calls.Load(); n < 5 || n > callers+int64(away/(maxRetryPause/2+took)) {
 			t.Errorf("%d calls by %d callers in %v", n, callers, away)
 		}
 		if probes.Load() == 0 {
-			t.Error("nobody was told to find out")
+			t.Error("no call was a probe")
 		}
-		time.Sleep(3*retryMost/2 + 2*took)
+		time.Sleep(3*maxRetryPause/2 + 2*took)
 		if n := served.Load(); n != callers {
-			t.Errorf("%d of %d callers were served after the store came back", n, callers)
+			t.Errorf("%d of %d callers were served after the store answered again", n, callers)
 		}
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// TestBreakerPassesTheTurnOn: who may ask and has no need to any more does not hold up
-// the others.
-func TestBreakerPassesTheTurnOn(t *testing.T) {
+// TestBreakerSkipLetsTheNextCallerProbe checks that a caller that may probe but has no need to any more does
+// not block the others.
+func TestBreakerSkipLetsTheNextCallerProbe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var b breaker
 		if probe, err := b.enter(t.Context()); probe || err != nil {
-			t.Fatalf("the first call: %v, %v", probe, err)
+			t.Fatalf("first call: probe %v, error %v", probe, err)
 		}
-		b.leave(true, pauses{most: retryMost})
+		b.leave(true, pauseLimits{max: maxRetryPause})
 		if probe, err := b.enter(t.Context()); !probe || err != nil {
-			t.Fatalf("the call after a failure: %v, %v", probe, err)
+			t.Fatalf("call after a failure: probe %v, error %v", probe, err)
 		}
 		b.skip()
 		began := time.Now()
 		if probe, err := b.enter(t.Context()); !probe || err != nil || time.Since(began) > 0 {
-			t.Errorf("the next one: %v, %v after %v", probe, err, time.Since(began))
+			t.Errorf("call after a skipped probe: probe %v, error %v after %v", probe, err, time.Since(began))
 		}
 	})
 }
--- a/pkg/watch/follow.go
+++ b/pkg/watch/follow.go
@@ -13,45 +13,46 @@
 	"martenwheel.dev/pkg/revision"
 )
 
-// Follow asks a node to pass on what changes in some tables for followTime. It is told again before
-// that is over.
+// Follow subscribes a node to the changes of some tables for followLifetime. The node sends it again before
+// that time is over.
 type Follow struct {
-	Follower string           // IP:port for other nodes
-	Tables   map[string]Parts // that the follower holds or wants
-	Bare     bool             // without records: another node sends them
+	Follower string           // IP:port of the subscriber for other nodes
+	Tables   map[string]Parts // parts by table that the subscriber holds or wants
+	Bare     bool             // without records, which another node sends
 }
 
-// Times of following.
+// Times of subscriptions to other nodes.
 const (
-	followLook     = 200 * time.Millisecond
-	followInterval = time.Second
-	followTime     = 3 * followInterval
-	// parentSilence is after how long without a word another node is followed: three pulses.
-	parentSilence = 3 * pulseInterval
-	// silentRest is how long a silent node is not followed again.
-	silentRest = 10 * time.Second
+	followCheckInterval = 200 * time.Millisecond // between checks of which nodes to follow
+	followInterval      = time.Second            // between Follow messages
+	followLifetime      = 3 * followInterval     // of a Follow at the node that gets it
+	// parentTimeout is how long a parent may be silent, three heartbeats, before another node is followed.
+	parentTimeout = 3 * heartbeatInterval
+	// silentParentPause is how long a silent node is not followed again.
+	silentParentPause = 10 * time.Second
 )
 
-// parent is a node that this one follows, or did.
+// parent is a node that this one follows or has followed.
 type parent struct {
-	since  time.Time // when it was first followed, without a break
-	heard  time.Time
-	silent time.Time // until when it is not followed, as it was silent
+	followedSince time.Time // start of the current time of following; zero: not followed
+	lastHeard     time.Time // when the last message came from it
+	avoidUntil    time.Time // not followed until then, as it was silent
 }
 
-// following is whom a node follows, and what it told them. It belongs to the goroutine of Hub.follow.
-type following struct {
-	main, second string // addresses; empty: none
-	tables       map[string]Parts
-	toldAt       time.Time
-	lookedAt     time.Time
+// followState is which nodes this node follows and what it sent them. It belongs to the goroutine of
+// Hub.follow.
+type followState struct {
+	main, second string           // addresses; empty: none
+	tables       map[string]Parts // parts by table in the last Follow
+	sentAt       time.Time        // time of the last Follow
+	checkedAt    time.Time        // time of the last step
 }
 
-// follow follows other nodes until ctx ends.
+// follow subscribes to other nodes until ctx ends.
 func (h *Hub) follow(ctx context.Context) {
-	ticker := time.NewTicker(followLook)
+	ticker := time.NewTicker(followCheckInterval)
 	defer ticker.Stop()
-	var f following
+	var f followState
 	for {
 		h.followStep(ctx, &f)
 		select {
@@ -63,64 +64,65 @@
 	}
 }
 
-// followStep looks at whom to follow and what to hold, and tells it if that changed or is due.
-func (h *Hub) followStep(ctx context.Context, f *following) {
+// followStep decides which nodes to follow and which parts to hold, and sends a Follow if that changed or the
+// next one is due.
+func (h *Hub) followStep(ctx context.Context, f *followState) {
 	now := clock.Now()
-	if now.Sub(f.lookedAt) > parentSilence/2 {
-		h.forgive(now)
+	if now.Sub(f.checkedAt) > parentTimeout/2 {
+		h.resetParentTimes(now)
 	}
-	f.lookedAt = now
+	f.checkedAt = now
 	top := h.topology()
 	if !h.Known() || len(top.nodes) <= SmallSite || h.Watching() {
 		h.followNobody(f)
 		return
 	}
 	main, second := h.chooseParents(top, now)
-	relay := top.relay(h.Self)
-	tables := h.wanted(relay)
+	relay := top.isRelay(h.Self)
+	tables := h.wantedParts(relay)
 	if main != f.main {
-		h.Logger.Info("follows", "main", main, "second", second, "before", f.main, "relay", relay)
+		h.Logger.Info("following other nodes", "main", main, "second", second, "before", f.main, "relay", relay)
 	}
-	if main != f.main || second != f.second || !maps.Equal(tables, f.tables) || now.Sub(f.toldAt) >= followInterval {
+	if main != f.main || second != f.second || !maps.Equal(tables, f.tables) || now.Sub(f.sentAt) >= followInterval {
 		h.sendFollow(main, Follow{Follower: h.Self.Peers, Tables: tables})
 		h.sendFollow(second, Follow{Follower: h.Self.Peers, Tables: tables, Bare: true})
-		f.main, f.second, f.tables, f.toldAt = main, second, tables, now
+		f.main, f.second, f.tables, f.sentAt = main, second, tables, now
 	}
-	h.setMain(main)
-	h.fillAll(ctx, main)
+	h.setMainParent(main)
+	h.requestMissing(ctx, main)
 }
 
-// followNobody is the step of a node that watches, or knows no others yet: it holds all.
-func (h *Hub) followNobody(f *following) {
+// followNobody is the step of a node that watches the store, or knows no other nodes yet: it holds all rows.
+func (h *Hub) followNobody(f *followState) {
 	for _, t := range h.Tables {
-		t.want(AllParts)
+		t.setWanted(AllParts)
 	}
-	*f = following{lookedAt: f.lookedAt}
-	h.setMain("")
+	*f = followState{checkedAt: f.checkedAt}
+	h.setMainParent("")
 }
 
-// sendFollow tells a node that this one follows it; an empty address: none.
+// sendFollow sends a Follow to a node, unless the address is empty.
 func (h *Hub) sendFollow(address string, f Follow) {
 	if address != "" {
 		h.Transport.Send(address, f)
 	}
 }
 
-// fillAll asks a node for what is missing of all tables; an empty address: none.
-func (h *Hub) fillAll(ctx context.Context, address string) {
+// requestMissing asks a node for the missing parts of all tables, unless the address is empty.
+func (h *Hub) requestMissing(ctx context.Context, address string) {
 	if address == "" {
 		return
 	}
 	for _, t := range h.Tables {
-		if missing, _, _ := t.lacks(); missing != 0 {
-			go h.fill(ctx, t, address, missing, 0)
+		if missing, _, _ := t.partStatus(); missing != 0 {
+			go h.fetchParts(ctx, t, address, missing, 0)
 		}
 	}
 }
 
-// chooseParents returns the addresses of the nodes to follow: the first two of those preferred that
-// are not silent, or of all if all are, as while the store is down. The second one's pulses tell that
-// changes are missing while the first is lost.
+// chooseParents returns the addresses of the nodes to follow: the first two preferred nodes that are not
+// silent, or the first two of all if all are silent, as during an outage of the store. The heartbeats of the
+// second node show that changes are missing while the first one is unreachable.
 func (h *Hub) chooseParents(top *topology, now time.Time) (main, second string) {
 	candidates := top.parents(h.Self)
 	h.mu.Lock()
@@ -128,14 +130,14 @@
 	var chosen []string
 	for _, n := range candidates {
 		p := h.parent(n.Peers)
-		if len(chosen) == 2 || now.Before(p.silent) {
+		if len(chosen) == 2 || now.Before(p.avoidUntil) {
 			continue
 		}
-		if p.since.IsZero() {
-			p.since = now
+		if p.followedSince.IsZero() {
+			p.followedSince = now
 		}
-		if now.Sub(p.since) > parentSilence && now.Sub(p.heard) > parentSilence {
-			p.silent = now.Add(silentRest)
+		if now.Sub(p.followedSince) > parentTimeout && now.Sub(p.lastHeard) > parentTimeout {
+			p.avoidUntil = now.Add(silentParentPause)
 			continue
 		}
 		chosen = append(chosen, n.Peers)
@@ -144,8 +146,8 @@
 		if slices.Contains(chosen, address) {
 			continue
 		}
-		p.since = time.Time{}
-		if now.After(p.silent) {
+		p.followedSince = time.Time{}
+		if now.After(p.avoidUntil) {
 			delete(h.parents, address)
 		}
 	}
@@ -158,7 +160,7 @@
 	return chosen[0], chosen[1]
 }
 
-// parent returns what is known of a node that may be followed. The caller holds mu.
+// parent returns the state of a node that may be followed. The caller holds mu.
 func (h *Hub) parent(address string) *parent {
 	p := h.parents[address]
 	if p == nil {
@@ -168,72 +170,74 @@
 	return p
 }
 
-// forgive has no node count as silent for the time in which this one stood still.
-func (h *Hub) forgive(now time.Time) {
+// resetParentTimes restarts the timeouts of all parents after this node was paused, so that none counts as
+// silent for the time of the pause.
+func (h *Hub) resetParentTimes(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, p := range h.parents {
-		if !p.since.IsZero() {
-			p.since = now
+		if !p.followedSince.IsZero() {
+			p.followedSince = now
 		}
 	}
 }
 
-// heardFrom notes a word of a node that is followed.
+// heardFrom records that a message came from a node that may be a parent.
 func (h *Hub) heardFrom(address string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if p := h.parents[address]; p != nil {
-		p.heard = clock.Now()
+		p.lastHeard = clock.Now()
 	}
 }
 
-// wanted sets what the node is to hold of each table and returns it.
-func (h *Hub) wanted(relay bool) map[string]Parts {
-	whole := relay || h.Whole != nil && h.Whole()
+// wantedParts sets the parts that the node is to hold of each table. It returns the parts that are held or
+// missing, by table.
+func (h *Hub) wantedParts(relay bool) map[string]Parts {
+	whole := relay || h.NeedsWhole != nil && h.NeedsWhole()
 	parts := make(map[string]Parts, len(h.Tables))
 	for _, t := range h.Tables {
 		want := AllParts
-		if t.Parted && !whole {
-			want = h.share(t) | h.extras(t.Name)
+		if t.Partitioned && !whole {
+			want = h.ownShare(t) | h.currentExtraParts(t.Name)
 		}
-		t.want(want)
-		missing, held, _ := t.lacks()
+		t.setWanted(want)
+		missing, held, _ := t.partStatus()
 		parts[t.Name] = missing | held
 	}
 	return parts
 }
 
-// share returns the parts that the node keeps of a table in any case.
-func (h *Hub) share(t *Table) Parts {
+// ownShare returns the parts that the node keeps of a table in any case.
+func (h *Hub) ownShare(t *Table) Parts {
 	t.mu.Lock()
-	rows := t.total
+	rows := t.totalRows
 	t.mu.Unlock()
 	if rows == 0 {
 		return AllParts
 	}
-	n := share(rows)
+	n := shareSize(rows)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	// A table whose size moves a little is not to have nodes drop parts and ask for them again.
-	if kept := h.shares[t.Name]; kept.count() == 0 || n < kept.count()*3/4 || n > kept.count()*5/4 {
-		h.shares[t.Name] = preferred(h.Self.Name, n)
+	// Small changes of the table's size must not make nodes drop parts and ask for them again.
+	if kept := h.keptParts[t.Name]; kept.count() == 0 || n < kept.count()*3/4 || n > kept.count()*5/4 {
+		h.keptParts[t.Name] = preferredParts(h.Self.Name, n)
 	}
-	return h.shares[t.Name]
+	return h.keptParts[t.Name]
 }
 
-// extraTime is how long a part is kept that was asked for.
-const extraTime = time.Minute
+// extraPartLifetime is how long a part is kept after Cover.
+const extraPartLifetime = time.Minute
 
-// extras returns the parts of a table that were asked for lately.
-func (h *Hub) extras(table string) Parts {
+// currentExtraParts returns the parts of a table that are kept due to Cover.
+func (h *Hub) currentExtraParts(table string) Parts {
 	now := clock.Now()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var parts Parts
-	for key, until := range h.extra {
+	for key, until := range h.extraParts {
 		if now.After(until) {
-			delete(h.extra, key)
+			delete(h.extraParts, key)
 		} else if key.table == table {
 			parts |= partAt(key.part)
 		}
@@ -241,72 +245,74 @@
 	return parts
 }
 
-// extraPart names a part that was asked for.
+// extraPart identifies a part that is kept due to Cover.
 type extraPart struct {
 	table string
 	part  int
 }
 
-// Cover has the node hold the rows of keys for a while, and returns once it does or ctx ends.
+// Cover makes the node hold the rows of keys for extraPartLifetime. It returns when the node holds them or
+// when ctx ends.
 func (h *Hub) Cover(ctx context.Context, table string, keys ...string) error {
 	t := h.table(table)
 	if t == nil {
 		return errUnknown
 	}
 	var parts Parts
-	until := clock.Now().Add(extraTime)
+	until := clock.Now().Add(extraPartLifetime)
 	h.mu.Lock()
 	for _, key := range keys {
-		h.extra[extraPart{table, partIndex(key)}] = until
+		h.extraParts[extraPart{table, partIndex(key)}] = until
 		parts |= PartOf(key)
 	}
-	main := h.main
+	main := h.mainParent
 	h.mu.Unlock()
-	_, held, _ := t.lacks()
+	_, held, _ := t.partStatus()
 	if held.covers(parts) {
 		return nil
 	}
 	if main == "" {
 		return errNoParent
 	}
-	t.add(parts)
+	t.addWanted(parts)
 	select {
-	case h.followNow <- struct{}{}: // the parent is to know before it passes on changes
+	case h.followNow <- struct{}{}: // tells the parent before it sends the next changes
 	default:
 	}
 	for {
 		err := h.pull(ctx, t, main, parts&^held, 0)
-		if !errors.Is(err, errOlder) || !pauseFor(ctx, olderPause) {
+		if !errors.Is(err, errOutdated) || !pauseFor(ctx, outdatedRetryPause) {
 			return err
 		}
 	}
 }
 
-// olderPause is the pause before a node is asked again that did not know yet what this one knows.
-const olderPause = 30 * time.Millisecond
+// outdatedRetryPause is the pause before a node is asked again whose rows were older than this node's.
+const outdatedRetryPause = 30 * time.Millisecond
 
-// pauseFor waits, and tells whether ctx goes on.
+// pauseFor waits, and reports whether ctx has not ended.
 func pauseFor(ctx context.Context, d time.Duration) bool {
 	sleep(ctx, d)
 	return ctx.Err() == nil
 }
 
-// Main returns the address of the node that this one follows, which holds whole tables; empty if it
-// follows none.
-func (h *Hub) Main() string {
+// MainParent returns the address of the main node that this one follows, which holds whole tables. It is
+// empty if this node follows none.
+func (h *Hub) MainParent() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.main
+	return h.mainParent
 }
 
-func (h *Hub) setMain(address string) {
+func (h *Hub) setMainParent(address string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.main = address
+	h.mainParent = address
 }
 
-// fill asks for parts, or for what changed in them since a version, unless some are on their way.
-func (h *Hub) fill(ctx context.Context, t *Table, address string, parts Parts, after revision.Revision) {
+// fetchParts asks a node for parts, or for the changes in them after a version, unless a request is in
+// progress.
+func (h *Hub) fetchParts(ctx context.Context, t *Table, address string, parts Parts, after revision.Revision) {
 	if !t.pulling.CompareAndSwap(false, true) {
 		return
 	}
@@ -316,15 +322,15 @@
 	}
 }
 
-// Errors of a pull.
+// Errors of pull and Cover.
 var (
 	errNoParent = errors.New("watch: no node is followed")
-	errNotHere  = errors.New("watch: the node that was asked does not have the rows")
-	errOlder    = errors.New("watch: the rows of the node that was asked are older")
+	errNotHeld  = errors.New("watch: the node that was asked does not have the rows")
+	errOutdated = errors.New("watch: the rows of the node that was asked are older")
 )
 
-// pull asks a node for parts of a table, or for what changed in them since a version. Each message
-// has a time of its own: parts that came are kept if the next one does not.
+// pull asks a node for parts of a table, or for the changes in them after a version. Each message has its own
+// timeout: parts that have arrived are kept if the next ones do not.
 func (h *Hub) pull(ctx context.Context, t *Table, address string, parts Parts, after revision.Revision) error {
 	for parts != 0 {
 		answer, err := h.pullOnce(ctx, address, Pull{Table: t.Name, Parts: parts, After: after})
@@ -336,18 +342,18 @@
 			return err
 		}
 		if answer.Rows > 0 {
-			t.setTotal(answer.Rows)
+			t.setTotalRows(answer.Rows)
 		}
 		if answer.Changes {
 			if !t.Change(after, page, answer.Age) {
-				return errOlder
+				return errOutdated
 			}
 			return nil
 		}
 		if !t.Merge(page, answer.Age) {
-			return errOlder
+			return errOutdated
 		}
-		parts &^= told(answer.Parts)
+		parts &^= partsOrAll(answer.Parts)
 	}
 	return nil
 }
@@ -364,7 +370,7 @@
 	case !ok:
 		return answer, errUnknown
 	case !answer.Known:
-		return answer, errNotHere
+		return answer, errNotHeld
 	}
 	return answer, nil
 }
--- a/pkg/watch/hold.go
+++ b/pkg/watch/hold.go
@@ -6,66 +6,65 @@
 	"martenwheel.dev/pkg/revision"
 )
 
-// wants returns the parts that the node is to hold. The caller holds mu.
-func (t *Table) wants() Parts {
-	if !t.Parted {
+// wantedParts returns the parts that the node is to hold. The caller holds mu.
+func (t *Table) wantedParts() Parts {
+	if !t.Partitioned {
 		return AllParts
 	}
-	return told(t.wanted)
+	return partsOrAll(t.wanted)
 }
 
-// missing returns the parts that are to be held and are not here. The caller holds mu.
-func (t *Table) missing() Parts { return t.wants() &^ t.held }
+// missing returns the wanted parts that are not held. The caller holds mu.
+func (t *Table) missing() Parts { return t.wantedParts() &^ t.held }
 
-// lacks returns the parts that are to be held and are not here, and those that are here with the
-// version of what is known of them.
-func (t *Table) lacks() (missing, held Parts, version revision.Revision) {
+// partStatus returns the wanted parts that are not held, and those that are held with the table's version.
+func (t *Table) partStatus() (missing, held Parts, version revision.Revision) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.missing(), t.held, t.version
 }
 
-// Whole tells whether the node holds all rows.
+// Whole reports whether the node holds all rows.
 func (t *Table) Whole() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.rows != nil && t.held == AllParts
 }
 
-// add has the node hold further parts.
-func (t *Table) add(parts Parts) {
+// addWanted adds parts to those that the node is to hold.
+func (t *Table) addWanted(parts Parts) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.Parted {
-		t.wanted = t.wants() | parts
+	if t.Partitioned {
+		t.wanted = t.wantedParts() | parts
 	}
 }
 
-// setTotal notes how many rows the whole table has.
-func (t *Table) setTotal(rows int) {
+// setTotalRows sets the number of rows of the whole table.
+func (t *Table) setTotalRows(rows int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.total = rows
+	t.totalRows = rows
 }
 
-// want sets the parts to be held. Those that are here and in use are kept.
-func (t *Table) want(parts Parts) {
+// setWanted sets the parts to hold. Other parts that are held and in use are kept.
+func (t *Table) setWanted(parts Parts) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.Parted && parts != t.wanted {
+	if t.Partitioned && parts != t.wanted {
 		t.wanted = parts
 	}
-	unwanted := t.held &^ t.wants()
+	unwanted := t.held &^ t.wantedParts()
 	if unwanted == 0 {
 		return
 	}
-	if unwanted = unwanted &^ t.used(unwanted); unwanted != 0 {
-		t.drop(unwanted)
+	if unwanted = unwanted &^ t.partsInUse(unwanted); unwanted != 0 {
+		t.dropParts(unwanted)
 	}
 }
 
-// used returns the parts of some that have rows in use. The caller holds mu.
-func (t *Table) used(parts Parts) Parts {
+// partsInUse returns those of the given parts that have rows in use. The caller holds mu.
+func (t *Table) partsInUse(parts Parts) Parts {
 	var used Parts
 	if t.InUse == nil {
 		return used
@@ -78,8 +77,8 @@
 	return used
 }
 
-// drop lets go of parts. The caller holds mu.
-func (t *Table) drop(parts Parts) {
+// dropParts removes the rows of parts. The caller holds mu.
+func (t *Table) dropParts(parts Parts) {
 	var keys []string
 	for key := range t.rows {
 		if parts.Holds(key) {
@@ -96,52 +95,52 @@
 	t.Apply(t.rows, t.version)
 }
 
-// Merge takes in whole parts that were the newest so long ago. It refuses them if they are older
-// than what is known.
+// Merge takes in whole parts that were up to date the given time ago. It refuses them if they are older than
+// the table.
 func (t *Table) Merge(page Page, age time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if page.Version < t.version {
 		return false
 	}
-	parts := told(page.Parts) & t.wants()
+	parts := partsOrAll(page.Parts) & t.wantedParts()
 	for i := range parts.each() {
-		if t.floors[i] > page.Version {
+		if t.baseVersions[i] > page.Version {
 			parts &^= partAt(i)
 		}
 	}
 	if parts == 0 {
 		return true
 	}
-	t.takeWhole(parts, page)
-	t.merged(parts, page, age)
+	t.applyWhole(parts, page)
+	t.noteMerged(parts, page, age)
 	t.Apply(t.rows, t.version)
 	return true
 }
 
-// merged notes that parts were taken in as a whole. The caller holds mu.
-func (t *Table) merged(parts Parts, page Page, age time.Duration) {
+// noteMerged updates the state after parts were taken in as a whole. The caller holds mu.
+func (t *Table) noteMerged(parts Parts, page Page, age time.Duration) {
 	others := t.held &^ parts
 	t.held |= parts
 	for i := range parts.each() {
-		t.floors[i] = page.Version
+		t.baseVersions[i] = page.Version
 	}
-	t.lasts.note(parts, page.Version)
+	t.lastChanged.note(parts, page.Version)
 	t.recent.reset(page.Version)
-	// Of rows taken in one part after the other, no more is known than of the oldest.
+	// If parts were read one after the other, the table is only as new as its oldest part.
 	oldest := page.Version
 	for i := range others.each() {
-		oldest = min(oldest, t.floors[i])
+		oldest = min(oldest, t.baseVersions[i])
 	}
 	if oldest > t.version {
-		t.enter(oldest)
+		t.enterEpoch(oldest)
 		t.version = oldest
 	}
 	switch at := t.Time.Now().Add(-age); {
 	case others == 0:
 		t.confirm(age, page)
-	case at.Before(t.freshAt): // all rows are as new as the oldest
-		t.freshAt = at
+	case at.Before(t.confirmedAt): // the table is only as new as its oldest part
+		t.confirmedAt = at
 		if page.Dated && page.AsOf < t.asOf {
 			t.asOf = page.AsOf
 		}
