--- a/pkg/watch/hub.go
+++ b/pkg/watch/hub.go
@@ -16,54 +16,56 @@
 	"martenwheel.dev/pkg/revision"
 )
 
-// Node is a node of the site as the hub needs it.
+// Node describes a node of the site.
 type Node struct {
 	Name  string
 	Zone  string
-	Peers string // IP:port for other nodes
-	Power float64
-	// Follows tells that the node follows others; nodes of earlier builds are told without asking.
+	Peers string  // IP:port for other nodes
+	Power float64 // relative strength of the machine
+	// Follows tells that the node subscribes to other nodes. Nodes of earlier builds don't, and get all
+	// changes unasked.
 	Follows bool
 	Leaving bool // it stops soon
 }
 
-// News tells that there are no changes of a table between two versions but
-// those that come with it.
+// News has all changes of a table between two versions. Without records it tells that nothing changed between
+// them.
 type News struct {
 	Table   string
-	After   revision.Revision
-	Version revision.Revision
-	Records []byte // packed; empty: none
-	Age     time.Duration
-	AsOf    time.Duration // by the store's clock, see Page
-	Dated   bool
-	Watcher string // address to ask when something is missing
-	Parts   Parts  // that it is about; zero: the whole table
-	Rows    int    // of the whole table; zero: not told
+	After   revision.Revision // version before the changes
+	Version revision.Revision // version after the changes
+	Records []byte            // packed; empty: none
+	Age     time.Duration     // time since the sender's rows were confirmed
+	AsOf    time.Duration     // by the store's clock, see Page
+	Dated   bool              // AsOf is known
+	Watcher string            // address of the sender, which is asked for what is missing
+	Parts   Parts             // that the message is about; zero: the whole table
+	Rows    int               // of the whole table; zero: unknown
 }
 
 // Pull asks a node for parts of a table.
 type Pull struct {
 	Table string
-	Parts Parts             // zero: the whole table in one answer, as earlier builds ask
-	After revision.Revision // what changed after this version will do; zero: it won't
+	Parts Parts             // zero: the whole table in one answer, as earlier builds ask for it
+	After revision.Revision // if not zero, the changes after this version suffice
 }
 
-// PullAnswer is some of the parts that were asked for. Known is false if the node has none.
+// PullAnswer has some of the requested parts, or the changes in them. Known is false if the node does not
+// hold the whole table.
 type PullAnswer struct {
 	Known   bool
 	Version revision.Revision
-	Records []byte // packed; the whole table, for earlier builds and of them
+	Records []byte // packed rows of the whole table, to and from earlier builds
 	Age     time.Duration
 	AsOf    time.Duration // by the store's clock, see Page
 	Dated   bool
 	Parts   Parts    // zero: the whole table
-	Packs   [][]byte // packed records
-	Changes bool     // it is what changed in all parts since the version that was asked
-	Rows    int      // of the whole table; zero: not told
+	Packs   [][]byte // packed records, one element per part that has any
+	Changes bool     // the packs are the changes in all requested parts after Pull.After
+	Rows    int      // of the whole table; zero: unknown
 }
 
-// page returns what an answer carries.
+// page returns the records of an answer.
 func (a *PullAnswer) page() (Page, error) {
 	p := Page{Version: a.Version, AsOf: a.AsOf, Dated: a.Dated, Parts: a.Parts}
 	for _, packed := range append([][]byte{a.Records}, a.Packs...) {
@@ -80,57 +82,58 @@
 
 // Sizes and times of a hub.
 const (
-	// SmallSite is the number of nodes up to which all watch the store.
+	// SmallSite is the number of nodes up to which all nodes watch the store.
 	SmallSite = 12
 	// Watchers is the number of watching nodes of a larger site.
 	Watchers = 4
-	// Readers is how many of them ask the store; the others do if these don't confirm the
-	// rows, and pass on what they are told.
+	// Readers is how many of the watchers ask the store. The others are on standby: they pass on what the
+	// readers send them, and ask the store only if the readers don't confirm the rows.
 	Readers = 2
 
-	pulseInterval = 400 * time.Millisecond
-	pullTimeout   = 700 * time.Millisecond
-	// firstWait is how long the nodes of a site that starts wait for its watchers, and a node that
-	// starts beside others, once it knows them, for these: until there is a holder, all have beaten to
-	// it, and a few watchers have sent the tables to some two hundred nodes. Callers come ten seconds
-	// after the start.
-	firstWait = 5 * time.Second
-	// aloneWait is how long a node that starts alone leaves a large table to others before it knows
-	// them: beside a holder it does within half a second. After a loss of all there is none for some
-	// three seconds, and callers wait.
-	aloneWait   = 1500 * time.Millisecond
-	changesKept = 64
+	heartbeatInterval = 400 * time.Millisecond // between messages that tell that nothing changed
+	pullTimeout       = 700 * time.Millisecond // of one Pull
+	// firstStartWait is how long the nodes of a site that starts wait for its watchers. A node that starts
+	// beside others and knows them waits as long for them. In this time a holder appears, all nodes send it a
+	// heartbeat, and a few watchers send the tables to some two hundred nodes. Callers come ten seconds after
+	// the start.
+	firstStartWait = 5 * time.Second
+	// aloneWait is how long a starting node that knows no other nodes waits for them to send it a large
+	// table. If there is a holder, it makes the nodes known within half a second. After a loss of all nodes
+	// there is no holder for some three seconds, and callers wait.
+	aloneWait         = 1500 * time.Millisecond
+	updateQueueLength = 64 // of Table.updates
 )
 
-// Hub has the tables of a node. Set the fields before Run.
+// Hub keeps the tables of a node up to date together with the other nodes. Set the exported fields before
+// Run.
 type Hub struct {
 	Self      Node
-	Nodes     func() []Node // of the site; only Self while none are known
-	Known     func() bool   // whether Nodes is what the site's holder told
+	Nodes     func() []Node // of the site; only Self while no others are known
+	Known     func() bool   // whether Nodes returns the list that the site's holder reported
 	Transport peer.Transport
 	Tables    []*Table
-	// FirstStart tells that the whole site starts for the first time: nodes leave the
-	// store to the watchers until those have had time to tell what they read.
+	// FirstStart tells that the whole site starts for the first time. The other nodes then leave the store to
+	// the watchers until those have had the time to send what they read.
 	FirstStart bool
-	Whole      func() bool // whether this node needs all rows of all tables; nil: it does not
+	NeedsWhole func() bool // whether this node needs all rows of all tables; nil: it does not
 	Logger     hclog.Logger
 
 	started   time.Time
-	followNow chan struct{}
+	followNow chan struct{} // wakes the goroutine of follow
 
-	mu        sync.Mutex
-	top       *topology
-	main      string             // address of the node that is followed
-	parents   map[string]*parent // by address
-	shares    map[string]Parts   // that this node keeps, by table
-	extra     map[extraPart]time.Time
-	followers map[string]follower // by address
+	mu         sync.Mutex
+	top        *topology               // topology of the last list of nodes
+	mainParent string                  // address of the main node that is followed; empty: none
+	parents    map[string]*parent      // by address
+	keptParts  map[string]Parts        // parts that this node keeps in any case, by table
+	extraParts map[extraPart]time.Time // time until which parts are kept due to Cover
+	followers  map[string]follower     // by address
 }
 
-// errUnknown means that a message names a table that is not followed.
+// errUnknown means that a message has an unknown type or names an unknown table.
 var errUnknown = errors.New("watch: unknown table or message")
 
-// Run follows all tables until ctx ends.
+// Run keeps all tables up to date until ctx ends.
 func (h *Hub) Run(ctx context.Context) {
 	h.started = clock.Now()
 	h.init()
@@ -138,14 +141,14 @@
 	var shared breaker
 	for _, t := range h.Tables {
 		t.breaker = &shared
-		t.fleet = func() int { return len(h.Nodes()) }
-		t.alone = func() bool { return !h.Known() }
-		t.changed, t.confirms = make(chan news, changesKept), make(chan struct{}, 1)
+		t.fleetSize = func() int { return len(h.Nodes()) }
+		t.isAlone = func() bool { return !h.Known() }
+		t.updates, t.confirmations = make(chan update, updateQueueLength), make(chan struct{}, 1)
 		go func() {
-			t.run(ctx, func() bool { return h.direct(t) }, func() bool { return h.Known() && h.Watching() })
+			t.run(ctx, func() bool { return h.readsStore(t) }, func() bool { return h.Known() && h.Watching() })
 			done <- struct{}{}
 		}()
-		go h.passOn(ctx, t)
+		go h.sendUpdates(ctx, t)
 	}
 	go h.follow(ctx)
 	for range h.Tables {
@@ -159,11 +162,11 @@
 	if h.followNow == nil {
 		h.followNow = make(chan struct{}, 1)
 		h.parents, h.followers = make(map[string]*parent), make(map[string]follower)
-		h.shares, h.extra = make(map[string]Parts), make(map[extraPart]time.Time)
+		h.keptParts, h.extraParts = make(map[string]Parts), make(map[extraPart]time.Time)
 	}
 }
 
-// Watching tells whether this node is one of the site's watchers.
+// Watching reports whether this node is one of the site's watchers.
 func (h *Hub) Watching() bool {
 	top := h.topology()
 	if !h.Known() || len(top.nodes) <= SmallSite {
@@ -172,21 +175,20 @@
 	return slices.Contains(top.watchers, h.Self.Name)
 }
 
-// standby tells whether this node watches and leaves the store to other watchers.
-func (h *Hub) standby() bool {
+// onStandby reports whether this node is a watcher that leaves the store to the readers.
+func (h *Hub) onStandby() bool {
 	top := h.topology()
 	return len(top.nodes) > SmallSite && slices.Index(top.watchers, h.Self.Name) >= Readers
 }
 
-// direct tells whether the table is to be read from the store by this node. One that has
-// just read it and does not know the other nodes yet leaves it to them to tell what
-// changes.
-func (h *Hub) direct(t *Table) bool {
+// readsStore reports whether this node is to read the table from the store now. A node that has just read it
+// and does not know the other nodes yet waits for them to send changes.
+func (h *Hub) readsStore(t *Table) bool {
 	if h.Known() && h.Watching() {
-		return !h.standby() || t.unconfirmed()
+		return !h.onStandby() || t.unconfirmed()
 	}
 	switch age := clock.Since(h.started); {
-	case age < firstWait && (h.FirstStart || t.Parted && h.Known()):
+	case age < firstStartWait && (h.FirstStart || t.Partitioned && h.Known()):
 		return false
 	case age < aloneWait && t.isLarge():
 		return false
@@ -194,12 +196,12 @@
 	return t.stale()
 }
 
-// Rank orders nodes so that all see the same ones as first: the strongest, in
-// different zones as far as there are.
+// Rank orders nodes so that all nodes agree on the first ones: the strongest, in different zones as far as
+// possible.
 func Rank(nodes []Node) []string {
 	ordered := slices.Clone(nodes)
 	slices.SortFunc(ordered, func(a, b Node) int {
-		return cmp.Or(cmp.Compare(b.Power, a.Power), cmp.Compare(weight(a.Name), weight(b.Name)))
+		return cmp.Or(cmp.Compare(b.Power, a.Power), cmp.Compare(nameHash(a.Name), nameHash(b.Name)))
 	})
 	var first, rest []string
 	zones := make(map[string]bool)
@@ -214,57 +216,58 @@
 	return append(first, rest...)
 }
 
-func weight(name string) uint32 {
+// nameHash returns a hash of a name.
+func nameHash(name string) uint32 {
 	sum := fnv.New32a()
 	_, _ = sum.Write([]byte(name)) // never fails
 	return sum.Sum32()
 }
 
-// watchers returns the names of the watching nodes.
+// watchers returns the names of the watching nodes, the readers first.
 func watchers(nodes []Node) []string {
 	ranked := Rank(nodes)
 	return ranked[:min(Watchers, len(ranked))]
 }
 
-// passOn tells the other nodes of what changes, and now and then that nothing
-// does: a node that follows others as soon as they tell it.
-func (h *Hub) passOn(ctx context.Context, t *Table) {
-	ticker := time.NewTicker(pulseInterval)
+// sendUpdates sends changes of a table to other nodes, and a heartbeat if nothing changes. A node that
+// follows others sends its heartbeats when it gets theirs.
+func (h *Hub) sendUpdates(ctx context.Context, t *Table) {
+	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
-	var pulsed time.Time
+	var lastSent time.Time
 	for {
-		var n news
+		var n update
 		select {
 		case <-ctx.Done():
 			return
-		case n = <-t.changed:
-		case <-t.confirms:
-			if clock.Since(pulsed) < pulseInterval/2 {
-				continue // two nodes are followed
+		case n = <-t.updates:
+		case <-t.confirmations:
+			if clock.Since(lastSent) < heartbeatInterval/2 {
+				continue // the heartbeats of both parents arrive here
 			}
-			pulsed = clock.Now()
-			h.tellFollowers(t, t.state())
+			lastSent = clock.Now()
+			h.sendToFollowers(t, t.emptyUpdate())
 			continue
 		case <-ticker.C:
-			if clock.Since(pulsed) < pulseInterval || h.standby() && !t.unconfirmed() {
-				continue // or the readers tell it
+			if clock.Since(lastSent) < heartbeatInterval || h.onStandby() && !t.unconfirmed() {
+				continue // a watcher on standby leaves it to the readers
 			}
-			n = t.state()
+			n = t.emptyUpdate()
 		}
-		h.tellFollowers(t, n)
+		h.sendToFollowers(t, n)
 		if n.page.Version == 0 || t.stale() {
 			continue
 		}
 		if top := h.topology(); len(top.nodes) > SmallSite && h.Watching() {
-			h.tell(top, t, n)
+			h.sendToNodes(top, t, n)
 		}
 	}
 }
 
-// tell sends news to the nodes that neither ask the store nor follow others. Each gets the records
-// from one watcher only: the links of small machines would not carry them from all. The watchers
-// on standby get them from a reader.
-func (h *Hub) tell(top *topology, t *Table, n news) {
+// sendToNodes sends an update to the nodes that neither ask the store nor follow others. Each gets the
+// records from one watcher only, as the links of small machines could not carry them from all watchers. The
+// watchers on standby get them from a reader.
+func (h *Hub) sendToNodes(top *topology, t *Table, n update) {
 	watching := top.watchers
 	bare := h.newsFor(t, n, AllParts)
 	full := bare
@@ -275,18 +278,18 @@
 			return
 		}
 		full.Records = packed
-		bare.After = n.page.Version // what comes from another watcher is missing until then
+		bare.After = n.page.Version // the records come from another watcher, and are missing until it sends them
 	}
 	for _, other := range top.nodes {
 		place := slices.Index(watching, other.Name)
 		switch {
 		case place < 0 && other.Follows:
-		case place >= 0 && (place < Readers || h.standby()):
+		case place >= 0 && (place < Readers || h.onStandby()):
 		case place >= 0 && watching[place%Readers] != h.Self.Name:
 			h.Transport.Send(other.Peers, bare)
 		case place >= 0:
 			h.Transport.Send(other.Peers, full)
-		case watching[int(weight(other.Name))%len(watching)] == h.Self.Name:
+		case watching[int(nameHash(other.Name))%len(watching)] == h.Self.Name:
 			h.Transport.Send(other.Peers, full)
 		default:
 			h.Transport.Send(other.Peers, bare)
@@ -294,18 +297,18 @@
 	}
 }
 
-// pullAnswer returns the whole table, packed once for each version: at a start of the site some 75
-// nodes ask each watcher for the same one. For 3,000 servers that took 10 ms each time, and takes
-// 0.3 microseconds again (BenchmarkPullOfALargeTable).
-func (t *Table) pullAnswer() (PullAnswer, error) {
+// wholeAnswer returns the whole table. It is packed once for each version: when the site starts, some 75
+// nodes ask each watcher for the same one. For 3,000 servers packing takes 10 ms, and returning the packed
+// rows again 0.3 microseconds.
+func (t *Table) wholeAnswer() (PullAnswer, error) {
 	t.packing.Lock()
 	defer t.packing.Unlock()
-	answer := t.summary()
+	answer := t.answerHeader()
 	if !answer.Known {
 		return answer, nil
 	}
 	if t.packed == nil || t.packedVersion != answer.Version {
-		page, _ := t.whole()
+		page, _ := t.allRows()
 		packed, err := pack(page.Records)
 		if err != nil {
 			return PullAnswer{}, err
@@ -317,13 +320,14 @@
 	return answer, nil
 }
 
-// summary returns the answer to a pull but for its records.
-func (t *Table) summary() PullAnswer {
+// answerHeader returns the answer to a Pull without its records.
+func (t *Table) answerHeader() PullAnswer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return PullAnswer{Known: t.rows != nil && t.held == AllParts, Version: t.version, AsOf: t.asOf, Dated: t.dated}
 }
 
+// table returns the table of a name, or nil.
 func (h *Hub) table(name string) *Table {
 	for _, t := range h.Tables {
 		if t.Name == name {
@@ -333,33 +337,32 @@
 	return nil
 }
 
-// Handle answers a message of another node. It tells whether it was one of the
-// hub's.
+// Handle answers a message of another node. It returns false if the message is not one of the hub's.
 func (h *Hub) Handle(ctx context.Context, message peer.Message) (peer.Message, bool, error) {
 	switch m := message.(type) {
 	case News:
-		return nil, true, h.news(ctx, m)
+		return nil, true, h.handleNews(ctx, m)
 	case Pull:
 		t := h.table(m.Table)
 		if t == nil {
 			return nil, true, errUnknown
 		}
 		if m.Parts != 0 {
-			answer, err := t.answer(m)
+			answer, err := t.partsAnswer(m)
 			return answer, true, err
 		}
-		answer, err := t.pullAnswer()
+		answer, err := t.wholeAnswer()
 		return answer, true, err
 	case Follow:
 		h.init()
-		h.followedBy(m)
+		h.addFollower(m)
 		return nil, true, nil
 	}
 	return nil, false, nil
 }
 
-// news takes in what another node tells, and asks it for what is missing.
-func (h *Hub) news(ctx context.Context, n News) error {
+// handleNews takes in news of another node, and asks that node for missing changes.
+func (h *Hub) handleNews(ctx context.Context, n News) error {
 	t := h.table(n.Table)
 	if t == nil {
 		return errUnknown
@@ -370,27 +373,27 @@
 		return err
 	}
 	if n.Rows > 0 {
-		t.setTotal(n.Rows)
+		t.setTotalRows(n.Rows)
 	}
 	if t.Change(n.After, Page{Records: records, Version: n.Version, AsOf: n.AsOf, Dated: n.Dated, Parts: n.Parts}, n.Age) {
-		t.confirmed()
+		t.notifyConfirmed()
 		return nil
 	}
-	missing, held, version := t.lacks()
-	if !told(n.Parts).covers(held) || !t.gap() {
+	missing, held, version := t.partStatus()
+	if !partsOrAll(n.Parts).covers(held) || !t.gapOverdue() {
 		return nil
 	}
 	if held == 0 {
 		held, version = missing, 0
 	}
-	go h.fill(context.WithoutCancel(ctx), t, n.Watcher, held, version) // messages that come meanwhile are not to wait
+	go h.fetchParts(context.WithoutCancel(ctx), t, n.Watcher, held, version) // must not delay the next messages
 	return nil
 }
 
-// confirmed has the followers told that the rows are confirmed.
-func (t *Table) confirmed() {
+// notifyConfirmed makes sendUpdates tell the followers that the rows were confirmed.
+func (t *Table) notifyConfirmed() {
 	select {
-	case t.confirms <- struct{}{}:
-	default: // also before Run
+	case t.confirmations <- struct{}{}:
+	default: // also before Run, when the channel is nil
 	}
 }
--- a/pkg/watch/lag_test.go
+++ b/pkg/watch/lag_test.go
@@ -19,26 +19,25 @@
 	"martenwheel.dev/pkg/storeclock"
 )
 
-// rough is a network and a store under a schedule of faults that a seed tells: messages
-// and answers are lost, late and out of order, nodes freeze and wake again, and the store
-// hides changes for a while before it forgets its history.
-type rough struct {
-	mu     sync.Mutex
-	random *rand.Rand
-	store  *memory
-	began  time.Time
-	hubs   map[string]*Hub
-	frozen map[string]time.Time // until when
-	cut    map[string]time.Time // from the store, until when
-	hides  time.Time            // until when the store hides changes
-	hidden revision.Revision    // the last version that it shows meanwhile
-	acked  []time.Time          // of the versions, from 1
-	calm   bool                 // nothing is lost, and only messages to those named are late
-	late   map[string]time.Duration
+// faultySite is a network and a store with faults that depend on a seed: messages and answers are lost, late
+// and out of order, nodes freeze for a while, and the store hides changes before it forgets its history.
+type faultySite struct {
+	mu        sync.Mutex
+	random    *rand.Rand
+	store     *fakeStore
+	began     time.Time
+	hubs      map[string]*Hub
+	frozen    map[string]time.Time     // end of the freeze by node
+	cut       map[string]time.Time     // end of the time without the store, by node
+	hideUntil time.Time                // end of the time in which the store hides changes
+	lastShown revision.Revision        // last version that the store shows meanwhile
+	acked     []time.Time              // times of the writes of versions 1, 2, ...
+	calm      bool                     // nothing is lost, and only the messages in late are delayed
+	late      map[string]time.Duration // delay of messages by destination
 }
 
-// linkDelay is the time that a message or an answer needs, most often little.
-func (r *rough) linkDelay() time.Duration {
+// linkDelay returns the delay of a message or an answer, which is usually short.
+func (r *faultySite) linkDelay() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.calm {
@@ -50,22 +49,22 @@
 	return time.Duration(r.random.Int64N(int64(10 * time.Millisecond)))
 }
 
-// thaw waits until a node runs.
-func (r *rough) thaw(name string) {
+// waitThawed waits while a node is frozen.
+func (r *faultySite) waitThawed(name string) {
 	r.mu.Lock()
 	until := r.frozen[name]
 	r.mu.Unlock()
 	time.Sleep(time.Until(until))
 }
 
-func (r *rough) lost() bool {
+func (r *faultySite) isLost() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !r.calm && r.random.IntN(10) == 0
 }
 
-// put makes a change; its value is its version.
-func (r *rough) put() {
+// put makes a change whose value is its version.
+func (r *faultySite) put() {
 	r.store.put("a", strconv.Itoa(int(r.store.version)+1))
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -73,39 +72,39 @@
 }
 
 // Send implements peer.Transport.
-func (r *rough) Send(address string, message peer.Message) {
-	if r.lost() {
+func (r *faultySite) Send(address string, message peer.Message) {
+	if r.isLost() {
 		return
 	}
 	go func() {
 		time.Sleep(r.linkDelay() + r.late[address])
-		r.thaw(address)
+		r.waitThawed(address)
 		_, _, _ = r.hubs[address].Handle(context.Background(), message)
 	}()
 }
 
 // Call implements peer.Transport.
-func (r *rough) Call(ctx context.Context, address string, message peer.Message) (peer.Message, error) {
+func (r *faultySite) Call(ctx context.Context, address string, message peer.Message) (peer.Message, error) {
 	time.Sleep(r.linkDelay())
-	r.thaw(address)
+	r.waitThawed(address)
 	reply, _, err := r.hubs[address].Handle(ctx, message)
 	time.Sleep(r.linkDelay())
 	return reply, err
 }
 
-func (r *rough) Close() error { return nil }
+func (r *faultySite) Close() error { return nil }
 
-// roughCaller is a node's way to the store.
-type roughCaller struct {
-	*rough
+// faultyStoreClient is a node's connection to the store.
+type faultyStoreClient struct {
+	*faultySite
 	name  string
 	clock *storeclock.Clock
 }
 
 var errCut = errors.New("the store is cut off")
 
-// stamped answers as of a moment between the way there and the way back.
-func (c roughCaller) stamped(answer func() (Page, error)) (Page, error) {
+// stamped returns an answer with the store's time at a moment between the request's and the answer's delay.
+func (c faultyStoreClient) stamped(answer func() (Page, error)) (Page, error) {
 	sent := time.Now()
 	time.Sleep(c.linkDelay())
 	c.mu.Lock()
@@ -117,44 +116,44 @@
 	p, err := answer()
 	p.AsOf, p.Dated = time.Since(c.began).Truncate(time.Millisecond), true
 	time.Sleep(c.linkDelay())
-	c.thaw(c.name)
+	c.waitThawed(c.name)
 	if err == nil {
 		c.clock.Observe(sent, p.AsOf)
 	}
 	return p, err
 }
 
-func (c roughCaller) Read(ctx context.Context, table string) (Page, error) {
-	return c.stamped(func() (Page, error) { return caller{c.name, c.store}.Read(ctx, table) })
+func (c faultyStoreClient) Read(ctx context.Context, table string) (Page, error) {
+	return c.stamped(func() (Page, error) { return storeClient{c.name, c.store}.Read(ctx, table) })
 }
 
-func (c roughCaller) Feed(ctx context.Context, table string, after revision.Revision, wait time.Duration) (Page, error) {
+func (c faultyStoreClient) Feed(ctx context.Context, table string, after revision.Revision, wait time.Duration) (Page, error) {
 	return c.stamped(func() (Page, error) {
-		p, err := caller{c.name, c.store}.Feed(ctx, table, after, wait)
+		p, err := storeClient{c.name, c.store}.Feed(ctx, table, after, wait)
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if time.Now().Before(c.hides) {
-			p.Version = max(after, c.hidden)
-			p.Records = slices.DeleteFunc(p.Records, func(r Record) bool { return r.Version > c.hidden })
+		if time.Now().Before(c.hideUntil) {
+			p.Version = max(after, c.lastShown)
+			p.Records = slices.DeleteFunc(p.Records, func(r Record) bool { return r.Version > c.lastShown })
 		}
 		return p, err
 	})
 }
 
-// hide has the store hide changes from feeds for a second and forget its history then.
-func (r *rough) hide() {
+// hideChanges makes the store hide changes from feeds for maxHiddenTime and then forget its history.
+func (r *faultySite) hideChanges() {
 	r.mu.Lock()
-	r.hides, r.hidden = time.Now().Add(hiddenChanges), r.store.version
+	r.hideUntil, r.lastShown = time.Now().Add(maxHiddenTime), r.store.version
 	r.mu.Unlock()
-	time.AfterFunc(hiddenChanges, func() {
+	time.AfterFunc(maxHiddenTime, func() {
 		r.store.mu.Lock()
 		defer r.store.mu.Unlock()
 		r.store.oldest = r.store.version
 	})
 }
 
-// trouble does one fault to some node, or to the store.
-func (r *rough) trouble(names []string) {
+// injectFault causes one random fault at a node or at the store.
+func (r *faultySite) injectFault(names []string) {
 	r.mu.Lock()
 	name := names[r.random.IntN(len(names))]
 	until := time.Now().Add(time.Duration(r.random.Int64N(int64(9 * time.Second))))
@@ -167,23 +166,23 @@
 	}
 	r.mu.Unlock()
 	if kind == 3 {
-		r.hide()
+		r.hideChanges()
 	}
 }
 
-// TestLagIsNoLessThanWhatANodeLacks: whatever is lost, late or hidden and whoever is
-// frozen, a node that says that its rows lack nothing older than its lag is right.
+// TestLagIsNoLessThanWhatANodeLacks checks in random runs with faults that a node never lacks a change that
+// is older than its Lag.
 func TestLagIsNoLessThanWhatANodeLacks(t *testing.T) {
 	for seed := range uint64(10) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { playLag(t, seed) })
+			synctest.Test(t, func(t *testing.T) { runLag(t, seed) })
 		})
 	}
 }
 
-// newRough starts a site of so many nodes. It returns their names, tables and values.
-func newRough(ctx context.Context, r *rough, size int) (names []string, tables map[string]*Table, values map[string]func() int) {
-	r.store, r.began, r.hubs = newMemory(), time.Now(), make(map[string]*Hub)
+// startFaultySite starts a site with size nodes. It returns their names, and their tables and values by name.
+func startFaultySite(ctx context.Context, r *faultySite, size int) (names []string, tables map[string]*Table, values map[string]func() int) {
+	r.store, r.began, r.hubs = newFakeStore(), time.Now(), make(map[string]*Hub)
 	r.frozen, r.cut = make(map[string]time.Time), make(map[string]time.Time)
 	r.put()
 	var nodes []Node
@@ -198,7 +197,7 @@
 		clock := &storeclock.Clock{}
 		var mu sync.Mutex
 		value := 0
-		table := &Table{Name: "t", Source: roughCaller{r, node.Name, clock}, Clock: clock, Bound: bound, Refresh: bound / 4,
+		table := &Table{Name: "t", Source: faultyStoreClient{r, node.Name, clock}, Clock: clock, Bound: bound, Refresh: bound / 4,
 			Logger: hclog.NewNullLogger(), Apply: func(rows map[string]Record, _ revision.Revision) {
 				mu.Lock()
 				defer mu.Unlock()
@@ -215,7 +214,8 @@
 	return names, tables, values
 }
 
-// TestLagOfAStoreThatHasJustStarted is known as well: its clock shows zero.
+// TestLagOfAStoreThatHasJustStarted guards against a lag that counts as unknown because the store's clock
+// shows zero.
 func TestLagOfAStoreThatHasJustStarted(t *testing.T) {
 	clock := &storeclock.Clock{}
 	clock.Observe(time.Now(), 0)
@@ -229,19 +229,19 @@
 	}
 }
 
-// TestLateNewsIsNotTakenForFresh: a node whose news is late reads the store itself, so that
-// changes are in force there within the bound.
+// TestLateNewsIsNotTakenForFresh checks that a node whose news is late reads the store itself, so that
+// changes arrive there within the bound.
 func TestLateNewsIsNotTakenForFresh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &rough{calm: true, late: make(map[string]time.Duration)}
+		r := &faultySite{calm: true, late: make(map[string]time.Duration)}
 		ctx, cancel := context.WithCancel(context.Background())
-		names, _, values := newRough(ctx, r, SmallSite+3)
+		names, _, values := startFaultySite(ctx, r, SmallSite+3)
 		time.Sleep(5 * time.Second)
 		for _, name := range names[Watchers:] {
 			r.late[name] = 3 * bound
 		}
 		for range 3 {
-			time.Sleep(10 * bound) // in which what is late tells nothing older
+			time.Sleep(10 * bound) // until all late messages are of the current version
 			r.put()
 			time.Sleep(bound)
 			for _, name := range names {
@@ -251,37 +251,36 @@
 			}
 		}
 		cancel()
-		time.Sleep(20 * time.Second) // for what is under way to end
+		time.Sleep(20 * time.Second) // lets calls in progress end
 	})
 }
 
-func playLag(t *testing.T, seed uint64) {
-	r := &rough{random: rand.New(rand.NewPCG(seed, 1))}
+func runLag(t *testing.T, seed uint64) {
+	r := &faultySite{random: rand.New(rand.NewPCG(seed, 1))}
 	ctx, cancel := context.WithCancel(context.Background())
-	names, tables, values := newRough(ctx, r, SmallSite+3)
-	told := 0
+	names, tables, values := startFaultySite(ctx, r, SmallSite+3)
+	claims := 0
 	for step := range 1200 { // of 50 ms
 		time.Sleep(50 * time.Millisecond)
 		if step%17 == 0 {
 			r.put()
 		}
 		if step%40 == 39 {
-			r.trouble(names)
+			r.injectFault(names)
 		}
 		for name, table := range tables {
-			told += r.check(t, name, table, values[name])
+			claims += r.check(t, name, table, values[name])
 		}
 	}
-	if told < 600*len(names) {
-		t.Errorf("only %d times a node knew its lag to be below %v", told, 3*bound)
+	if claims < 600*len(names) {
+		t.Errorf("only %d times a node had a lag below %v", claims, 3*bound)
 	}
 	cancel()
-	time.Sleep(20 * time.Second) // for what is under way to end
+	time.Sleep(20 * time.Second) // lets calls in progress end
 }
 
-// check compares what a node has with what it says. It returns 1 if the node says that
-// its rows are quite new.
-func (r *rough) check(t *testing.T, name string, table *Table, value func() int) int {
+// check compares a node's rows with its lag. It returns 1 if the lag is short.
+func (r *faultySite) check(t *testing.T, name string, table *Table, value func() int) int {
 	now := time.Now()
 	lag, known := table.Lag()
 	if !known {
@@ -295,7 +294,7 @@
 	}
 	for i, acked := range r.acked {
 		if i+1 > has && now.Sub(acked) > lag {
-			t.Fatalf("%s has version %d and says that it lacks nothing older than %v; version %d is %v old",
+			t.Fatalf("%s has version %d and the lag %v, but version %d is %v old",
 				name, has, lag, i+1, now.Sub(acked))
 		}
 	}
--- a/pkg/watch/late_test.go
+++ b/pkg/watch/late_test.go
@@ -10,34 +10,35 @@
 	"martenwheel.dev/pkg/revision"
 )
 
-// After an outage of the store all that changed meanwhile comes with the first feed, which has half a
-// second beyond its wait. Over a slow link thousands of rows take longer; each try had the same time
-// and the same rows, and more, until the history was gone.
+// After an outage of the store the first feed returns all changes made meanwhile, and has feedSlack for its
+// answer. Over a slow link thousands of rows take longer. If the feed were just repeated, each try would have
+// the same time for at least as many rows, until the history is gone.
 
-// slowLink carries few rows in the time of a feed.
+// slowLink is a connection that carries only maxRows in the time of a feed.
 type slowLink struct {
-	caller
+	storeClient
 }
 
-// mostRows is how many rows the link carries in the time of a call.
-const mostRows = 100
+// maxRows is the number of rows that the link carries in the time of a call.
+const maxRows = 100
 
 func (s slowLink) Feed(ctx context.Context, table string, after revision.Revision, wait time.Duration) (Page, error) {
-	page, err := s.caller.Feed(ctx, table, after, wait)
-	if len(page.Records) > mostRows {
+	page, err := s.storeClient.Feed(ctx, table, after, wait)
+	if len(page.Records) > maxRows {
 		<-ctx.Done()
 		return Page{}, ctx.Err()
 	}
 	return page, err
 }
 
-// TestChangesThatAFeedCannotCarryAreReadInPages within the bound and a little.
+// TestChangesThatAFeedCannotCarryAreReadInPages checks that changes that are too many for a feed still
+// arrive, soon after the bound.
 func TestChangesThatAFeedCannotCarryAreReadInPages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := newMemory()
+		store := newFakeStore()
 		store.put("a", "1")
 		members, _ := start(t, store, 3, func(h *Hub) {
-			h.Tables[0].Source = slowLink{h.Tables[0].Source.(caller)}
+			h.Tables[0].Source = slowLink{h.Tables[0].Source.(storeClient)}
 		})
 		inForce(t, members, "a", "1")
 		store.mu.Lock()
@@ -46,7 +47,7 @@
 		}
 		store.mu.Unlock()
 		time.Sleep(5 * time.Second)
-		for i := range 3 * mostRows {
+		for i := range 3 * maxRows {
 			store.put(fmt.Sprint("row-", i), "1")
 		}
 		store.put("a", "2")
@@ -54,7 +55,7 @@
 		clear(store.refused)
 		store.mu.Unlock()
 		if took := inForce(t, members, "a", "2"); took > 3*bound {
-			t.Errorf("in force %v after the store's return", took)
+			t.Errorf("the change arrived %v after the store answered again", took)
 		}
 		stopAtEnd()
 	})
--- a/pkg/watch/pack.go
+++ b/pkg/watch/pack.go
@@ -10,17 +10,17 @@
 	"github.com/pkg/errors"
 )
 
-// maxUnpacked bounds what packed records may grow to.
+// maxUnpacked limits the size of unpacked records.
 const maxUnpacked = 32 << 20
 
-// packers keeps what packing works on, which takes over a megabyte: a relay packs some dozens of times
-// a second.
+// packers reuses flate writers, each of which takes over a megabyte: a relay packs some dozens of times a
+// second.
 var packers = sync.Pool{New: func() any {
-	w, _ := flate.NewWriter(nil, flate.BestSpeed) // fails on an unknown level alone
+	w, _ := flate.NewWriter(nil, flate.BestSpeed) // only fails for an unknown level
 	return w
 }}
 
-// pack encodes records in few bytes: rows are text of much the same form.
+// pack encodes and compresses records. Rows are similar texts and compress well.
 func pack(records []Record) ([]byte, error) {
 	if len(records) == 0 {
 		return nil, nil
--- a/pkg/watch/pack_test.go
+++ b/pkg/watch/pack_test.go
@@ -10,7 +10,7 @@
 	"martenwheel.dev/pkg/revision"
 )
 
-// largeTable is a table of 3,000 servers.
+// largeTable returns a table of 3,000 servers.
 func largeTable() *Table {
 	t := &Table{Name: "servers", Apply: func(map[string]Record, revision.Revision) {}, Logger: hclog.NewNullLogger()}
 	page := Page{Version: 5000}
--- a/pkg/watch/parts.go
+++ b/pkg/watch/parts.go
@@ -8,27 +8,27 @@
 	"strconv"
 )
 
-// PartCount is the number of parts that a table is divided into by its keys. A part of a table of
-// 10,000 rows has some 160, which a message carries over any link in a fraction of a second.
+// PartCount is the number of parts that a table is divided into by its keys. A part of a table of 10,000 rows
+// has some 160 rows, and a message carries it over any link in a fraction of a second.
 const PartCount = 64
 
 // Parts is a set of parts of a table.
 type Parts uint64
 
-// AllParts is the whole table.
+// AllParts is the set of all parts.
 const AllParts = ^Parts(0)
 
-// PartOf returns the part that a row of a key belongs to.
+// PartOf returns the part that the row of a key belongs to.
 func PartOf(key string) Parts { return partAt(partIndex(key)) }
 
-func partIndex(key string) int { return int(mix(weight(key)) % PartCount) }
+func partIndex(key string) int { return int(mixHash(nameHash(key)) % PartCount) }
 
 func partAt(i int) Parts { return 1 << i }
 
-// Holds tells whether a row of a key is in one of the parts.
+// Holds reports whether the row of a key is in one of the parts.
 func (p Parts) Holds(key string) bool { return p&PartOf(key) != 0 }
 
-// covers tells whether all of other are among the parts.
+// covers reports whether all of other are among the parts.
 func (p Parts) covers(other Parts) bool { return other&^p == 0 }
 
 // count returns the number of parts.
@@ -45,25 +45,26 @@
 	}
 }
 
-// told reads parts of a message: builds that know no parts tell none and mean the whole table.
-func told(p Parts) Parts { return cmp.Or(p, AllParts) }
+// partsOrAll returns the parts that a message is about. Builds without parts send zero and mean the whole
+// table.
+func partsOrAll(p Parts) Parts { return cmp.Or(p, AllParts) }
 
-// enoughRows is how many rows of a table a node keeps of which it needs only some: of 10,000
-// servers with two models each, two dozen replicas of each of 80 busy models, some of them near. A
-// node has as many however large the table is.
-const enoughRows = 1024
+// minHeldRows is how many rows a node keeps of a table of which it needs only some. With 10,000 servers of
+// two models each, these include two dozen replicas of each of 80 busy models, some of them near. It does not
+// depend on the size of the table.
+const minHeldRows = 1024
 
-// share returns how many parts of a table of so many rows have enoughRows.
-func share(rows int) int {
-	if rows <= enoughRows {
+// shareSize returns how many parts of a table with the given number of rows have minHeldRows.
+func shareSize(rows int) int {
+	if rows <= minHeldRows {
 		return PartCount
 	}
-	return max((PartCount*enoughRows+rows-1)/rows, 1)
+	return max((PartCount*minHeldRows+rows-1)/rows, 1)
 }
 
-// preferred returns the n parts that a node keeps. Nodes differ in them, so that the rows are spread
-// over the nodes alike; a node that needs fewer or more keeps most that it has.
-func preferred(node string, n int) Parts {
+// preferredParts returns the n parts that a node keeps. They differ between nodes, so that the rows are
+// spread evenly over the nodes. A node that needs fewer or more parts later keeps most of those that it has.
+func preferredParts(node string, n int) Parts {
 	order := make([]int, PartCount)
 	for i := range order {
 		order[i] = i
@@ -76,10 +77,13 @@
 	return p
 }
 
-func partWeight(node string, part int) uint32 { return mix(weight(node + "/" + strconv.Itoa(part))) }
+// partWeight returns a hash by which a node orders the parts.
+func partWeight(node string, part int) uint32 {
+	return mixHash(nameHash(node + "/" + strconv.Itoa(part)))
+}
 
-// mix spreads hashes of texts that differ in their last letters alone.
-func mix(h uint32) uint32 {
+// mixHash spreads the hashes of texts that differ only in their last letters.
+func mixHash(h uint32) uint32 {
 	h ^= h >> 16
 	h *= 0x85ebca6b
 	h ^= h >> 13
--- a/pkg/watch/pull_test.go
+++ b/pkg/watch/pull_test.go
@@ -13,18 +13,18 @@
 	"martenwheel.dev/pkg/revision"
 )
 
-// A node that lacks a table asks for it whole. On a site of 302 nodes before 3,000 servers that is
-// some 120 kB, and each news that came meanwhile had the node ask once more, of each watcher: the
-// answers took the watchers' time and the links of weak machines from the news themselves.
+// A node that lacks a table asks a watcher for all of it. With 302 nodes and 3,000 servers the answer has some
+// 120 kB. If the node asked again for each news that comes meanwhile, the answers would take the watchers'
+// time and the bandwidth of weak machines from the news.
 
-// slowPulls is a transport whose pulls take a while.
+// slowPulls is a transport that takes a while to answer a Pull.
 type slowPulls struct {
 	noNews
 	took  time.Duration
 	calls atomic.Int32
 }
 
-// noNews is a transport that sends nothing.
+// noNews is a transport whose Send does nothing.
 type noNews struct{ peer.Transport }
 
 func (noNews) Send(string, peer.Message) {}
@@ -39,7 +39,8 @@
 	}
 }
 
-// TestANodeAsksForAWholeTableOnce: however much news comes while the answer is on its way.
+// TestANodeAsksForAWholeTableOnce checks that a node asks only once for a table, however much news comes
+// before the answer.
 func TestANodeAsksForAWholeTableOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		transport := &slowPulls{took: 500 * time.Millisecond}
@@ -54,7 +55,7 @@
 			t.Errorf("the node asked %d times", n)
 		}
 		if table.Version() != 9 {
-			t.Errorf("the table is of version %d", table.Version())
+			t.Errorf("the table has version %d, want 9", table.Version())
 		}
 	})
 }
--- a/pkg/watch/recent.go
+++ b/pkg/watch/recent.go
@@ -2,35 +2,35 @@
 
 import "martenwheel.dev/pkg/revision"
 
-// mostRecent bounds the changes that a node keeps for those who miss some: those of several seconds
-// of a busy table, in memory that does not grow with it.
-const mostRecent = 1024
+// maxRecent limits the changes that a node keeps for nodes that missed some. It is enough for several seconds
+// of a busy table, and the memory does not grow with the table.
+const maxRecent = 1024
 
-// recentChanges are the last changes of a table, oldest first.
+// recentChanges has the last changes of a table, oldest first.
 type recentChanges struct {
 	records []Record
-	from    revision.Revision // all changes after this version are among them
+	from    revision.Revision // all changes after this version are included
 }
 
-// reset begins anew: nothing is known of changes up to a version.
+// reset drops all changes up to a version.
 func (c *recentChanges) reset(version revision.Revision) {
 	c.records, c.from = nil, version
 }
 
-// add notes changes.
+// add appends changes.
 func (c *recentChanges) add(records []Record) {
 	c.records = append(c.records, records...)
-	extra := len(c.records) - mostRecent
+	extra := len(c.records) - maxRecent
 	if extra <= 0 {
 		return
 	}
 	for _, r := range c.records[:extra] {
 		c.from = max(c.from, r.Version)
 	}
-	c.records = append([]Record(nil), c.records[extra:]...) // lets go of the array before
+	c.records = append([]Record(nil), c.records[extra:]...) // frees the old array
 }
 
-// since returns the changes of parts after a version, false if some are not known any more.
+// since returns the changes in parts after a version, and false if some of them are no longer known.
 func (c *recentChanges) since(after revision.Revision, parts Parts) ([]Record, bool) {
 	if after < c.from {
 		return nil, false
--- a/pkg/watch/copied_tree_test.go
+++ b/pkg/watch/restored_tree_test.go
@@ -10,15 +10,16 @@
 	"martenwheel.dev/pkg/revision"
 )
 
-// copyOf returns what a store holds.
-func (m *memory) copyOf() *memory {
+// backup returns a copy of the store's state.
+func (m *fakeStore) backup() *fakeStore {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return &memory{rows: maps.Clone(m.rows), version: m.version}
+	return &fakeStore{rows: maps.Clone(m.rows), version: m.version}
 }
 
-// comeBack has a store hold what a copy does, in the next epoch, and tell of no change before.
-func (m *memory) comeBack(c *memory) {
+// restore replaces the store's state by that of a backup, in the next epoch and without the history of
+// changes.
+func (m *fakeStore) restore(c *fakeStore) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	epoch := m.version.Epoch() + 1
@@ -35,23 +36,24 @@
 	m.oldest = m.version
 }
 
-// refuse has the store turn some nodes away, or nobody.
-func (m *memory) refuse(refused map[string]bool) {
+// refuse makes the store refuse the calls of the given nodes and of no others.
+func (m *fakeStore) refuse(refused map[string]bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.refused = refused
 }
 
-// TestAFleetFollowsAStoreThatCameBackFromACopy: within the bound all nodes have what is written then, those that read
-// the store, those that follow others and those that were cut off meanwhile, and the store is not read by all.
-func TestAFleetFollowsAStoreThatCameBackFromACopy(t *testing.T) {
+// TestAFleetFollowsARestoredStore checks that after a restore all nodes have new writes within the bound:
+// nodes that read the store, nodes that follow others and a node that was cut off meanwhile. The store must
+// not be read by all nodes.
+func TestAFleetFollowsARestoredStore(t *testing.T) {
 	for name, size := range map[string]int{"6 nodes": 6, "302 nodes": 302} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				rows := 10 * size
 				f := startFleet(size, rows)
-				f.settle(t)
-				before := f.store.copyOf()
+				f.waitSettled(t)
+				before := f.store.backup()
 				for i := range 50 {
 					f.store.put(rowKey(i), "lost")
 				}
@@ -70,19 +72,19 @@
 				f.store.mu.Lock()
 				f.store.calls = 0
 				f.store.mu.Unlock()
-				f.store.comeBack(before)
+				f.store.restore(before)
 				f.store.refuse(map[string]bool{cut: true})
-				time.Sleep(bound / 2) // who waits before a store that fails asks again by then
+				time.Sleep(bound / 2) // by then nodes that back off have asked the store again
 				f.store.put(rowKey(0), "after")
 				others := slices.DeleteFunc(slices.Clone(f.members), func(m *member) bool { return m.hub.Self.Name == cut })
 				took := f.inForce(t, others, rowKey(0), "after")
 				if took > bound {
-					t.Errorf("in force after %v, bound %v", took, bound)
+					t.Errorf("the change arrived after %v, bound %v", took, bound)
 				}
 				f.store.mu.Lock()
 				calls := f.store.calls
 				f.store.mu.Unlock()
-				t.Logf("%d nodes: in force after %v, %d calls of the store", size, took, calls)
+				t.Logf("%d nodes: the change arrived after %v, %d calls of the store", size, took, calls)
 				if size > SmallSite && calls > size { // all nodes of a small site watch the store
 					t.Errorf("%d nodes made %d calls of the store", size, calls)
 				}
@@ -91,11 +93,11 @@
 				f.net.mu.Unlock()
 				f.store.refuse(nil)
 				f.inForce(t, f.members, rowKey(0), "after")
-				time.Sleep(risenTime + lostTime)
+				time.Sleep(holdBackTime + keepLostTime)
 				f.store.put(rowKey(1), "later")
 				f.inForce(t, f.members, rowKey(1), "later")
 				for _, m := range f.members {
-					f.agrees(t, m)
+					f.checkAgainstStore(t, m)
 				}
 				f.end()
 			})
--- a/pkg/watch/serve.go
+++ b/pkg/watch/serve.go
@@ -7,33 +7,33 @@
 	"martenwheel.dev/pkg/revision"
 )
 
-// mostFollowers bounds the followers of a node; others find another one.
-const mostFollowers = 256
+// maxFollowers limits the followers of a node; other nodes choose another parent.
+const maxFollowers = 256
 
-// chunkBytes is from how many packed bytes on an answer carries no further part: some 40 ms of the
-// slowest links, so that an answer has time to come however large the table is.
+// chunkBytes is the packed size from which on an answer gets no further part. It takes some 40 ms on the
+// slowest links, so that an answer arrives in time however large the table is.
 const chunkBytes = 48 << 10
 
 // follower is a node that follows this one.
 type follower struct {
-	tables map[string]Parts
-	bare   bool
-	until  time.Time
+	tables  map[string]Parts
+	bare    bool      // it gets no records
+	expires time.Time // unless it sends another Follow
 }
 
-// followedBy takes in a follower and tells it how things stand.
-func (h *Hub) followedBy(f Follow) {
+// addFollower adds or renews a follower. A new follower is sent the current versions.
+func (h *Hub) addFollower(f Follow) {
 	now := clock.Now()
 	h.mu.Lock()
 	for address, other := range h.followers {
-		if now.After(other.until) {
+		if now.After(other.expires) {
 			delete(h.followers, address)
 		}
 	}
 	before, known := h.followers[f.Follower]
-	full := !known && len(h.followers) >= mostFollowers
+	full := !known && len(h.followers) >= maxFollowers
 	if !full {
-		h.followers[f.Follower] = follower{f.Tables, f.Bare, now.Add(followTime)}
+		h.followers[f.Follower] = follower{f.Tables, f.Bare, now.Add(followLifetime)}
 	}
 	h.mu.Unlock()
 	if full || known && before.bare == f.Bare {
@@ -41,24 +41,24 @@
 	}
 	for _, t := range h.Tables {
 		if parts, wanted := f.Tables[t.Name]; wanted && t.Whole() && !t.stale() {
-			h.Transport.Send(f.Follower, h.newsFor(t, t.state(), parts))
+			h.Transport.Send(f.Follower, h.newsFor(t, t.emptyUpdate(), parts))
 		}
 	}
 }
 
-// newsFor returns the news for a follower of parts, but for records.
-func (h *Hub) newsFor(t *Table, n news, parts Parts) News {
+// newsFor returns the news of some parts for a follower, without records.
+func (h *Hub) newsFor(t *Table, n update, parts Parts) News {
 	t.mu.Lock()
-	rows := t.total
+	rows := t.totalRows
 	t.mu.Unlock()
-	return News{Table: t.Name, After: n.before.of(parts), Version: n.page.Version, Age: t.Age(), AsOf: n.page.AsOf, Dated: n.page.Dated,
+	return News{Table: t.Name, After: n.previous.latest(parts), Version: n.page.Version, Age: t.Age(), AsOf: n.page.AsOf, Dated: n.page.Dated,
 		Watcher: h.Self.Peers, Parts: parts, Rows: rows}
 }
 
-// tellFollowers tells those who follow this node of changes, or that there are none. Followers of the
-// same parts get the same bytes, packed once. Those without a change in their parts learn with the
-// next pulse that there was none.
-func (h *Hub) tellFollowers(t *Table, n news) {
+// sendToFollowers sends an update to the followers of this node, or a heartbeat if it has no changes.
+// Followers of the same parts get the same bytes, packed once. Followers without a change in their parts
+// learn with the next heartbeat that there was none.
+func (h *Hub) sendToFollowers(t *Table, n update) {
 	if !t.Whole() || t.stale() {
 		return
 	}
@@ -79,8 +79,8 @@
 	}
 }
 
-// packFor packs the records of news that are in some parts; nil: there are none.
-func (h *Hub) packFor(t *Table, n news, parts Parts) []byte {
+// packFor packs the records of an update that are in some parts; nil if there are none.
+func (h *Hub) packFor(t *Table, n update, parts Parts) []byte {
 	var records []Record
 	for _, r := range n.page.Records {
 		if parts.Holds(r.Key) {
@@ -94,34 +94,34 @@
 	return packed
 }
 
-// followersOf returns those who follow a table.
+// followersOf returns the followers of a table by address.
 func (h *Hub) followersOf(table string) map[string]follower {
 	now := clock.Now()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	list := make(map[string]follower, len(h.followers))
 	for address, f := range h.followers {
-		if _, follows := f.tables[table]; follows && now.Before(f.until) {
+		if _, follows := f.tables[table]; follows && now.Before(f.expires) {
 			list[address] = f
 		}
 	}
 	return list
 }
 
-// partPack is the rows of a part, packed once for each version of it.
+// partPack has the rows of a part, packed once for each version of it.
 type partPack struct {
 	version revision.Revision
 	packed  []byte
-	known   bool
+	known   bool // packed is up to date with version
 }
 
-// answer returns what changed in parts after a version if that is known, else as many of the parts as
-// a message carries.
-func (t *Table) answer(p Pull) (PullAnswer, error) {
+// partsAnswer returns the changes in parts after a version if they are known, and otherwise as many of the
+// parts as a message carries.
+func (t *Table) partsAnswer(p Pull) (PullAnswer, error) {
 	t.packing.Lock()
 	defer t.packing.Unlock()
 	t.mu.Lock()
-	a := PullAnswer{Known: t.rows != nil && t.held == AllParts, Version: t.version, AsOf: t.asOf, Dated: t.dated, Rows: t.total}
+	a := PullAnswer{Known: t.rows != nil && t.held == AllParts, Version: t.version, AsOf: t.asOf, Dated: t.dated, Rows: t.totalRows}
 	var changes []Record
 	if a.Known && p.After > 0 {
 		changes, a.Changes = t.recent.since(p.After, p.Parts)
@@ -141,17 +141,17 @@
 		a.Packs = [][]byte{packed}
 		return a, err
 	}
-	return t.chunk(a, p.Parts, stale)
+	return t.addChunks(a, p.Parts, stale)
 }
 
-// stalePacks returns the rows of the parts whose packs are not of now, and notes their versions. The
-// caller holds mu and packing.
+// stalePacks returns the rows of the parts whose packs are out of date, and sets the new versions of those
+// packs. The caller holds mu and packing.
 func (t *Table) stalePacks(parts Parts) map[int][]Record {
 	stale := make(map[int][]Record)
 	for i := range parts.each() {
-		if pack := &t.packs[i]; !pack.known || pack.version != t.lasts[i] {
+		if pack := &t.partPacks[i]; !pack.known || pack.version != t.lastChanged[i] {
 			stale[i] = nil
-			*pack = partPack{version: t.lasts[i]}
+			*pack = partPack{version: t.lastChanged[i]}
 		}
 	}
 	if len(stale) == 0 {
@@ -159,18 +159,18 @@
 	}
 	for key, r := range t.rows {
 		i := partIndex(key)
-		if list, wanted := stale[i]; wanted && t.confirmedRow(r) {
+		if list, wanted := stale[i]; wanted && t.inCurrentEpoch(r) {
 			stale[i] = append(list, r)
 		}
 	}
 	return stale
 }
 
-// chunk fills an answer with parts. The caller holds packing.
-func (t *Table) chunk(a PullAnswer, parts Parts, stale map[int][]Record) (PullAnswer, error) {
+// addChunks adds packed parts to an answer up to chunkBytes. The caller holds packing.
+func (t *Table) addChunks(a PullAnswer, parts Parts, stale map[int][]Record) (PullAnswer, error) {
 	size := 0
 	for i := range parts.each() {
-		p := &t.packs[i]
+		p := &t.partPacks[i]
 		if size >= chunkBytes {
 			break
 		}
--- a/pkg/watch/tree_test.go
+++ b/pkg/watch/tree_test.go
@@ -16,111 +16,111 @@
 	"martenwheel.dev/pkg/revision"
 )
 
-// Of 985 nodes before 10,000 servers each held all servers and was told of all changes, by nodes of
-// other zones: what a node held and heard, and what its memory and its link had to bear, grew with
-// the fleet, and what the fleet sent with its square. These plays count messages, bytes and rows at
-// one size and at three times it.
+// If each node held all rows and got all changes, also from nodes of other zones, the memory and the traffic
+// of a node would grow with the fleet, and the traffic of the fleet with its square; this matters for 985
+// nodes and 10,000 servers. These tests count messages, bytes and rows at one size and at three times it.
 
-// metered is a network that counts what each node gets and sends, and can harm nodes.
-type metered struct {
+// meteredNetwork is a network that counts what each node receives and sends, and that can make nodes fail.
+type meteredNetwork struct {
 	network
-	zones    map[string]string
-	got      map[string]int  // bytes
-	messages map[string]int  // got
-	sent     map[string]int  // bytes
-	crossing int             // bytes between zones
-	deaf     map[string]bool // nodes that get nothing
-	mute     map[string]bool // nodes whose messages get lost
-	frozen   map[string]bool
-	missing  map[string]bool // nodes of an earlier build, which don't know Follow
+	zones         map[string]string
+	received      map[string]int  // bytes by node
+	messages      map[string]int  // received messages by node
+	sent          map[string]int  // bytes by node
+	crossZone     int             // bytes between zones
+	deaf          map[string]bool // nodes that receive nothing
+	mute          map[string]bool // nodes whose messages get lost
+	frozen        map[string]bool // nodes that neither send nor receive
+	withoutFollow map[string]bool // nodes of an earlier build, which don't know Follow
 }
 
-// headBytes is about what a message has besides records.
-const headBytes = 60
+// messageOverhead is about the size of a message without records.
+const messageOverhead = 60
 
 func sizeOf(message peer.Message) int {
 	switch m := message.(type) {
 	case News:
-		return headBytes + len(m.Records)
+		return messageOverhead + len(m.Records)
 	case PullAnswer:
-		size := headBytes + len(m.Records)
+		size := messageOverhead + len(m.Records)
 		for _, packed := range m.Packs {
 			size += len(packed)
 		}
 		return size
 	}
-	return headBytes
+	return messageOverhead
 }
 
-// passes counts a message and tells whether it arrives.
-func (m *metered) passes(from, to string, message peer.Message) bool {
+// deliver counts a message and reports whether it arrives.
+func (m *meteredNetwork) deliver(from, to string, message peer.Message) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	size := sizeOf(message)
 	m.sent[from] += size
-	m.got[to] += size
+	m.received[to] += size
 	m.messages[to]++
 	if m.zones[from] != m.zones[to] {
-		m.crossing += size
+		m.crossZone += size
 	}
 	_, follow := message.(Follow)
-	return !m.mute[from] && !m.deaf[to] && !m.frozen[from] && !m.frozen[to] && !(follow && m.missing[to])
+	return !m.mute[from] && !m.deaf[to] && !m.frozen[from] && !m.frozen[to] && !(follow && m.withoutFollow[to])
 }
 
-// count starts to count anew.
-func (m *metered) count() {
+// resetCounts sets all counters to zero.
+func (m *meteredNetwork) resetCounts() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	clear(m.got)
+	clear(m.received)
 	clear(m.messages)
 	clear(m.sent)
-	m.crossing = 0
+	m.crossZone = 0
 }
 
-// from is the network as one node uses it.
-type from struct {
-	*metered
+// nodeTransport is the network as one node uses it.
+type nodeTransport struct {
+	*meteredNetwork
 	name string
 }
 
-func (f from) Send(address string, message peer.Message) {
-	if f.passes(f.name, address, message) {
+func (f nodeTransport) Send(address string, message peer.Message) {
+	if f.deliver(f.name, address, message) {
 		f.network.Send(address, message)
 	}
 }
 
-func (f from) Call(ctx context.Context, address string, message peer.Message) (peer.Message, error) {
-	if !f.passes(f.name, address, message) {
+func (f nodeTransport) Call(ctx context.Context, address string, message peer.Message) (peer.Message, error) {
+	if !f.deliver(f.name, address, message) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	reply, err := f.network.Call(ctx, address, message)
-	if err == nil && !f.passes(address, f.name, reply) {
+	if err == nil && !f.deliver(address, f.name, reply) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	return reply, err
 }
 
-// fleet is a site whose nodes follow each other.
+// fleet is a simulated site whose nodes follow each other.
 type fleet struct {
-	store   *memory
-	net     *metered
+	store   *fakeStore
+	net     *meteredNetwork
 	members []*member
 	tables  map[string]*Table
 	nodes   []Node
-	known   atomic.Pointer[[]Node] // the nodes, as they are told
+	known   atomic.Pointer[[]Node] // nodes as they are reported to the nodes
 	cancel  context.CancelFunc
 }
 
 const fleetZones = 5
 
-// startFleet runs n nodes of five zones before rows rows, of which each node may hold a part.
+// startFleet runs n nodes in fleetZones zones with a store of the given number of rows, of which each node
+// may hold some parts.
 func startFleet(n, rows int, options ...func(*Hub)) *fleet {
-	f := &fleet{store: newMemory(), tables: make(map[string]*Table)}
-	f.net = &metered{network: network{hubs: make(map[string]*Hub), dead: make(map[string]bool)},
-		zones: make(map[string]string), got: make(map[string]int), sent: make(map[string]int), messages: make(map[string]int),
-		deaf: make(map[string]bool), mute: make(map[string]bool), frozen: make(map[string]bool), missing: make(map[string]bool)}
+	f := &fleet{store: newFakeStore(), tables: make(map[string]*Table)}
+	f.net = &meteredNetwork{network: network{hubs: make(map[string]*Hub), dead: make(map[string]bool)},
+		zones: make(map[string]string), received: make(map[string]int), sent: make(map[string]int), messages: make(map[string]int),
+		deaf: make(map[string]bool), mute: make(map[string]bool), frozen: make(map[string]bool), withoutFollow: make(map[string]bool)}
 	for i := range rows {
 		f.store.put(rowKey(i), "1")
 	}
@@ -146,15 +146,15 @@
 
 func (f *fleet) addNode(node Node, options []func(*Hub)) {
 	m := &member{}
-	table := &Table{Name: "t", Source: prober{caller{node.Name, f.store}}, Bound: bound, Parted: true, Logger: hclog.NewNullLogger(),
+	table := &Table{Name: "t", Source: prober{storeClient{node.Name, f.store}}, Bound: bound, Partitioned: true, Logger: hclog.NewNullLogger(),
 		Apply: func(_ map[string]Record, version revision.Revision) {
 			m.mu.Lock()
 			defer m.mu.Unlock()
-			m.back = m.back || version < m.last
+			m.wentBack = m.wentBack || version < m.last
 			m.last = version
 		}}
 	m.hub = &Hub{Self: node, Nodes: func() []Node { return *f.known.Load() }, Known: func() bool { return true }, FirstStart: true,
-		Transport: from{f.net, node.Name}, Tables: []*Table{table}, Logger: hclog.NewNullLogger()}
+		Transport: nodeTransport{f.net, node.Name}, Tables: []*Table{table}, Logger: hclog.NewNullLogger()}
 	for _, set := range options {
 		set(m.hub)
 	}
@@ -163,16 +163,16 @@
 	f.members = append(f.members, m)
 }
 
-// end ends the site.
+// end stops the site.
 func (f *fleet) end() {
 	f.cancel()
-	time.Sleep(5 * time.Second) // virtual; for what is under way to end
+	time.Sleep(5 * time.Second) // virtual; lets calls in progress end
 }
 
-// prober is a node's way to a store that tells a large table in pages.
-type prober struct{ caller }
+// prober is a node's connection to a store that returns a large table in pages.
+type prober struct{ storeClient }
 
-// probeRows is how many rows the first page of the test's store has.
+// probeRows is the number of rows in the first page of the test's store.
 const probeRows = 500
 
 func (p prober) Probe(ctx context.Context, table string) (Page, bool, error) {
@@ -182,23 +182,23 @@
 	return page, more, err
 }
 
-// leaves returns the nodes that neither watch nor relay.
+// leaves returns the nodes that are neither watchers nor relays.
 func (f *fleet) leaves() []*member {
 	top := newTopology(f.nodes)
 	return slices.DeleteFunc(slices.Clone(f.members), func(m *member) bool {
-		return slices.Contains(top.watchers, m.hub.Self.Name) || top.relay(m.hub.Self)
+		return slices.Contains(top.watchers, m.hub.Self.Name) || top.isRelay(m.hub.Self)
 	})
 }
 
-// rows returns how many rows a node has.
-func (f *fleet) rows(m *member) int {
+// rowCount returns the number of rows that a node holds.
+func (f *fleet) rowCount(m *member) int {
 	table := f.tables[m.hub.Self.Name]
 	table.mu.Lock()
 	defer table.mu.Unlock()
 	return len(table.rows)
 }
 
-// value returns what a node has of a row.
+// value returns a node's value of a row.
 func (f *fleet) value(m *member, key string) string {
 	table := f.tables[m.hub.Self.Name]
 	table.mu.Lock()
@@ -206,12 +206,12 @@
 	return string(table.rows[key].Value)
 }
 
-// inForce waits until all of some nodes that hold a row have its value, and returns the time it took.
+// inForce waits until all given nodes that hold a row have its value, and returns the time it took.
 func (f *fleet) inForce(t *testing.T, members []*member, key, want string) time.Duration {
 	t.Helper()
 	began := time.Now()
 	for _, m := range members {
-		if _, held, _ := f.tables[m.hub.Self.Name].lacks(); !held.Holds(key) {
+		if _, held, _ := f.tables[m.hub.Self.Name].partStatus(); !held.Holds(key) {
 			continue
 		}
 		for f.value(m, key) != want {
@@ -224,13 +224,13 @@
 	return time.Since(began)
 }
 
-// settle waits until all nodes hold what they want.
-func (f *fleet) settle(t *testing.T) {
+// waitSettled waits until all nodes hold the parts that they want.
+func (f *fleet) waitSettled(t *testing.T) {
 	t.Helper()
 	began := time.Now()
 	for name, table := range f.tables {
 		for {
-			if missing, held, _ := table.lacks(); missing == 0 && held != 0 {
+			if missing, held, _ := table.partStatus(); missing == 0 && held != 0 {
 				break
 			}
 			if time.Since(began) > 10*time.Second {
@@ -242,20 +242,20 @@
 	time.Sleep(2 * time.Second)
 }
 
-// changeAll makes changes of so many rows a second for a while.
-func (f *fleet) change(perSecond int, span time.Duration, rows int) {
+// changeRows makes perSecond changes a second for the given time.
+func (f *fleet) changeRows(perSecond int, span time.Duration, rows int) {
 	for i := range perSecond * int(span/time.Second) {
 		f.store.put(rowKey((i*7)%rows), fmt.Sprint("changed-", i))
 		time.Sleep(time.Second / time.Duration(perSecond))
 	}
 }
 
-// agrees tells that what a node holds is as the store has it.
-func (f *fleet) agrees(t *testing.T, m *member) {
+// checkAgainstStore checks that a node's rows are as the store has them and that its version never went back.
+func (f *fleet) checkAgainstStore(t *testing.T, m *member) {
 	t.Helper()
 	table := f.tables[m.hub.Self.Name]
-	page, _ := table.whole()
-	_, held, _ := table.lacks()
+	page, _ := table.allRows()
+	_, held, _ := table.partStatus()
 	f.store.mu.Lock()
 	defer f.store.mu.Unlock()
 	rows := 0
@@ -275,53 +275,54 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.back {
-		t.Errorf("%s went back", m.hub.Self.Name)
+	if m.wentBack {
+		t.Errorf("the version of %s went back", m.hub.Self.Name)
 	}
 }
 
-// load is what the nodes of a fleet bear.
-type load struct {
-	rows, messages, bytes int // most of a node that neither watches nor relays
+// nodeLoad is the load of the nodes of a fleet.
+type nodeLoad struct {
+	rows, messages, bytes int // maximum of the nodes that neither watch nor relay
 	busiest               int // bytes that the busiest node sends
-	crossing              int // bytes between zones, of all
+	crossZone             int // bytes between zones, of all nodes
 }
 
-// play runs a fleet with ten rows for each node, of which half a row for each node changes a second.
-func play(t *testing.T, n int, options ...func(*Hub)) load {
-	var l load
+// measureLoad runs a fleet with ten rows for each node, and changes half a row for each node a second.
+func measureLoad(t *testing.T, n int, options ...func(*Hub)) nodeLoad {
+	var l nodeLoad
 	synctest.Test(t, func(t *testing.T) {
 		f := startFleet(n, 10*n, options...)
-		f.settle(t)
-		f.net.count()
-		f.change(n/2, 10*time.Second, 10*n)
+		f.waitSettled(t)
+		f.net.resetCounts()
+		f.changeRows(n/2, 10*time.Second, 10*n)
 		f.net.mu.Lock()
 		for _, m := range f.leaves() {
 			name := m.hub.Self.Name
-			l.rows, l.messages, l.bytes = max(l.rows, f.rows(m)), max(l.messages, f.net.messages[name]), max(l.bytes, f.net.got[name])
+			l.rows, l.messages, l.bytes = max(l.rows, f.rowCount(m)), max(l.messages, f.net.messages[name]), max(l.bytes, f.net.received[name])
 		}
 		for _, sent := range f.net.sent {
 			l.busiest = max(l.busiest, sent)
 		}
-		l.crossing = f.net.crossing
+		l.crossZone = f.net.crossZone
 		f.net.mu.Unlock()
 		time.Sleep(2 * time.Second)
 		for _, m := range f.members {
-			f.agrees(t, m)
+			f.checkAgainstStore(t, m)
 		}
 		f.end()
 	})
 	return l
 }
 
-// TestWhatANodeHoldsAndHearsDoesNotGrowWithTheFleet: from one size to three times it with three times
-// as many rows and changes, a node's rows, messages and bytes stay as they are, and the busiest node
-// sends, as all together send between zones, as much more as the fleet has nodes more.
-func TestWhatANodeHoldsAndHearsDoesNotGrowWithTheFleet(t *testing.T) {
+// TestLoadOfANodeDoesNotGrowWithTheFleet compares a fleet with one that has three times as many nodes, rows
+// and changes. The rows, messages and bytes of a node must stay the same. The bytes sent by the busiest node,
+// and those sent between zones by all nodes, may grow nine times at most, as there are three times as many
+// relays and changes.
+func TestLoadOfANodeDoesNotGrowWithTheFleet(t *testing.T) {
 	const small = 120
-	a, b := play(t, small), play(t, 3*small)
+	a, b := measureLoad(t, small), measureLoad(t, 3*small)
 	t.Logf("%d nodes: %+v; %d: %+v", small, a, 3*small, b)
-	const flat = 1.25 // leaves' shares of the rows differ a little
+	const flat = 1.25 // the nodes' shares of the rows differ a little
 	for _, c := range []struct {
 		name   string
 		before int
@@ -329,8 +330,8 @@
 		most   float64
 	}{
 		{"rows", a.rows, b.rows, flat}, {"messages", a.messages, b.messages, flat}, {"bytes", a.bytes, b.bytes, flat},
-		// Each relay gets all changes, and there are as many more of both.
-		{"the busiest node's bytes by relay", a.busiest, b.busiest, 3 * 3}, {"bytes between zones", a.crossing, b.crossing, 3 * 3},
+		// Each relay gets all changes, and there are three times as many of both.
+		{"the busiest node's bytes by relay", a.busiest, b.busiest, 3 * 3}, {"bytes between zones", a.crossZone, b.crossZone, 3 * 3},
 	} {
 		if growth := float64(c.after) / float64(max(c.before, 1)); growth > c.most {
 			t.Errorf("%s grew from %d to %d, %.2f times; at most %.2f", c.name, c.before, c.after, growth, c.most)
@@ -338,25 +339,25 @@
 	}
 }
 
-// TestNodesOfAnEarlierBuildAreTold: nodes that don't follow others are told without asking, and nodes
-// that follow get along with readers that know nothing of it.
-func TestNodesOfAnEarlierBuildAreTold(t *testing.T) {
+// TestNodesOfAnEarlierBuildGetNews checks that nodes that don't follow others get news unasked, and that
+// nodes that follow others work with readers or relays of an earlier build.
+func TestNodesOfAnEarlierBuildGetNews(t *testing.T) {
 	for name, old := range map[string]func(top *topology, n Node) bool{
 		"readers": func(top *topology, n Node) bool { return slices.Contains(top.watchers, n.Name) },
-		"others":  func(top *topology, n Node) bool { return weight(n.Name)%2 == 0 },
-		"relays":  func(top *topology, n Node) bool { return top.relay(n) },
+		"others":  func(top *topology, n Node) bool { return nameHash(n.Name)%2 == 0 },
+		"relays":  func(top *topology, n Node) bool { return top.isRelay(n) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := startFleet(60, 100)
-				f.settle(t)
+				f.waitSettled(t)
 				top := newTopology(f.nodes)
 				nodes := slices.Clone(f.nodes)
 				f.net.mu.Lock()
 				for i := range nodes {
 					if old(top, nodes[i]) {
 						nodes[i].Follows = false
-						f.net.missing[nodes[i].Name] = true
+						f.net.withoutFollow[nodes[i].Name] = true
 					}
 				}
 				f.net.mu.Unlock()
@@ -366,7 +367,7 @@
 					value := fmt.Sprint("round ", round)
 					f.store.put(rowKey(round), value)
 					if took := f.inForce(t, f.members, rowKey(round), value); took > bound {
-						t.Errorf("in force after %v", took)
+						t.Errorf("the change arrived after %v", took)
 					}
 				}
 				f.end()
@@ -375,14 +376,15 @@
 	}
 }
 
-// TestLossesInTheTree: a reader or a relay that is killed, frozen or cut one way, alone or with the
-// next one, holds nobody back beyond the bound, and nobody asks the store for a whole table for it.
+// TestLossesInTheTree checks that changes arrive within the bound at all other nodes when readers or relays
+// are killed, frozen or cut off in one direction, and that no node asks the store for a whole table because
+// of it.
 func TestLossesInTheTree(t *testing.T) {
-	harms := map[string]func(*metered, string){
-		"dead":   func(m *metered, n string) { m.dead[n] = true },
-		"frozen": func(m *metered, n string) { m.frozen[n] = true },
-		"deaf":   func(m *metered, n string) { m.deaf[n] = true },
-		"mute":   func(m *metered, n string) { m.mute[n] = true },
+	harms := map[string]func(*meteredNetwork, string){
+		"dead":   func(m *meteredNetwork, n string) { m.dead[n] = true },
+		"frozen": func(m *meteredNetwork, n string) { m.frozen[n] = true },
+		"deaf":   func(m *meteredNetwork, n string) { m.deaf[n] = true },
+		"mute":   func(m *meteredNetwork, n string) { m.mute[n] = true },
 	}
 	victims := map[string]func(*topology) []string{
 		"a reader": func(top *topology) []string { return top.watchers[:1] },
@@ -399,16 +401,16 @@
 	for harm, do := range harms {
 		for victim, of := range victims {
 			t.Run(victim+" "+harm, func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { playLoss(t, do, of) })
+				synctest.Test(t, func(t *testing.T) { runLoss(t, do, of) })
 			})
 		}
 	}
 }
 
-func playLoss(t *testing.T, harm func(*metered, string), of func(*topology) []string) {
+func runLoss(t *testing.T, harm func(*meteredNetwork, string), of func(*topology) []string) {
 	const size, rows = 200, 2000
 	f := startFleet(size, rows)
-	f.settle(t)
+	f.waitSettled(t)
 	lost := of(newTopology(f.nodes))
 	f.net.mu.Lock()
 	for _, name := range lost {
@@ -416,66 +418,66 @@
 	}
 	f.net.mu.Unlock()
 	rest := slices.DeleteFunc(slices.Clone(f.members), func(m *member) bool { return slices.Contains(lost, m.hub.Self.Name) })
-	before := f.store.callsOf()
+	before := f.store.callCount()
 	for round := range 12 {
 		value := fmt.Sprint("round ", round)
 		key := rowKey(round * 31)
 		f.store.put(key, value)
 		if took := f.inForce(t, rest, key, value); took > bound {
-			t.Errorf("round %d: in force after %v", round, took)
+			t.Errorf("round %d: the change arrived after %v", round, took)
 		}
 		time.Sleep(300 * time.Millisecond)
 	}
-	if calls := f.store.callsOf() - before; calls > 12*12 {
+	if calls := f.store.callCount() - before; calls > 12*12 {
 		t.Errorf("%d calls of the store by %d nodes", calls, size)
 	}
 	f.end()
 }
 
-// TestRestartedNodesLeaveALargeTableToOthers: nodes that start look once at the table, which is large,
-// and have their share of it from others soon after they are told who these are.
+// TestRestartedNodesLeaveALargeTableToOthers checks that starting nodes read only the first page of a large
+// table, and get their parts from other nodes soon after they learn of them.
 func TestRestartedNodesLeaveALargeTableToOthers(t *testing.T) {
-	const size, rows, told = 200, 2000, time.Second
+	const size, rows, knownAfter = 200, 2000, time.Second
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		f := startFleet(size, rows, func(h *Hub) {
 			h.FirstStart = false
-			h.Known = func() bool { return time.Since(began) > told }
+			h.Known = func() bool { return time.Since(began) > knownAfter }
 		})
-		for time.Since(began) < told+2*time.Second {
+		for time.Since(began) < knownAfter+2*time.Second {
 			time.Sleep(10 * time.Millisecond)
 		}
 		for _, m := range f.members {
-			if missing, held, _ := f.tables[m.hub.Self.Name].lacks(); missing != 0 || held == 0 {
-				t.Errorf("%s lacks rows %v after it was told of the others", m.hub.Self.Name, time.Since(began)-told)
+			if missing, held, _ := f.tables[m.hub.Self.Name].partStatus(); missing != 0 || held == 0 {
+				t.Errorf("%s lacks rows %v after it learned of the other nodes", m.hub.Self.Name, time.Since(began)-knownAfter)
 			}
 		}
-		if calls := f.store.callsOf(); calls > size+20*Watchers {
+		if calls := f.store.callCount(); calls > size+20*Watchers {
 			t.Errorf("%d calls of the store by %d nodes", calls, size)
 		}
 		f.end()
 	})
 }
 
-// TestALossOfAllNodesKeepsNobodyWaiting: nodes that nobody tells of the others read the table
-// themselves, however large it is.
-func TestALossOfAllNodesKeepsNobodyWaiting(t *testing.T) {
+// TestNodesThatKnowNoOthersReadTheStore checks that nodes that start after a loss of all nodes, and so learn
+// of no others, read the table themselves, however large it is.
+func TestNodesThatKnowNoOthersReadTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startFleet(100, 2000, func(h *Hub) {
 			h.FirstStart, h.Known = false, func() bool { return false }
 		})
 		time.Sleep(aloneWait + time.Second)
 		for _, m := range f.members {
-			if f.rows(m) != 2000 {
-				t.Fatalf("%s has %d rows", m.hub.Self.Name, f.rows(m))
+			if f.rowCount(m) != 2000 {
+				t.Fatalf("%s has %d rows", m.hub.Self.Name, f.rowCount(m))
 			}
 		}
 		f.end()
 	})
 }
 
-// TestAPartIsCoveredWhenItIsAskedFor: a node that needs a row beyond its share has it within two
-// messages, is told of its changes, and lets go of it when nobody uses it any more.
+// TestAPartIsCoveredWhenItIsAskedFor checks that a node that needs a row beyond its own parts gets it within
+// two messages, receives its changes, and drops it when it is no longer in use.
 func TestAPartIsCoveredWhenItIsAskedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
@@ -485,7 +487,7 @@
 			h.Tables[0].InUse = func(key string) bool { mu.Lock(); defer mu.Unlock(); return key == used }
 			h.Tables[0].Dropped = func(keys []string) { mu.Lock(); defer mu.Unlock(); dropped = append(dropped, keys...) }
 		})
-		f.settle(t)
+		f.waitSettled(t)
 		leaf := f.leaves()[0]
 		i := 0
 		for f.value(leaf, rowKey(i)) != "" {
@@ -494,7 +496,7 @@
 		key := rowKey(i)
 		began := time.Now()
 		if err := leaf.hub.Cover(context.Background(), "t", key); err != nil || f.value(leaf, key) != "1" {
-			t.Fatalf("the row is %q, %v", f.value(leaf, key), err)
+			t.Fatalf("the row has the value %q, error %v", f.value(leaf, key), err)
 		}
 		if took := time.Since(began); took > 10*time.Millisecond {
 			t.Errorf("the part came after %v", took)
@@ -505,11 +507,11 @@
 		}
 		mu.Lock()
 		used = key
-		dropped = nil // at the start, while the size of the table was not known
+		dropped = nil // forgets parts dropped at the start, when the size of the table became known
 		mu.Unlock()
-		time.Sleep(2 * extraTime)
+		time.Sleep(2 * extraPartLifetime)
 		if f.value(leaf, key) != "2" {
-			t.Error("the node let go of a row in use")
+			t.Error("the node dropped a row in use")
 		}
 		mu.Lock()
 		used = ""
@@ -517,7 +519,7 @@
 		time.Sleep(time.Second)
 		mu.Lock()
 		if f.value(leaf, key) != "" || !slices.Contains(dropped, key) {
-			t.Errorf("the node keeps the row; told of %d dropped ones", len(dropped))
+			t.Errorf("the node keeps the row; Dropped got %d keys", len(dropped))
 		}
 		mu.Unlock()
 		f.end()
--- a/pkg/watch/watch.go
+++ b/pkg/watch/watch.go
@@ -1,16 +1,17 @@
-// Package watch keeps tables of the platform's store in memory on every node.
-// A few nodes watch the store themselves and pass on what changes; the others
-// read it only when no watcher is known to be fresh. Calls to the store so stay
-// the same in number however many nodes there are.
+// Package watch keeps copies of the platform store's tables in memory on every node. A few nodes watch the
+// store and pass changes on; the others read it only if no watcher is known to be up to date. So the number
+// of calls of the store does not grow with the number of nodes.
 //
-// A Table is followed by one goroutine; Hub has those of a node and speaks with
-// the other nodes. Versions of a table never go back in the life of a process.
+// A goroutine keeps each Table up to date; the Hub has the tables of a node and exchanges messages with other
+// nodes. The version of a table never goes back while a process runs.
 //
-// Nodes follow each other in a tree: a few readers ask the store, some relays in each zone follow
-// these, and all others follow a relay near them, so that a change crosses the boundary of a zone
-// once for each relay. A node needs some rows of a large table only and holds parts of it. parts.go
-// divides tables; topology.go tells who is what; follow.go is the side of those that follow and
-// serve.go that of those that are followed; hub.go is what readers tell nodes that follow nobody.
+// On large sites the nodes form a tree: a few readers ask the store, some relays in each zone follow the
+// readers, and all other nodes follow a relay near them, so that a change crosses the boundary of a zone once
+// for each relay. Most nodes need some rows of a large table only and hold parts of it.
+//
+// parts.go divides tables into parts; topology.go assigns the roles; follow.go is the side of the followers
+// and serve.go that of the followed nodes; hub.go is what readers send to nodes that follow nobody;
+// restored.go handles a store that was restored from a backup.
 package watch
 
 import (
@@ -32,30 +33,30 @@
 type Record struct {
 	Key     string
 	Value   []byte
-	Version revision.Revision
-	Gone    bool
+	Version revision.Revision // of the last change of the row
+	Gone    bool              // the row was removed
 }
 
-// Page is the rows of a table, or what changed in it, up to a version.
+// Page has rows of a table, or changes in it, up to a version.
 type Page struct {
 	Records []Record
 	Version revision.Revision
-	AsOf    time.Duration // by the store's clock: all changes before are in
+	AsOf    time.Duration // time by the store's clock; all earlier changes are included
 	Dated   bool          // AsOf is known
-	Parts   Parts         // that it is about; zero: the whole table
+	Parts   Parts         // that the page is about; zero: the whole table
 }
 
-// news is changes after the versions at which the parts changed before.
-type news struct {
-	before lastChanges
-	page   Page
+// update has changes for other nodes.
+type update struct {
+	previous lastChanges // versions of the last changes before these, by part
+	page     Page
 }
 
-// lastChanges are the versions of the last change in each part.
+// lastChanges has the version of the last change in each part.
 type lastChanges [PartCount]revision.Revision
 
-// of returns the version of the last change in some parts.
-func (l *lastChanges) of(parts Parts) revision.Revision {
+// latest returns the version of the last change in some parts.
+func (l *lastChanges) latest(parts Parts) revision.Revision {
 	last := revision.Revision(0)
 	for i := range parts.each() {
 		last = max(last, l[i])
@@ -63,112 +64,113 @@
 	return last
 }
 
-// note takes in a change in some parts.
+// note records a change in some parts.
 func (l *lastChanges) note(parts Parts, version revision.Revision) {
 	for i := range parts.each() {
 		l[i] = version
 	}
 }
 
-// ErrHistoryGone means that changes since a version are not known any more.
+// ErrHistoryGone means that the changes after a version are no longer known.
 var ErrHistoryGone = errors.New("watch: the history is gone")
 
 // Source is the platform's store.
 type Source interface {
-	// Read reads a whole table. It bounds the time of its calls, not that of the whole, which grows
-	// with the table.
+	// Read reads a whole table. It limits the time of each of its calls, not the total time, which grows with
+	// the table.
 	Read(ctx context.Context, table string) (Page, error)
-	// Feed waits for changes after a version, and returns none after wait.
+	// Feed waits for changes after a version. It returns a page without records if there are none within
+	// wait.
 	Feed(ctx context.Context, table string, after revision.Revision, wait time.Duration) (Page, error)
 }
 
-// Prober is a Source that tells whether a table is large for little.
+// Prober is a Source that can find out cheaply whether a table is large.
 type Prober interface {
-	// Probe reads the first rows of a table, and tells whether there are more.
+	// Probe reads the first rows of a table and reports whether there are more.
 	Probe(ctx context.Context, table string) (first Page, more bool, err error)
 }
 
-// Times of a watch.
+// Times of calls of the store.
 const (
-	feedSlack  = 500 * time.Millisecond // beyond the wait, for an answer
-	retryPause = 120 * time.Millisecond
-	retryMost  = 600 * time.Millisecond // of a watcher
+	feedSlack     = 500 * time.Millisecond // time for the answer, beyond the wait of a feed
+	retryPause    = 120 * time.Millisecond // after a failure, before it is doubled
+	maxRetryPause = 600 * time.Millisecond // of a watcher
 )
 
-// Parts of the bound within which changes are to be in force everywhere. A feed
-// is asked anew before much of it is over, so that a store that fell silent is
-// noticed; a node that hears nothing turns to the store with time left.
+// Shares of Table.Bound, the time within which changes must be applied on all nodes. A feed ends well before, so
+// that a store that fell silent is noticed; a node that gets no news asks the store while there is time left.
 const (
 	feedShare  = 0.4
 	staleShare = 0.6
-	// A watcher on standby asks sooner, but not while a reader's feed is just long.
+	// A watcher on standby asks the store earlier than other nodes, but not just because a reader's feed
+	// takes long.
 	standbyShare = 0.55
-	// A node on which no other relies rests for long before a store that fails, less so
-	// while it has no rows: the watchers tell it when the store is back.
-	restShare  = 0.6
-	emptyShare = 0.3
+	// A node on which no other depends backs off for long from a store that fails, and for a shorter time
+	// while it has no rows. The watchers send it news when the store answers again.
+	idleBackoffShare  = 0.6
+	emptyBackoffShare = 0.3
 )
 
-// restEach is a node's part of the rest of nodes on which no other relies: all of them
-// together ask a store that fails some forty times a second at most.
-const restEach = 25 * time.Millisecond
+// backoffPerNode times the number of nodes of the site is the back-off of nodes on which no other depends, so
+// that all of them together ask a failing store some forty times a second at most.
+const backoffPerNode = 25 * time.Millisecond
 
-// hiddenChanges is for how long the store may keep changes from those that wait for them
-// before it forgets its history: what a feed tells counts as that much older.
-const hiddenChanges = time.Second
+// maxHiddenTime is how long the store may hide changes from feeds before it forgets its history. The result
+// of a feed counts as that much older.
+const maxHiddenTime = time.Second
 
-// Table follows one table. Set the fields before Run.
+// Table keeps one table up to date. Set the exported fields before Run of its Hub.
 type Table struct {
 	Name   string
 	Source Source
-	Pause  time.Duration // after news, so that more comes at once
-	Bound  time.Duration // within which changes are to be in force
-	// Refresh is how long a watcher waits for news at most, and so about how old the rows
-	// may be that nodes know to be the newest; zero: a part of Bound.
+	Pause  time.Duration // after changes, so that the next feed returns more at once
+	Bound  time.Duration // within which changes must be applied on all nodes
+	// Refresh is how long a feed of a watcher waits for changes at most, and so about how old rows may be
+	// that nodes know to be up to date; zero means feedShare of Bound.
 	Refresh time.Duration
-	Clock   *storeclock.Clock // of the store; nil: Lag is not known
+	Clock   *storeclock.Clock // estimate of the store's clock; nil: Lag is unknown
 	Time    clock.Clock
-	// Apply takes in the rows; it is called by one goroutine at a time. The map
-	// is not to be kept.
+	// Apply is called with all rows after a change, by one goroutine at a time. It must not keep the map.
 	Apply  func(rows map[string]Record, version revision.Revision)
 	Logger hclog.Logger
-	// Parted tells that the node may do with some parts of the rows.
-	Parted bool
-	// InUse tells whether the node uses what a row is about: its part is kept then. It may be nil.
+	// Partitioned tells that the node may hold only some parts of the rows.
+	Partitioned bool
+	// InUse reports whether the node uses what a row is about; the part of the row is kept then. It may be
+	// nil.
 	InUse func(key string) bool
-	// Dropped is told the keys of rows that the node lets go of, which may still be there, before
-	// Apply. It may be nil.
+	// Dropped is called before Apply with the keys of rows that the node drops although they may still exist
+	// in the store. It may be nil.
 	Dropped func(keys []string)
 
-	mu       sync.Mutex
-	rows     map[string]Record            // nil: not read yet
-	wanted   Parts                        // zero: all
-	held     Parts                        // whose rows are here
-	floors   [PartCount]revision.Revision // versions at which the rows of the parts were taken in as a whole
-	total    int                          // rows of the whole table, as far as is known
-	version  revision.Revision
-	freshAt  time.Time     // as of when the rows are known to be the newest
-	asOf     time.Duration // the same by the store's clock
-	dated    bool          // asOf is known
-	reread   bool
-	failures int
-	late     int // feeds in a row that were not read in time
-	lasts    lastChanges
-	recent   recentChanges // of a node that holds all rows
-	gapSince time.Time     // since when changes are known to be missing
-	changed  chan news     // for the other nodes
-	confirms chan struct{} // another node confirmed the rows
-	breaker  *breaker      // of all tables of the node
-	fleet    func() int
-	alone    func() bool // no other node is known that could tell the rows
-	large    bool        // the store has more rows than it tells at once
-	pulling  atomic.Bool // rows are asked for
-	copied   copied
+	mu            sync.Mutex
+	rows          map[string]Record            // nil: not read yet
+	wanted        Parts                        // parts to hold; zero: all
+	held          Parts                        // parts whose rows are here
+	baseVersions  [PartCount]revision.Revision // versions at which the parts were taken in as a whole
+	totalRows     int                          // of the whole table, as far as known
+	version       revision.Revision
+	confirmedAt   time.Time     // time at which the rows are known to have been up to date
+	asOf          time.Duration // the same time by the store's clock
+	dated         bool          // asOf is known
+	reread        bool          // the whole table has to be read again
+	failures      int           // failed calls of the store in a row
+	lateFeeds     int           // feeds in a row that timed out
+	lastChanged   lastChanges   // version of the last change in each part
+	recent        recentChanges // recent changes; only on a node that holds all rows
+	gapSince      time.Time     // time since which changes are known to be missing; zero: none are
+	updates       chan update   // changes to send to other nodes
+	confirmations chan struct{} // wakes sendUpdates when another node confirmed the rows
+	breaker       *breaker      // shared by all tables of the node
+	fleetSize     func() int    // number of nodes of the site
+	isAlone       func() bool   // whether no other node is known that could send the rows
+	large         bool          // the store has more rows than its first page
+	pulling       atomic.Bool   // a request for rows is in progress
+	restored      restoreState
 
 	packing       sync.Mutex
-	packed        []byte // all rows, as of packedVersion; nil: not packed yet
+	packed        []byte // all rows, at packedVersion; nil: not packed yet
 	packedVersion revision.Revision
-	packs         [PartCount]partPack
+	partPacks     [PartCount]partPack
 }
 
 // Version returns the version of the rows, zero if there are none yet.
@@ -178,36 +180,35 @@
 	return t.version
 }
 
-// Age returns for how long the rows were not confirmed to be the newest. Where the store's
-// clock is known it counts the time that news was on its way: on a site of 301 nodes news
-// waited for seconds behind tables of 3,000 servers, and a node that went by the age it was
-// told did not turn to the store.
+// Age returns the time since the rows were last confirmed to be up to date. If the store's clock is known, it
+// includes the time that news was on its way: on a site of 301 nodes, news can wait for seconds behind tables
+// of 3,000 servers, and a node that only goes by the age in the news would not turn to the store.
 func (t *Table) Age() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.rows == nil {
 		return time.Hour
 	}
-	age := t.Time.Since(t.freshAt)
+	age := t.Time.Since(t.confirmedAt)
 	if lag, known := t.lagOf(t.asOf, t.dated); known {
-		age = max(age, lag-hiddenChanges)
+		age = max(age, lag-maxHiddenTime)
 	}
 	return age
 }
 
-// Lag returns for how long changes may have been made that the rows lack, at most; false
-// if that is not known. Unlike Age it counts the time that news was on its way, and that a
-// copy of the store lacks what was written last, until its owners have written it again.
+// Lag returns the maximum age of changes that the rows may lack, and false if it is unknown. Unlike Age it
+// includes all of the time that news was on its way. After a restore of the store it also covers the last
+// writes, which the backup lacks, until their owners have written them again.
 func (t *Table) Lag() (time.Duration, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.lacksWrites() {
-		return t.lagOf(t.copied.asOf, t.copied.dated)
+	if t.mayLackWrites() {
+		return t.lagOf(t.restored.previousAsOf, t.restored.previousDated)
 	}
 	return t.lagOf(t.asOf, t.dated)
 }
 
-// lagOf returns how old rows are that had all changes as of a time by the store's clock. The caller holds mu.
+// lagOf returns the lag of rows that had all changes up to a time by the store's clock. The caller holds mu.
 func (t *Table) lagOf(asOf time.Duration, dated bool) (time.Duration, bool) {
 	if t.Clock == nil {
 		return 0, false
@@ -216,42 +217,45 @@
 	return latest - asOf, known && dated && latest >= asOf
 }
 
-// feedTime returns how long a feed waits for news.
+// feedTime returns how long a feed waits for changes.
 func (t *Table) feedTime() time.Duration {
 	if t.Refresh > 0 {
-		return min(t.Refresh, t.part(feedShare))
+		return min(t.Refresh, t.boundShare(feedShare))
 	}
-	return t.part(feedShare)
+	return t.boundShare(feedShare)
 }
 
-// part returns a part of the bound.
-func (t *Table) part(share float64) time.Duration { return time.Duration(share * float64(t.Bound)) }
+// boundShare returns a share of Bound.
+func (t *Table) boundShare(share float64) time.Duration {
+	return time.Duration(share * float64(t.Bound))
+}
 
-// stale tells whether others have not confirmed the rows for too long.
-func (t *Table) stale() bool { return t.Age() > t.part(staleShare) }
+// stale reports whether the rows have not been confirmed for so long that the node turns to the store.
+func (t *Table) stale() bool { return t.Age() > t.boundShare(staleShare) }
 
-// unconfirmed tells whether a watcher on standby is to ask the store.
-func (t *Table) unconfirmed() bool { return t.Age() > t.part(standbyShare) }
+// unconfirmed reports whether the rows have not been confirmed for so long that a watcher on standby asks the
+// store.
+func (t *Table) unconfirmed() bool { return t.Age() > t.boundShare(standbyShare) }
 
-// whole returns all rows.
-func (t *Table) whole() (Page, bool) {
+// allRows returns all rows of the current epoch, and false if none were read yet.
+func (t *Table) allRows() (Page, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p := Page{Version: t.version, AsOf: t.asOf, Dated: t.dated}
 	for _, r := range t.rows {
-		if t.confirmedRow(r) {
+		if t.inCurrentEpoch(r) {
 			p.Records = append(p.Records, r)
 		}
 	}
 	return p, t.rows != nil
 }
 
-// run follows the store while direct returns true; watching tells whether other nodes
-// rely on it.
+// run reads from the store while direct returns true, until ctx ends. watching reports whether other nodes
+// depend on this one.
 func (t *Table) run(ctx context.Context, direct, watching func() bool) {
 	reading := true
 	for ctx.Err() == nil {
-		t.settle()
+		t.expireRestoreState()
 		if now := direct(); now != reading {
 			reading = now
 			t.Logger.Info("table source", "table", t.Name, "store", reading, "version", t.Version(), "age_ms", t.Age().Milliseconds())
@@ -265,18 +269,18 @@
 			return
 		}
 		if !direct() {
-			t.breaker.skip() // others told what changed
+			t.breaker.skip() // other nodes sent the changes meanwhile
 			continue
 		}
-		changed, err := t.step(ctx, probe)
-		t.breaker.leave(err != nil && !errors.Is(err, ErrHistoryGone), t.pauses(watching()))
+		changed, err := t.readOrFeed(ctx, probe)
+		t.breaker.leave(err != nil && !errors.Is(err, ErrHistoryGone), t.failurePauses(watching()))
 		switch {
 		case ctx.Err() != nil:
 			return
 		case err != nil:
-			t.lost(err)
+			t.noteFailure(err)
 		default:
-			t.regained()
+			t.noteSuccess()
 			if changed {
 				sleep(ctx, t.Pause)
 			}
@@ -284,6 +288,7 @@
 	}
 }
 
+// sleep waits for a pause or until ctx ends.
 func sleep(ctx context.Context, pause time.Duration) {
 	if pause <= 0 {
 		return
@@ -296,10 +301,10 @@
 	}
 }
 
-// lost notes a failure.
-func (t *Table) lost(err error) {
+// noteFailure updates the state after a failed call of the store.
+func (t *Table) noteFailure(err error) {
 	if errors.Is(err, ErrHistoryGone) {
-		t.Logger.Warn("history gone, table is read anew", "table", t.Name, "version", t.Version())
+		t.Logger.Warn("change history is gone, reading the whole table", "table", t.Name, "version", t.Version())
 		t.mu.Lock()
 		t.reread = true
 		t.mu.Unlock()
@@ -311,38 +316,38 @@
 	t.failures++
 }
 
-// pauses returns the bounds of the pause before a store that fails. A node that knows its
-// rows and on which no other relies rests for long at once: the watchers tell it when the
-// store is back.
-func (t *Table) pauses(watching bool) pauses {
+// failurePauses returns the limits of the pause after a failed call. A node that has its rows and on which no
+// other depends backs off for long at once: the watchers send it news when the store answers again.
+func (t *Table) failurePauses(watching bool) pauseLimits {
 	if watching {
-		return pauses{most: retryMost}
+		return pauseLimits{max: maxRetryPause}
 	}
 	t.mu.Lock()
 	empty := t.rows == nil
 	t.mu.Unlock()
 	if empty {
-		return pauses{most: max(retryMost, t.part(emptyShare))}
+		return pauseLimits{max: max(maxRetryPause, t.boundShare(emptyBackoffShare))}
 	}
-	rest := max(retryMost, t.part(restShare), time.Duration(t.fleet())*restEach)
-	return pauses{least: rest, most: rest}
+	backoff := max(maxRetryPause, t.boundShare(idleBackoffShare), time.Duration(t.fleetSize())*backoffPerNode)
+	return pauseLimits{min: backoff, max: backoff}
 }
 
-func (t *Table) regained() {
+// noteSuccess updates the state after a successful call of the store.
+func (t *Table) noteSuccess() {
 	if t.failures > 0 {
 		t.Logger.Info("store regained", "table", t.Name, "version", t.Version(), "failures", t.failures)
 	}
 	t.failures = 0
 }
 
-// step reads the table or waits for its changes; not for long if the call is to find out
-// whether the store is back.
-func (t *Table) step(ctx context.Context, probe bool) (bool, error) {
+// readOrFeed reads the table or waits for changes, and reports whether there were any. If probe is set, it
+// does not wait, as the call is to find out whether the store answers again.
+func (t *Table) readOrFeed(ctx context.Context, probe bool) (bool, error) {
 	t.mu.Lock()
-	anew := t.rows == nil || t.reread || t.missing() != 0
+	reread := t.rows == nil || t.reread || t.missing() != 0
 	after := t.version
 	t.mu.Unlock()
-	if anew {
+	if reread {
 		return true, t.read(ctx)
 	}
 	wait := t.feedTime()
@@ -353,20 +358,21 @@
 	defer cancel()
 	page, err := t.Source.Feed(ctx, t.Name, after, wait)
 	if err != nil {
-		t.noteLate(errors.Is(err, context.DeadlineExceeded))
+		t.noteFeedFailure(errors.Is(err, context.DeadlineExceeded))
 		return false, err
 	}
-	t.late = 0
-	page.AsOf -= hiddenChanges
+	t.lateFeeds = 0
+	page.AsOf -= maxHiddenTime
 	t.Change(after, page, 0)
 	return len(page.Records) > 0, nil
 }
 
-// probe reads the table if it is small, and tells whether it did. A large one is better had from
-// other nodes: of 985 that start at once each would read 10,000 rows, some 4 GB together.
-func (t *Table) probe(ctx context.Context) (done bool, err error) {
+// probeSize reads the table if it is small. It returns true if no further read is needed now. A large table
+// is better sent by other nodes: if 985 nodes start at once and each reads 10,000 rows, they read some 4 GB
+// together.
+func (t *Table) probeSize(ctx context.Context) (done bool, err error) {
 	p, can := t.Source.(Prober)
-	if !can || !t.Parted || t.alone == nil || !t.alone() || t.isLarge() {
+	if !can || !t.Partitioned || t.isAlone == nil || !t.isAlone() || t.isLarge() {
 		return false, nil
 	}
 	first, more, err := p.Probe(ctx, t.Name)
@@ -377,42 +383,43 @@
 		t.mu.Lock()
 		t.large = true
 		t.mu.Unlock()
-		t.Logger.Info("large table is left to others to tell", "table", t.Name, "rows", len(first.Records), "version", first.Version)
+		t.Logger.Info("leaving the large table to other nodes", "table", t.Name, "rows", len(first.Records), "version", first.Version)
 		return true, nil
 	}
 	t.Replace(first, 0)
 	return true, nil
 }
 
-// isLarge tells whether the store has more rows than it tells at once.
+// isLarge reports whether the store has more rows than its first page.
 func (t *Table) isLarge() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.large
 }
 
-// mostLate is after how many feeds that were not read in time the table is read anew. All that changed
-// while the store was away comes in one answer, which grows with the table and has the time of one
-// call; a table is read in pages, each with its own.
-const mostLate = 2
+// maxLateFeeds is the number of feeds that time out in a row after which the whole table is read. All changes
+// made during an outage of the store come in one answer, which grows with the table and has the time of one
+// call only. A table is read in pages that each have their own time.
+const maxLateFeeds = 2
 
-// noteLate notes a feed that failed.
-func (t *Table) noteLate(late bool) {
+// noteFeedFailure counts feeds that timed out, and has the whole table read after too many.
+func (t *Table) noteFeedFailure(late bool) {
 	if !late {
-		t.late = 0
+		t.lateFeeds = 0
 		return
 	}
-	if t.late++; t.late >= mostLate {
-		t.late = 0
-		t.Logger.Warn("changes not read in time, table is read anew", "table", t.Name, "version", t.Version())
+	if t.lateFeeds++; t.lateFeeds >= maxLateFeeds {
+		t.lateFeeds = 0
+		t.Logger.Warn("changes not read in time, reading the whole table", "table", t.Name, "version", t.Version())
 		t.mu.Lock()
 		t.reread = true
 		t.mu.Unlock()
 	}
 }
 
+// read reads the whole table from the store, unless it is large and other nodes can send it.
 func (t *Table) read(ctx context.Context) error {
-	if done, err := t.probe(ctx); done {
+	if done, err := t.probeSize(ctx); done {
 		return err
 	}
 	all, err := t.Source.Read(ctx, t.Name)
@@ -420,43 +427,43 @@
 		return err
 	}
 	if !t.Replace(all, 0) {
-		t.Logger.Warn("table read is older than known", "table", t.Name, "read", all.Version, "known", t.Version(), "rows", len(all.Records))
-		return errors.Errorf("watch: table %s is older than known: %d", t.Name, all.Version)
+		t.Logger.Warn("table read is older than the known one", "table", t.Name, "read", all.Version, "known", t.Version(), "rows", len(all.Records))
+		return errors.Errorf("watch: table %s that was read is older than the known one: %d", t.Name, all.Version)
 	}
 	return nil
 }
 
-// Replace takes in a whole table that was the newest so long ago. It refuses one
-// that is older than what is known.
+// Replace takes in a whole table that was up to date the given time ago. It refuses a table that is older
+// than the known one.
 func (t *Table) Replace(all Page, age time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if all.Version < t.version {
 		return false
 	}
-	t.total = len(all.Records)
-	t.held = t.wants()
+	t.totalRows = len(all.Records)
+	t.held = t.wantedParts()
 	maps.DeleteFunc(t.rows, func(key string, _ Record) bool { return !t.held.Holds(key) })
-	t.takeWhole(t.held, all)
-	t.enter(all.Version)
+	t.applyWhole(t.held, all)
+	t.enterEpoch(all.Version)
 	t.version, t.reread, t.gapSince = all.Version, false, time.Time{}
 	for i := range t.held.each() {
-		t.floors[i] = t.version
+		t.baseVersions[i] = t.version
 	}
-	t.lasts.note(AllParts, t.version) // so that the others ask for what they miss
+	t.lastChanged.note(AllParts, t.version) // so that other nodes ask for what they lack
 	t.recent.reset(t.version)
 	t.confirm(age, all)
 	t.Apply(t.rows, t.version)
 	return true
 }
 
-// takeWhole takes in all rows of some parts. The caller holds mu.
-func (t *Table) takeWhole(parts Parts, page Page) {
+// applyWhole takes in all rows of some parts. The caller holds mu.
+func (t *Table) applyWhole(parts Parts, page Page) {
 	rows := make(map[string]Record, len(page.Records))
-	risen := t.copied.risen
-	t.copied.risen = nil
+	heldBack := t.restored.heldBack
+	t.restored.heldBack = nil
 	for _, r := range page.Records {
-		if !parts.Holds(r.Key) || t.holdsBack(r, risen) {
+		if !parts.Holds(r.Key) || t.tryHoldBack(r, heldBack) {
 			continue
 		}
 		if known, has := t.rows[r.Key]; has && known.Version > r.Version {
@@ -464,14 +471,14 @@
 		}
 		rows[r.Key] = r
 	}
-	for key, r := range risen {
+	for key, r := range heldBack {
 		if !parts.Holds(key) {
 			t.holdBack(r)
 		}
 	}
 	for key, r := range t.rows {
 		if _, has := rows[key]; has || !parts.Holds(key) || r.Version.Epoch() < page.Version.Epoch() {
-			continue // also rows that a copy lacks
+			continue // keeps rows that a restored table lacks
 		}
 		delete(t.rows, key)
 		t.noteRemoved(key)
@@ -483,22 +490,22 @@
 	maps.Copy(t.rows, rows)
 }
 
-// Change takes in the changes after a version, as of so long ago. It refuses
-// changes between which some are missing, and all of another epoch: changes after a number tell
-// nothing of what the store lost.
+// Change takes in the changes after a version, as of the given time ago. It refuses them if changes before
+// them are missing, or if they are of another epoch: changes after a version say nothing about what a
+// restored store lost.
 func (t *Table) Change(after revision.Revision, page Page, age time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.rows == nil || after > t.version || !told(page.Parts).covers(t.held) || page.Version.Epoch() > t.version.Epoch() {
+	if t.rows == nil || after > t.version || !partsOrAll(page.Parts).covers(t.held) || page.Version.Epoch() > t.version.Epoch() {
 		return false
 	}
 	if page.Version < t.version {
-		return true // known already
+		return true // already known
 	}
 	var fresh []Record
 	var touched Parts
 	for _, r := range page.Records {
-		if t.take(r) {
+		if t.applyRecord(r) {
 			fresh = append(fresh, r)
 			touched |= PartOf(r.Key)
 		}
@@ -506,26 +513,27 @@
 	t.version, t.gapSince = page.Version, time.Time{}
 	t.confirm(age, page)
 	if len(fresh) > 0 {
-		before := t.lasts
-		t.lasts.note(touched, t.version)
+		before := t.lastChanged
+		t.lastChanged.note(touched, t.version)
 		if t.held == AllParts {
-			t.total = len(t.rows)
+			t.totalRows = len(t.rows)
 			t.recent.add(fresh)
 		}
 		t.Apply(t.rows, t.version)
-		t.pass(news{before: before, page: Page{Records: fresh, Version: t.version, AsOf: t.asOf, Dated: t.dated}})
+		t.queueUpdate(update{previous: before, page: Page{Records: fresh, Version: t.version, AsOf: t.asOf, Dated: t.dated}})
 	}
 	return true
 }
 
-// take takes in a row of a part that is held, unless a newer one is known. The caller holds mu.
-func (t *Table) take(r Record) bool {
+// applyRecord takes in a row of a part that is held, unless a newer one is known. It reports whether it did.
+// The caller holds mu.
+func (t *Table) applyRecord(r Record) bool {
 	part := partIndex(r.Key)
-	if t.held&partAt(part) == 0 || r.Version <= t.floors[part] {
+	if t.held&partAt(part) == 0 || r.Version <= t.baseVersions[part] {
 		return false
 	}
-	if back, held := t.copied.risen[r.Key]; held && r.Version > back.Version {
-		delete(t.copied.risen, r.Key)
+	if back, held := t.restored.heldBack[r.Key]; held && r.Version > back.Version {
+		delete(t.restored.heldBack, r.Key)
 	}
 	known, has := t.rows[r.Key]
 	if has && known.Version >= r.Version || !has && r.Gone {
@@ -540,43 +548,43 @@
 	return true
 }
 
-// gap notes that changes are missing, and tells whether they have been for so
-// long that they will not come by themselves.
-func (t *Table) gap() bool {
+// gapOverdue records that changes are missing. It reports whether they have been missing for so long that
+// they have to be asked for.
+func (t *Table) gapOverdue() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.gapSince.IsZero() {
 		t.gapSince = t.Time.Now()
 	}
-	return t.Time.Since(t.gapSince) > t.part(gapShare)
+	return t.Time.Since(t.gapSince) > t.boundShare(gapShare)
 }
 
-// gapShare is the part of the bound for which missing changes are waited for.
+// gapShare is the share of Bound for which missing changes may arrive by themselves.
 const gapShare = 0.15
 
-// state returns that nothing changed in the rows since the last change.
-func (t *Table) state() news {
+// emptyUpdate returns an update without changes, which confirms the current version.
+func (t *Table) emptyUpdate() update {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return news{before: t.lasts, page: Page{Version: t.version, AsOf: t.asOf, Dated: t.dated}}
+	return update{previous: t.lastChanged, page: Page{Version: t.version, AsOf: t.asOf, Dated: t.dated}}
 }
 
-// confirm notes that the rows were the newest so long ago, and at a time of the store's
+// confirm records that the rows were up to date the given time ago, and at the page's time by the store's
 // clock. The caller holds mu.
 func (t *Table) confirm(age time.Duration, p Page) {
 	if p.Dated && (!t.dated || p.AsOf > t.asOf) {
 		t.asOf, t.dated = p.AsOf, true
 	}
-	if at := t.Time.Now().Add(-age); at.After(t.freshAt) {
-		t.freshAt = at
+	if at := t.Time.Now().Add(-age); at.After(t.confirmedAt) {
+		t.confirmedAt = at
 	}
 }
 
-// pass hands changes to the hub, which drops them if it is behind: the versions
-// that it tells next make the others ask. The caller holds mu.
-func (t *Table) pass(n news) {
+// queueUpdate hands changes to sendUpdates. They are dropped if the queue is full: other nodes notice by the
+// versions of the next update that changes are missing, and ask for them. The caller holds mu.
+func (t *Table) queueUpdate(n update) {
 	select {
-	case t.changed <- n:
+	case t.updates <- n:
 	default:
 	}
 }
--- a/pkg/watch/watch_test.go
+++ b/pkg/watch/watch_test.go
@@ -14,26 +14,26 @@
 	"martenwheel.dev/pkg/revision"
 )
 
-// bound is the test's time for changes to be in force.
+// bound is Table.Bound in the tests.
 const bound = 2 * time.Second
 
-// memory is a store's table.
-type memory struct {
+// fakeStore is an in-memory store of one table.
+type fakeStore struct {
 	mu      sync.Mutex
 	rows    map[string]Record
 	log     []Record
 	version revision.Revision
-	oldest  revision.Revision
-	calls   int
-	cut     map[string]bool // callers that get no answer
-	refused map[string]bool // callers that are turned away
+	oldest  revision.Revision // changes after older versions are forgotten
+	calls   int               // number of calls
+	cut     map[string]bool   // callers that get no answer
+	refused map[string]bool   // callers whose calls fail at once
 }
 
-func newMemory() *memory {
-	return &memory{rows: make(map[string]Record), cut: make(map[string]bool), refused: make(map[string]bool)}
+func newFakeStore() *fakeStore {
+	return &fakeStore{rows: make(map[string]Record), cut: make(map[string]bool), refused: make(map[string]bool)}
 }
 
-func (m *memory) put(key, value string) {
+func (m *fakeStore) put(key, value string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.version++
@@ -46,25 +46,25 @@
 	}
 }
 
-// other is a change of another table, which moves the version alone.
-func (m *memory) other() {
+// changeOtherTable makes a change of another table, which only increases the version.
+func (m *fakeStore) changeOtherTable() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.version++
 }
 
-var errRefused = errors.New("the store turns the node away")
+var errRefused = errors.New("the store refuses the node")
 
-// callTime bounds a call of the store.
+// callTime limits a call of the store.
 const callTime = 1500 * time.Millisecond
 
-// caller is a node's way to the store.
-type caller struct {
+// storeClient is a node's connection to the store.
+type storeClient struct {
 	name  string
-	store *memory
+	store *fakeStore
 }
 
-func (c caller) answer(ctx context.Context, f func() (Page, error)) (Page, error) {
+func (c storeClient) answer(ctx context.Context, f func() (Page, error)) (Page, error) {
 	time.Sleep(4 * time.Millisecond)
 	c.store.mu.Lock()
 	c.store.calls++
@@ -80,7 +80,7 @@
 	return f()
 }
 
-func (c caller) Read(ctx context.Context, _ string) (Page, error) {
+func (c storeClient) Read(ctx context.Context, _ string) (Page, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTime)
 	defer cancel()
 	return c.answer(ctx, func() (Page, error) {
@@ -94,7 +94,7 @@
 	})
 }
 
-func (c caller) Feed(ctx context.Context, _ string, after revision.Revision, wait time.Duration) (Page, error) {
+func (c storeClient) Feed(ctx context.Context, _ string, after revision.Revision, wait time.Duration) (Page, error) {
 	return c.answer(ctx, func() (Page, error) {
 		for end := time.Now().Add(wait); ; time.Sleep(5 * time.Millisecond) {
 			c.store.mu.Lock()
@@ -153,13 +153,13 @@
 
 func (n *network) Close() error { return nil }
 
-// member is a node of the test with what it was told last.
+// member is a node of the test with the last rows that were applied.
 type member struct {
-	hub  *Hub
-	mu   sync.Mutex
-	rows map[string]string
-	back bool // a version went back
-	last revision.Revision
+	hub      *Hub
+	mu       sync.Mutex
+	rows     map[string]string
+	wentBack bool // a version was lower than one before
+	last     revision.Revision
 }
 
 func (m *member) value(key string) string {
@@ -168,8 +168,8 @@
 	return m.rows[key]
 }
 
-// start runs a site of n nodes until the test ends.
-func start(t *testing.T, store *memory, n int, options ...func(*Hub)) ([]*member, *network) {
+// start runs a site of n nodes until stopAtEnd is called.
+func start(t *testing.T, store *fakeStore, n int, options ...func(*Hub)) ([]*member, *network) {
 	net := &network{hubs: make(map[string]*Hub), dead: make(map[string]bool)}
 	var nodes []Node
 	for i := range n {
@@ -180,11 +180,11 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	for _, node := range nodes {
 		m := &member{}
-		table := &Table{Name: "t", Source: caller{node.Name, store}, Bound: bound, Logger: hclog.NewNullLogger(),
+		table := &Table{Name: "t", Source: storeClient{node.Name, store}, Bound: bound, Logger: hclog.NewNullLogger(),
 			Apply: func(rows map[string]Record, version revision.Revision) {
 				m.mu.Lock()
 				defer m.mu.Unlock()
-				m.back = m.back || version < m.last
+				m.wentBack = m.wentBack || version < m.last
 				m.last, m.rows = version, make(map[string]string)
 				for key, r := range rows {
 					m.rows[key] = string(r.Value)
@@ -201,15 +201,15 @@
 	}
 	stopAtEnd = func() {
 		cancel()
-		time.Sleep(5 * time.Second) // virtual; for what is under way to end
+		time.Sleep(5 * time.Second) // virtual; lets calls in progress end
 	}
 	return members, net
 }
 
-// calmSite runs a site of n nodes for a while; all have the value 1 of a.
-func calmSite(t *testing.T, n int) (*memory, []*member) {
+// startCalmSite runs a site of n nodes for a while. All nodes have the value 1 of key a.
+func startCalmSite(t *testing.T, n int) (*fakeStore, []*member) {
 	t.Helper()
-	store := newMemory()
+	store := newFakeStore()
 	store.put("a", "1")
 	members, _ := start(t, store, n)
 	inForce(t, members, "a", "1")
@@ -217,7 +217,7 @@
 	return store, members
 }
 
-// stopAtEnd ends the site of the running test.
+// stopAtEnd stops the site of the running test.
 var stopAtEnd func()
 
 // inForce waits until all members have the value, and returns the time it took.
@@ -238,7 +238,7 @@
 func TestChangesAreInForceWithinTheBound(t *testing.T) {
 	for _, size := range []int{3, 20} {
 		synctest.Test(t, func(t *testing.T) {
-			store := newMemory()
+			store := newFakeStore()
 			store.put("a", "1")
 			members, _ := start(t, store, size)
 			inForce(t, members, "a", "1")
@@ -246,13 +246,13 @@
 			for _, change := range [][2]string{{"a", "2"}, {"b", "1"}, {"a", ""}, {"b", "2"}} {
 				store.put(change[0], change[1])
 				if took := inForce(t, members, change[0], change[1]); took > bound/2 {
-					t.Errorf("%d nodes: in force after %v", size, took)
+					t.Errorf("%d nodes: the change arrived after %v", size, took)
 				}
-				store.other()
+				store.changeOtherTable()
 			}
 			for _, m := range members {
-				if m.back {
-					t.Errorf("%s went back", m.hub.Self.Name)
+				if m.wentBack {
+					t.Errorf("the version of %s went back", m.hub.Self.Name)
 				}
 			}
 			stopAtEnd()
@@ -260,10 +260,10 @@
 	}
 }
 
-// TestCallsDoNotGrowWithTheSite: two nodes read, however many there are.
+// TestCallsDoNotGrowWithTheSite checks that only the readers call the store, however many nodes there are.
 func TestCallsDoNotGrowWithTheSite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, members := calmSite(t, 26)
+		store, members := startCalmSite(t, 26)
 		store.mu.Lock()
 		before := store.calls
 		store.mu.Unlock()
@@ -271,21 +271,21 @@
 		store.mu.Lock()
 		calls := store.calls - before
 		store.mu.Unlock()
-		each := int(10*time.Second/members[0].hub.Tables[0].part(feedShare)) + 2
+		each := int(10*time.Second/members[0].hub.Tables[0].boundShare(feedShare)) + 2
 		if calls > Readers*each {
-			t.Errorf("%d calls in 10s, at most %d of %d readers", calls, Readers*each, Readers)
+			t.Errorf("%d calls in 10s, want at most %d with %d readers", calls, Readers*each, Readers)
 		}
 		stopAtEnd()
 	})
 }
 
-// TestFirstStartLeavesTheStoreToTheWatchers: the nodes of a large site that starts
-// read nothing themselves, and have the table soon; without watchers they read it.
+// TestFirstStartLeavesTheStoreToTheWatchers checks that the nodes of a large site that starts do not read the
+// store and soon have the table, and that they read it if they don't learn of the watchers.
 func TestFirstStartLeavesTheStoreToTheWatchers(t *testing.T) {
 	const size = 26
 	first := func(h *Hub) { h.FirstStart = true }
 	synctest.Test(t, func(t *testing.T) {
-		store := newMemory()
+		store := newFakeStore()
 		store.put("a", "1")
 		members, _ := start(t, store, size, first)
 		if took := inForce(t, members, "a", "1"); took > time.Second {
@@ -300,21 +300,20 @@
 		stopAtEnd()
 	})
 	synctest.Test(t, func(t *testing.T) {
-		store := newMemory()
+		store := newFakeStore()
 		store.put("a", "1")
 		unknown := func(h *Hub) { h.Known = func() bool { return false } }
 		members, _ := start(t, store, size, first, unknown)
-		if took := inForce(t, members, "a", "1"); took > firstWait+time.Second {
-			t.Errorf("nodes that nobody told of the others have the table after %v", took)
+		if took := inForce(t, members, "a", "1"); took > firstStartWait+time.Second {
+			t.Errorf("nodes that don't know the others have the table after %v", took)
 		}
 		stopAtEnd()
 	})
 }
 
-// withoutWatchers runs a site whose first watchers are harmed after a while. It returns the
-// nodes that don't watch.
-func withoutWatchers(t *testing.T, size, harmed int, harm func(*memory, *network, string)) (*memory, []*member) {
-	store := newMemory()
+// harmWatchers runs a site and then makes its first watchers fail. It returns the nodes that don't watch.
+func harmWatchers(t *testing.T, size, harmed int, harm func(*fakeStore, *network, string)) (*fakeStore, []*member) {
+	store := newFakeStore()
 	store.put("a", "1")
 	members, net := start(t, store, size)
 	inForce(t, members, "a", "1")
@@ -335,20 +334,20 @@
 	return store, rest
 }
 
-// TestNodesTurnToTheStoreWithoutFreshWatchers: watchers that die, or are cut off
-// from the store, don't hold the others back.
+// TestNodesTurnToTheStoreWithoutFreshWatchers checks that changes arrive within the bound if the watchers die
+// or are cut off from the store.
 func TestNodesTurnToTheStoreWithoutFreshWatchers(t *testing.T) {
-	for name, harm := range map[string]func(*memory, *network, string){
-		"dead":                   func(_ *memory, n *network, watcher string) { n.dead[watcher] = true },
-		"cut off from the store": func(s *memory, _ *network, watcher string) { s.cut[watcher] = true },
+	for name, harm := range map[string]func(*fakeStore, *network, string){
+		"dead":                   func(_ *fakeStore, n *network, watcher string) { n.dead[watcher] = true },
+		"cut off from the store": func(s *fakeStore, _ *network, watcher string) { s.cut[watcher] = true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				store, rest := withoutWatchers(t, 20, Watchers, harm)
-				time.Sleep(bound) // they are told to be fresh no more
+				store, rest := harmWatchers(t, 20, Watchers, harm)
+				time.Sleep(bound) // until the last heartbeats are too old
 				store.put("a", "2")
 				if took := inForce(t, rest, "a", "2"); took > bound {
-					t.Errorf("in force after %v without watchers", took)
+					t.Errorf("the change arrived after %v without watchers", took)
 				}
 				stopAtEnd()
 			})
@@ -356,10 +355,11 @@
 	}
 }
 
-// TestForgottenHistoryIsReadAnew on all nodes.
+// TestForgottenHistoryIsReadAnew checks that all nodes get changes that the store no longer has in its
+// history.
 func TestForgottenHistoryIsReadAnew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := newMemory()
+		store := newFakeStore()
 		store.put("a", "1")
 		members, _ := start(t, store, 20)
 		inForce(t, members, "a", "1")
@@ -372,7 +372,7 @@
 		store.put("a", "")
 		inForce(t, members, "a", "")
 		if took := inForce(t, members, "b", "1"); took > bound {
-			t.Errorf("in force after %v", took)
+			t.Errorf("the change arrived after %v", took)
 		}
 		stopAtEnd()
 	})
@@ -386,26 +386,26 @@
 	}
 	got, err := unpack(packed)
 	if err != nil || len(got) != 2 || got[0].Key != "a" || string(got[0].Value) != "x" || !got[1].Gone {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("unpacked records %+v, error %v", got, err)
 	}
 	if _, err := unpack([]byte("nonsense")); err == nil {
-		t.Error("nonsense was unpacked")
+		t.Error("invalid data was unpacked without an error")
 	}
 }
 
-// callsOf returns the calls that the store has got.
-func (m *memory) callsOf() int {
+// callCount returns the number of calls that the store has got.
+func (m *fakeStore) callCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.calls
 }
 
-// TestRestartedNodesReadOnce: the nodes of a site that lost power read the table at once
-// and leave its changes to the watchers while they wait to be told who those are.
+// TestRestartedNodesReadOnce checks that the nodes of a site that lost power read the table once at the
+// start, and leave the changes to the watchers while they wait to learn which nodes those are.
 func TestRestartedNodesReadOnce(t *testing.T) {
 	const size = 26
 	synctest.Test(t, func(t *testing.T) {
-		store := newMemory()
+		store := newFakeStore()
 		store.put("a", "1")
 		began := time.Now()
 		late := func(h *Hub) { h.Known = func() bool { return time.Since(began) > bound/2 } }
@@ -418,64 +418,64 @@
 			time.Sleep(bound / 20)
 		}
 		time.Sleep(bound / 2)
-		if calls := store.callsOf(); calls > size+10*Watchers {
+		if calls := store.callCount(); calls > size+10*Watchers {
 			t.Errorf("%d calls by %d nodes of which %d watch", calls, size, Watchers)
 		}
 		store.put("a", "2")
 		if took := inForce(t, members, "a", "2"); took > bound/2 {
-			t.Errorf("in force after %v", took)
+			t.Errorf("the change arrived after %v", took)
 		}
 		stopAtEnd()
 	})
 }
 
-// TestNodesSpareAStoreThatIsDown: those that don't watch ask it now and then, beyond some
-// size of the site all together no more often, and all have what changed within the bound
-// after its return.
+// TestNodesSpareAStoreThatIsDown checks that nodes that don't watch rarely ask a store that is down, that the
+// total rate stops growing beyond some size of the site, and that all nodes have new changes within the bound
+// after the store's return.
 func TestNodesSpareAStoreThatIsDown(t *testing.T) {
 	const away = 10 * time.Second
 	for size, most := range map[int]int{
-		// A watcher asks each 0.6 s and the others each 1.2 s, on average and at most.
+		// On average a watcher asks every 0.6 s at most and each other node every 1.2 s.
 		26:  (26 + Watchers) * int(away/(bound*6/10)),
-		200: 200 + int(away/restEach) + Watchers*int(away/retryMost)*2,
+		200: 200 + int(away/backoffPerNode) + Watchers*int(away/maxRetryPause)*2,
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			store, members := calmSite(t, size)
+			store, members := startCalmSite(t, size)
 			store.mu.Lock()
 			for _, m := range members {
 				store.refused[m.hub.Self.Name] = true
 			}
 			store.mu.Unlock()
-			before := store.callsOf()
+			before := store.callCount()
 			time.Sleep(away)
-			if calls := store.callsOf() - before; calls > most {
-				t.Errorf("%d calls by %d nodes in %v, at most %d", calls, size, away, most)
+			if calls := store.callCount() - before; calls > most {
+				t.Errorf("%d calls by %d nodes in %v, want at most %d", calls, size, away, most)
 			}
 			store.mu.Lock()
 			clear(store.refused)
 			store.mu.Unlock()
 			store.put("a", "2")
 			if took := inForce(t, members, "a", "2"); took > bound {
-				t.Errorf("%d nodes: in force %v after the store's return", size, took)
+				t.Errorf("%d nodes: the change arrived %v after the store's return", size, took)
 			}
 			stopAtEnd()
 		})
 	}
 }
 
-// TestStandbysReadWithoutReaders: readers that die, or that the store turns away, are
-// replaced by the other watchers before the rest turns to the store.
+// TestStandbysReadWithoutReaders checks that readers that die, or that the store refuses, are replaced by the
+// other watchers before the other nodes turn to the store.
 func TestStandbysReadWithoutReaders(t *testing.T) {
-	for name, harm := range map[string]func(*memory, *network, string){
-		"dead":        func(_ *memory, n *network, reader string) { n.dead[reader] = true },
-		"turned away": func(s *memory, _ *network, reader string) { s.refused[reader] = true },
+	for name, harm := range map[string]func(*fakeStore, *network, string){
+		"dead":        func(_ *fakeStore, n *network, reader string) { n.dead[reader] = true },
+		"turned away": func(s *fakeStore, _ *network, reader string) { s.refused[reader] = true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				store, rest := withoutWatchers(t, 26, Readers, harm)
+				store, rest := harmWatchers(t, 26, Readers, harm)
 				store.put("a", "2")
 				if took := inForce(t, rest, "a", "2"); took > bound {
-					t.Errorf("in force after %v without readers", took)
+					t.Errorf("the change arrived after %v without readers", took)
 				}
 				stopAtEnd()
 			})
