--- a/pkg/admission/admission.go
+++ b/pkg/admission/admission.go
@@ -1,14 +1,15 @@
-// Package admission decides which requests go to servers that are crowded, and when.
+// Package admission decides which requests go to overloaded servers, and when.
 //
-// It answers this load: a model whose demand rises has two or three replicas and gets no more
-// for longer than callers wait, while its requests come in at dozens of nodes, each of which sees
-// a few. Prompts are read one after the other, so that each one that is let in delays all behind
-// it: one that can no longer be in time makes those behind it late as well.
+// It is made for this load: the demand for a model rises beyond its two or three replicas, and it
+// gets no more replicas for longer than callers wait. Its requests arrive at dozens of nodes, each
+// of which sees only a few. A server reads prompts one after the other, so that each admitted
+// prompt delays all behind it. A prompt that can no longer be served in time makes those behind it
+// late as well.
 //
-// Model is the belief of the one node that is asked: what runs at the servers, what of its
-// prompts is still to be read and how fast each server reads. Ledger is the part of every node:
-// what it runs itself, and for which models it asks. Neither knows of messages; times are
-// arguments.
+// Model is the state of the one node that is asked, the lease holder: which requests run on the
+// servers, how much of their prompts is still to be read, and how fast each server reads. Ledger is
+// kept by every node: what the node itself runs, and for which models it asks. Neither of them
+// handles messages, and times are arguments.
 package admission
 
 import (
@@ -17,57 +18,57 @@
 	"martenwheel.dev/pkg/prompt"
 )
 
-// Place names a request that a node has at a server, or wants to have.
+// Place identifies a request that has, or wants, a place on a server.
 type Place struct {
-	Node string // of one life of the node
-	ID   uint64 // the node's count
+	Node string // incarnation of the node
+	ID   uint64 // counted by the node
 }
 
-// Key names a model of a service, which servers hold with all its adapters.
+// Key identifies a model of a service. A server holds the model with all its adapters.
 type Key struct {
 	Service string
 	Model   string
 }
 
-// Work is what a request brings to a server.
+// Work is the load that a request brings to a server.
 type Work struct {
-	Tokens int           // of its prompt
-	Out    int           // likely tokens of the answer
-	Parts  []prompt.Part // of its prompt, in order; the last one is the request's own
+	Tokens int           // in the prompt
+	Out    int           // expected tokens of the answer
+	Parts  []prompt.Part // parts of the prompt, in order; the last one belongs to this request alone
 }
 
-// memory returns what the work takes of a server's memory, in tokens.
+// memory returns the tokens of a server's cache that the work takes.
 func (w *Work) memory() int { return w.Tokens + w.Out }
 
 // Request asks for a place. Durations count from when it is asked.
 type Request struct {
 	Place    Place
 	Key      Key
-	Need     string // the model, or the model and the adapter; prompts are shared under the same one
+	Need     string // the model, or the model and the adapter; prompt parts are shared among requests with the same need
 	Work     Work
-	Rank     int           // 0 is the most urgent
-	Target   time.Duration // until its first event is late; below zero: it is
-	Patience time.Duration // until its caller leaves
-	Left     time.Duration // until its deadline
-	Waited   time.Duration // since it came
-	Servers  []string      // that may get it, the one that its node would choose first
+	Rank     int           // priority; 0 is the most urgent
+	Target   time.Duration // time until its first event is late; negative if it is late already
+	Patience time.Duration // time until its caller gives up
+	Left     time.Duration // time until its deadline
+	Waited   time.Duration // time since it arrived
+	Servers  []string      // servers that may get it; its node's first choice comes first
 }
 
-// routeTarget returns the target of the request's route: what is left of it, and what has passed.
+// routeTarget returns the target of the request's route: what is left of it plus the time waited.
 func (r *Request) routeTarget() time.Duration { return r.Target + r.Waited }
 
-// Kind is what is to be done with a request.
+// Kind is the kind of a decision on a request.
 type Kind uint8
 
 // The kinds of verdicts.
 const (
-	Stand  Kind = iota // the node chooses as it does without anybody's word
+	Stand  Kind = iota // not decided: the node chooses a server by itself
 	Go                 // send it to the server
 	Wait               // ask again after a while
-	Refuse             // it can't be served as it should; come back after a while
+	Refuse             // it can't be served in time; come back later
 )
 
-// String names the kind in logs.
+// String returns the name that is used in logs.
 func (k Kind) String() string {
 	switch k {
 	case Go:
@@ -81,70 +82,71 @@
 	}
 }
 
-// Verdict is what was decided on a request.
+// Verdict is the decision on a request.
 type Verdict struct {
 	Kind   Kind
-	Server string        // to go to
-	First  time.Duration // predicted time to the first event, of one that goes or waits
-	After  time.Duration // to wait, or to stay away
-	Age    time.Duration // of the last news of the server
+	Server string        // server to send the request to
+	First  time.Duration // predicted time to the first event, if the request goes or waits
+	After  time.Duration // how long to wait, or to stay away
+	Age    time.Duration // time since the last report on the server
 }
 
-// Report is what a node tells of a request that it has at a server. Durations are ages when it
-// is told.
+// Report is a node's report on a request that it has on a server. Durations are as of the time of
+// the report.
 type Report struct {
 	ID      uint64
 	Key     Key
 	Need    string
-	Server  string // empty: it got no place
+	Server  string // empty if the request got no place
 	Work    Work
 	Rank    int
-	Target  time.Duration // of its route
-	Sent    time.Duration // since it was sent
-	First   time.Duration // from when it was sent to its first event; zero: none came yet
-	Left    time.Duration // until its deadline
+	Target  time.Duration // target of the request's route
+	Sent    time.Duration // time since the request was sent
+	First   time.Duration // time from sending to the first event; zero if none came yet
+	Left    time.Duration // time until its deadline
 	Ended   bool
-	Granted bool // by the word of the one who is asked now
+	Granted bool // whether the current holder granted the place
 }
 
-// Bounds of what is believed; what lies beyond is a fault of the node that tells it.
+// Bounds of plausible values. Values beyond them are errors of the reporting node.
 const (
-	mostTokens  = 1 << 24          // of a prompt or an answer
-	mostTime    = 10 * time.Minute // for any duration of a request, and for ages
-	mostServers = 64               // named by one request
-	mostParts   = 64               // of one prompt
+	maxTokens   = 1 << 24          // of a prompt or an answer
+	maxDuration = 10 * time.Minute // for any duration of a request, and for ages
+	maxServers  = 64               // named in one request
+	maxParts    = 64               // of one prompt
 )
 
-// valid tells whether the sizes can be believed.
+// valid reports whether the sizes are plausible.
 func (w *Work) valid() bool {
-	if w.Tokens < 0 || w.Tokens > mostTokens || w.Out < 0 || w.Out > mostTokens || len(w.Parts) > mostParts {
+	if w.Tokens < 0 || w.Tokens > maxTokens || w.Out < 0 || w.Out > maxTokens || len(w.Parts) > maxParts {
 		return false
 	}
 	for _, p := range w.Parts {
-		if p.Tokens < 0 || p.Tokens > mostTokens {
+		if p.Tokens < 0 || p.Tokens > maxTokens {
 			return false
 		}
 	}
 	return true
 }
 
-// plausible tells whether durations of a request can be believed; those that are over are negative.
+// plausible reports whether the durations of a request are plausible. A duration whose end has
+// passed is negative.
 func plausible(list ...time.Duration) bool {
 	for _, d := range list {
-		if d < -mostTime || d > mostTime {
+		if d < -maxDuration || d > maxDuration {
 			return false
 		}
 	}
 	return true
 }
 
-// Valid tells whether a request can be decided on.
+// Valid reports whether the request's values are plausible.
 func (r *Request) Valid() bool {
 	return r.Work.valid() && r.Place.Node != "" && r.Key.Model != "" && r.Rank >= 0 && len(r.Servers) > 0 &&
-		len(r.Servers) <= mostServers && plausible(r.Target, r.Patience, r.Left, r.Waited)
+		len(r.Servers) <= maxServers && plausible(r.Target, r.Patience, r.Left, r.Waited)
 }
 
-// Valid tells whether a report can be believed.
+// Valid reports whether the report's values are plausible.
 func (r *Report) Valid() bool {
 	return r.Work.valid() && r.Key.Model != "" && r.Rank >= 0 && r.Sent >= 0 && r.First >= 0 &&
 		plausible(r.Target, r.Sent, r.First, r.Left)
--- a/pkg/admission/ledger.go
+++ b/pkg/admission/ledger.go
@@ -7,82 +7,82 @@
 	"time"
 )
 
-// What a node does without the word of the one who is asked.
+// What a node does while the holder does not answer.
 const (
-	// heardTime is how long models count as crowded after the last word of it.
-	heardTime = 3 * time.Second
-	// silentTime is how long nobody is asked after a question was not answered.
-	silentTime = 300 * time.Millisecond
-	// refusalTime is how long a refusal holds while nobody answers.
+	// overloadTTL is how long models count as overloaded after the holder's last report.
+	overloadTTL = 3 * time.Second
+	// unansweredPause is how long the holder is not asked after a question was not answered.
+	unansweredPause = 300 * time.Millisecond
+	// refusalTime is how long a refusal applies while the holder does not answer.
 	refusalTime = 500 * time.Millisecond
 )
 
-// MostReports bounds what a node tells at once; it has far fewer requests at a time.
-const MostReports = 512
+// MaxReports bounds the reports in one message. A node has far fewer requests at a time.
+const MaxReports = 512
 
-// AgainAfter is when a request comes back that is refused because one like it was: by then
-// somebody answers again, or nobody is asked.
-const AgainAfter = time.Second
+// RetryAfter is when to come back for a request that is refused because a similar one was refused.
+// By then the holder answers again, or requests are sent without asking.
+const RetryAfter = time.Second
 
 // Standing is what a node does with a request.
 type Standing uint8
 
 // The standings.
 const (
-	Free    Standing = iota // the node chooses by itself
-	Ask                     // ask for a place
-	Silent                  // nobody answers: the node chooses by itself
-	Refused                 // nobody answers, and one like it was refused a moment ago
+	Free    Standing = iota // the node chooses a server by itself
+	Ask                     // ask the holder for a place
+	Silent                  // the holder does not answer: the node chooses a server by itself
+	Refused                 // the holder does not answer, and a similar request was refused a moment ago
 )
 
-// refusal is the last one for a model.
+// refusal is the last refusal for a model.
 type refusal struct {
 	at     time.Time
 	rank   int
-	target time.Duration // of its route
+	target time.Duration // target of the request's route
 }
 
-// Ledger is what one node has at servers, and for which models it asks. The zero value is ready
-// and asks for none. Safe for concurrent use.
+// Ledger has the requests of one node and the models for which it asks. The zero value is ready and
+// asks for no model. It is safe for concurrent use.
 type Ledger struct {
-	mu      sync.Mutex
-	count   uint64
-	open    map[uint64]*entry // by Place.ID
-	crowded []Key
-	heard   time.Time // when it was last told which models are crowded
-	silent  time.Time // until when nobody is asked
-	refused map[Key]refusal
+	mu          sync.Mutex
+	count       uint64
+	requests    map[uint64]*entry // by Place.ID
+	overloaded  []Key
+	lastHeard   time.Time // when the holder last reported the overloaded models
+	silentUntil time.Time // the holder is not asked before this time
+	refused     map[Key]refusal
 }
 
 // entry is a request of this node.
 type entry struct {
-	report Report
-	dies   time.Time // its deadline
-	sent   time.Time
-	told   bool // since it last changed
+	report   Report
+	deadline time.Time // deadline of the request
+	sent     time.Time
+	reported bool // whether the last change was reported
 }
 
-// Told takes in which models are crowded.
-func (l *Ledger) Told(now time.Time, crowded []Key) {
+// UpdateOverloaded records the holder's report of the overloaded models.
+func (l *Ledger) UpdateOverloaded(now time.Time, overloaded []Key) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for key := range l.refused {
-		if !slices.Contains(crowded, key) {
+		if !slices.Contains(overloaded, key) {
 			delete(l.refused, key)
 		}
 	}
-	l.crowded, l.heard = crowded, now
-	l.silent = time.Time{}
+	l.overloaded, l.lastHeard = overloaded, now
+	l.silentUntil = time.Time{}
 }
 
-// Look tells what to do with a request.
-func (l *Ledger) Look(now time.Time, r *Request) Standing {
+// Check returns what to do with a request.
+func (l *Ledger) Check(now time.Time, r *Request) Standing {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch last, found := l.refused[r.Key]; {
-	case !l.isCrowded(now, r.Key):
+	case !l.isOverloaded(now, r.Key):
 		return Free
-	case !now.Before(l.silent):
+	case !now.Before(l.silentUntil):
 		return Ask
 	case found && now.Sub(last.at) < refusalTime && r.Rank >= last.rank && r.routeTarget() <= last.target:
 		return Refused
@@ -90,11 +90,11 @@
 	return Silent
 }
 
-// Decided notes what was decided on a request.
+// Decided records the holder's decision on a request.
 func (l *Ledger) Decided(now time.Time, r *Request, v Verdict) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.silent = time.Time{}
+	l.silentUntil = time.Time{}
 	switch v.Kind {
 	case Refuse:
 		if l.refused == nil {
@@ -106,115 +106,117 @@
 	}
 }
 
-// isCrowded tells whether nodes ask for a model by the last word on it. The caller holds mu.
-func (l *Ledger) isCrowded(now time.Time, key Key) bool {
-	return now.Sub(l.heard) <= heardTime && slices.Contains(l.crowded, key)
+// isOverloaded reports whether nodes ask for a model, by the holder's last report. The caller holds
+// mu.
+func (l *Ledger) isOverloaded(now time.Time, key Key) bool {
+	return now.Sub(l.lastHeard) <= overloadTTL && slices.Contains(l.overloaded, key)
 }
 
-// Unanswered notes that the one who was asked did not answer.
+// Unanswered records that the holder did not answer.
 func (l *Ledger) Unanswered(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.silent = now.Add(silentTime)
+	l.silentUntil = now.Add(unansweredPause)
 }
 
-// Next returns the ID of a request that comes.
-func (l *Ledger) Next() uint64 {
+// NextID returns the ID for a new request.
+func (l *Ledger) NextID() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.count++
 	return l.count
 }
 
-// Sent notes that a request goes to a server: r tells of it, with the durations of now. It reports
-// whether the news is to be told at once, as the request's model is crowded.
+// Sent records that a request is sent to a server. The durations in r are as of now. It returns
+// whether to report this at once because the request's model is overloaded.
 func (l *Ledger) Sent(now time.Time, r Report) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.open == nil {
-		l.open = make(map[uint64]*entry)
+	if l.requests == nil {
+		l.requests = make(map[uint64]*entry)
 	}
-	l.open[r.ID] = &entry{report: r, sent: now, dies: now.Add(r.Left)}
-	return !r.Granted && l.isCrowded(now, r.Key)
+	l.requests[r.ID] = &entry{report: r, sent: now, deadline: now.Add(r.Left)}
+	return !r.Granted && l.isOverloaded(now, r.Key)
 }
 
-// Answered notes that the first event of a request came. It reports whether the news is to be
-// told at once.
+// Answered records that the first event of a request arrived. It returns whether to report this at
+// once.
 func (l *Ledger) Answered(now time.Time, id uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e := l.open[id]
+	e := l.requests[id]
 	if e == nil || e.report.First > 0 {
 		return false
 	}
 	e.report.First = max(now.Sub(e.sent), 1)
-	e.told = false
-	return l.isCrowded(now, e.report.Key)
+	e.reported = false
+	return l.isOverloaded(now, e.report.Key)
 }
 
-// Ended notes that a request has ended at its server, or that it needs no place any more. It
-// reports whether the news is to be told at once.
+// Ended records that a request has ended on its server, or needs no place any more. It returns
+// whether to report this at once.
 func (l *Ledger) Ended(now time.Time, id uint64, key Key) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e := l.open[id]
+	e := l.requests[id]
 	switch {
-	case e != nil && len(l.open) > MostReports: // nobody was told for long
-		delete(l.open, id)
+	case e != nil && len(l.requests) > MaxReports: // nothing was reported for long
+		delete(l.requests, id)
 		return false
 	case e != nil:
 		e.report.Ended = true
-	case !l.isCrowded(now, key) || len(l.open) >= MostReports:
+	case !l.isOverloaded(now, key) || len(l.requests) >= MaxReports:
 		return false
-	default: // it was told to wait: no server has it
-		if l.open == nil {
-			l.open = make(map[uint64]*entry)
+	default: // it was told to wait and is on no server
+		if l.requests == nil {
+			l.requests = make(map[uint64]*entry)
 		}
-		e = &entry{report: Report{ID: id, Key: key, Ended: true}, sent: now, dies: now}
-		l.open[id] = e
+		e = &entry{report: Report{ID: id, Key: key, Ended: true}, sent: now, deadline: now}
+		l.requests[id] = e
 	}
-	e.told = false
-	return l.isCrowded(now, key)
+	e.reported = false
+	return l.isOverloaded(now, key)
 }
 
-// News returns what was not told yet, MostReports at most. An end is told once: if that is lost,
-// the next Whole makes up for it, which lacks the request.
-func (l *Ledger) News(now time.Time) []Report { return l.take(now, true) }
+// NewReports returns the reports not sent yet, at most MaxReports. The end of a request is reported
+// once. If that report is lost, the next AllReports makes up for it, as the request is missing
+// there.
+func (l *Ledger) NewReports(now time.Time) []Report { return l.collect(now, true) }
 
-// Whole returns all that the node has, MostReports at most.
-func (l *Ledger) Whole(now time.Time) []Report { return l.take(now, false) }
+// AllReports returns reports on all requests of the node, at most MaxReports.
+func (l *Ledger) AllReports(now time.Time) []Report { return l.collect(now, false) }
 
-// take returns what was not told yet, or all, with the durations of now.
-func (l *Ledger) take(now time.Time, news bool) []Report {
+// collect returns the reports not sent yet, or all reports, with durations as of now.
+func (l *Ledger) collect(now time.Time, onlyNew bool) []Report {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var list []Report
-	for id, e := range l.open {
-		if news && e.told || len(list) == MostReports {
+	for id, e := range l.requests {
+		if onlyNew && e.reported || len(list) == MaxReports {
 			continue
 		}
-		e.told = true
+		e.reported = true
 		r := e.report
-		r.Sent, r.Left = now.Sub(e.sent), max(e.dies.Sub(now), 0)
+		r.Sent, r.Left = now.Sub(e.sent), max(e.deadline.Sub(now), 0)
 		list = append(list, r)
 		if r.Ended {
-			delete(l.open, id)
+			delete(l.requests, id)
 		}
 	}
 	slices.SortFunc(list, func(a, b Report) int { return cmp.Compare(a.ID, b.ID) })
 	return list
 }
 
-// Return takes back reports that could not be told.
+// Return takes back reports that could not be sent.
 func (l *Ledger) Return(now time.Time, list []Report) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, r := range list {
-		switch e := l.open[r.ID]; {
+		switch e := l.requests[r.ID]; {
 		case e != nil:
-			e.told = false
-		case r.Server != "" && len(l.open) < MostReports:
-			l.open[r.ID] = &entry{report: r, sent: now.Add(-r.Sent), dies: now.Add(r.Left)}
+			e.reported = false
+		case r.Server != "" && len(l.requests) < MaxReports:
+			l.requests[r.ID] = &entry{report: r, sent: now.Add(-r.Sent), deadline: now.Add(r.Left)}
 		}
 	}
 }
--- a/pkg/admission/ledger_test.go
+++ b/pkg/admission/ledger_test.go
@@ -5,32 +5,33 @@
 	"time"
 )
 
-// TestALedgerAsksForWhatItWasToldOf, and for a while only.
-func TestALedgerAsksForWhatItWasToldOf(t *testing.T) {
+// TestLedgerAsksForOverloadedModels: a node asks for models that the holder reported as overloaded,
+// until the report is too old.
+func TestLedgerAsksForOverloadedModels(t *testing.T) {
 	var l Ledger
-	r := ask(1, 1, 6000, time.Second, 4*time.Second)
-	if got := l.Look(began, r); got != Free {
-		t.Errorf("told of nothing it is %d", got)
+	r := newRequest(1, 1, 6000, time.Second, 4*time.Second)
+	if got := l.Check(testStart, r); got != Free {
+		t.Errorf("without any report the standing is %d, want Free", got)
 	}
-	l.Told(began, []Key{r.Key})
-	if got := l.Look(began, r); got != Ask {
-		t.Errorf("of a crowded model it is %d", got)
+	l.UpdateOverloaded(testStart, []Key{r.Key})
+	if got := l.Check(testStart, r); got != Ask {
+		t.Errorf("for an overloaded model the standing is %d, want Ask", got)
 	}
-	if got := l.Look(began.Add(heardTime+time.Millisecond), r); got != Free {
-		t.Errorf("by an old word it is %d", got)
+	if got := l.Check(testStart.Add(overloadTTL+time.Millisecond), r); got != Free {
+		t.Errorf("after an old report the standing is %d, want Free", got)
 	}
 }
 
-// TestTheLastWordHoldsForAMoment while nobody answers: for requests like the one that was refused
-// and for less urgent ones.
-func TestTheLastWordHoldsForAMoment(t *testing.T) {
+// TestRefusalHoldsBriefly: while the holder does not answer, a refusal applies for a moment to
+// similar and to less urgent requests.
+func TestRefusalHoldsBriefly(t *testing.T) {
 	var l Ledger
-	r := ask(1, 1, 6000, time.Second, 4*time.Second)
+	r := newRequest(1, 1, 6000, time.Second, 4*time.Second)
 	urgent, patient := *r, *r
 	urgent.Rank, patient.Target = 0, 3*time.Second
-	l.Told(began, []Key{r.Key})
-	l.Decided(began, r, Verdict{Kind: Refuse})
-	l.Unanswered(began)
+	l.UpdateOverloaded(testStart, []Key{r.Key})
+	l.Decided(testStart, r, Verdict{Kind: Refuse})
+	l.Unanswered(testStart)
 	for _, c := range []struct {
 		name string
 		r    *Request
@@ -40,73 +41,73 @@
 		{"one like it", r, 100 * time.Millisecond, Refused},
 		{"a more urgent one", &urgent, 100 * time.Millisecond, Silent},
 		{"one with more time", &patient, 100 * time.Millisecond, Silent},
-		{"once somebody may answer again", r, silentTime, Ask},
+		{"once somebody may answer again", r, unansweredPause, Ask},
 	} {
-		if got := l.Look(began.Add(c.at), c.r); got != c.want {
+		if got := l.Check(testStart.Add(c.at), c.r); got != c.want {
 			t.Errorf("%s: %d, want %d", c.name, got, c.want)
 		}
 	}
-	l.Unanswered(began.Add(refusalTime))
-	if got := l.Look(began.Add(refusalTime), r); got != Silent {
-		t.Errorf("half a second after the last word: %d", got)
+	l.Unanswered(testStart.Add(refusalTime))
+	if got := l.Check(testStart.Add(refusalTime), r); got != Silent {
+		t.Errorf("refusalTime after the last verdict the standing is %d, want Silent", got)
 	}
 }
 
-// TestALedgerTellsAllOfWhatItHas: changes once, everything when asked to, and again what could
-// not be told.
-func TestALedgerTellsAllOfWhatItHas(t *testing.T) {
+// TestLedgerReportsAllRequests: changes are reported once, all requests on demand, and reports that
+// could not be sent are sent again.
+func TestLedgerReportsAllRequests(t *testing.T) {
 	var l Ledger
-	r := ask(l.Next(), 1, 6000, time.Second, 4*time.Second)
-	l.Told(began, []Key{r.Key})
-	if !l.Sent(began, report(r, "s0", 0, 0, false)) {
-		t.Error("what was sent without a word is not waited for")
+	r := newRequest(l.NextID(), 1, 6000, time.Second, 4*time.Second)
+	l.UpdateOverloaded(testStart, []Key{r.Key})
+	if !l.Sent(testStart, report(r, "s0", 0, 0, false)) {
+		t.Error("a request sent without a verdict is not reported at once")
 	}
-	if got := l.News(began); len(got) != 1 || got[0].First != 0 {
-		t.Errorf("news %+v", got)
+	if got := l.NewReports(testStart); len(got) != 1 || got[0].First != 0 {
+		t.Errorf("new reports %+v, want one without a first event", got)
 	}
-	if got := l.News(began); len(got) != 0 {
-		t.Errorf("the same news %+v", got)
+	if got := l.NewReports(testStart); len(got) != 0 {
+		t.Errorf("the same reports again: %+v", got)
 	}
-	l.Answered(began.Add(300*time.Millisecond), r.Place.ID)
-	l.Answered(began.Add(500*time.Millisecond), r.Place.ID)
-	if got := l.News(began.Add(time.Second)); len(got) != 1 || got[0].First != 300*time.Millisecond || got[0].Sent != time.Second {
-		t.Errorf("news of an answer %+v", got)
+	l.Answered(testStart.Add(300*time.Millisecond), r.Place.ID)
+	l.Answered(testStart.Add(500*time.Millisecond), r.Place.ID)
+	if got := l.NewReports(testStart.Add(time.Second)); len(got) != 1 || got[0].First != 300*time.Millisecond || got[0].Sent != time.Second {
+		t.Errorf("new reports after an answer: %+v", got)
 	}
-	if got := l.Whole(began); len(got) != 1 {
-		t.Errorf("all it has: %+v", got)
+	if got := l.AllReports(testStart); len(got) != 1 {
+		t.Errorf("all reports: %+v, want one", got)
 	}
-	l.Ended(began, r.Place.ID, r.Key)
-	ended := l.News(began)
+	l.Ended(testStart, r.Place.ID, r.Key)
+	ended := l.NewReports(testStart)
 	if len(ended) != 1 || !ended[0].Ended {
-		t.Errorf("news of the end %+v", ended)
+		t.Errorf("new reports after the end: %+v", ended)
 	}
-	l.Return(began, ended)
-	if got := l.Whole(began); len(got) != 1 || !got[0].Ended {
-		t.Errorf("the end that could not be told: %+v", got)
+	l.Return(testStart, ended)
+	if got := l.AllReports(testStart); len(got) != 1 || !got[0].Ended {
+		t.Errorf("after the end could not be reported: %+v", got)
 	}
-	if got := l.Whole(began); len(got) != 0 {
-		t.Errorf("after its end %+v", got)
+	if got := l.AllReports(testStart); len(got) != 0 {
+		t.Errorf("reports after the end: %+v", got)
 	}
-	l.Ended(began, 77, r.Key)
-	if got := l.News(began); len(got) != 1 || got[0].Server != "" || !got[0].Ended {
-		t.Errorf("of one that waited in vain %+v", got)
+	l.Ended(testStart, 77, r.Key)
+	if got := l.NewReports(testStart); len(got) != 1 || got[0].Server != "" || !got[0].Ended {
+		t.Errorf("reports on a request that never got a place: %+v", got)
 	}
 }
 
-// TestALedgerThatNobodyAsksIsBounded: while there is nobody to tell, what has ended is not kept for ever.
-func TestALedgerThatNobodyAsksIsBounded(t *testing.T) {
+// TestUnreadLedgerIsBounded: while nobody collects reports, ended requests must not accumulate.
+func TestUnreadLedgerIsBounded(t *testing.T) {
 	var l Ledger
-	for range 10 * MostReports {
-		r := ask(l.Next(), 1, 6000, time.Second, 4*time.Second)
-		l.Sent(began, report(r, "s0", 0, 0, false))
-		l.Ended(began, r.Place.ID, r.Key)
-	}
-	if n := len(l.open); n > MostReports {
-		t.Errorf("it keeps %d requests", n)
-	}
-	r := ask(l.Next(), 1, 6000, time.Second, 4*time.Second)
-	l.Sent(began, report(r, "s0", 0, 0, false))
-	if _, found := l.open[r.Place.ID]; !found {
-		t.Error("a request that runs is not kept")
+	for range 10 * MaxReports {
+		r := newRequest(l.NextID(), 1, 6000, time.Second, 4*time.Second)
+		l.Sent(testStart, report(r, "s0", 0, 0, false))
+		l.Ended(testStart, r.Place.ID, r.Key)
+	}
+	if n := len(l.requests); n > MaxReports {
+		t.Errorf("the ledger keeps %d requests, want at most MaxReports", n)
+	}
+	r := newRequest(l.NextID(), 1, 6000, time.Second, 4*time.Second)
+	l.Sent(testStart, report(r, "s0", 0, 0, false))
+	if _, found := l.requests[r.Place.ID]; !found {
+		t.Error("a running request is not kept")
 	}
 }
--- a/pkg/admission/model.go
+++ b/pkg/admission/model.go
@@ -6,56 +6,56 @@
 	"time"
 )
 
-// ways are parts of the decision that tests take away; the zero value is the one in use.
-type ways struct {
-	patience bool // go by when callers leave, not by when they are late
-	noMemory bool // no bound by servers' memory
-	noRoom   bool // none is kept for the more urgent
+// ablation switches off parts of the decision in tests. The zero value is what production uses.
+type ablation struct {
+	byPatience bool // go by when callers give up, not by when requests are late
+	noMemory   bool // ignore the bound by the servers' memory
+	noHeadroom bool // keep no headroom for more urgent requests
 }
 
-// Model is what one node believes of the crowded servers. Set the fields before the first use.
-// Safe for concurrent use.
+// Model is the holder's knowledge of the overloaded servers. Set the fields before the first use.
+// It is safe for concurrent use.
 type Model struct {
-	// Engine tells of a server, false if there is no such one.
+	// Engine returns the properties of a server, and false if the server is unknown.
 	Engine func(server string) (Engine, bool)
 
 	mu         sync.Mutex
-	ways       ways
-	learnUntil time.Time // before it nothing is decided
+	ablation   ablation
+	learnUntil time.Time // nothing is decided before this time
 	servers    map[string]*server
-	places     map[string]map[uint64]*held // by node
+	places     map[string]map[uint64]*placeAt // by node
 	waiting    map[Place]*waiter
-	crowds     map[Key]*crowd
+	overloads  map[Key]*overload
 }
 
-// held is a place and where it is.
-type held struct {
+// placeAt is a place with its server.
+type placeAt struct {
 	*place
 	server string
 }
 
-// grantedAfter tells whether the place was granted here after its request was sent at a time: news
-// of that send is late, then.
+// grantedAfter reports whether the place was granted here after its request was sent at the given
+// time. A report on that earlier send is outdated.
 func (p *place) grantedAfter(sent time.Time) bool {
 	return p.expected > 0 && p.sent.Sub(sent) > time.Millisecond
 }
 
-// learnTime is the time within which a model that begins hears from all nodes what runs.
+// learnTime is the time within which all nodes report to a new holder what runs.
 const learnTime = 1200 * time.Millisecond
 
-// Begin forgets everything, as this node begins to decide: what it believes is older than what
-// another one knew until now. Nothing is decided before all nodes had time to tell what they have.
+// Begin resets the model when this node begins to decide, since its knowledge is older than that of
+// the previous holder. Nothing is decided before all nodes had time to report their requests.
 func (m *Model) Begin(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.learnUntil = now.Add(learnTime)
 	m.servers = make(map[string]*server)
-	m.places = make(map[string]map[uint64]*held)
+	m.places = make(map[string]map[uint64]*placeAt)
 	m.waiting = make(map[Place]*waiter)
-	m.crowds = make(map[Key]*crowd)
+	m.overloads = make(map[Key]*overload)
 }
 
-// server returns a server, nil if there is no such one. The caller holds mu.
+// server returns the state of a server, nil if the server is unknown. The caller holds mu.
 func (m *Model) server(name string) *server {
 	engine, known := m.Engine(name)
 	if !known {
@@ -70,19 +70,19 @@
 	return s
 }
 
-// put notes a place at a server. The caller holds mu.
-func (m *Model) put(name string, s *server, p *place) {
+// addPlace records a place on a server. The caller holds mu.
+func (m *Model) addPlace(name string, s *server, p *place) {
 	s.add(p)
 	of := m.places[p.key.Node]
 	if of == nil {
-		of = make(map[uint64]*held)
+		of = make(map[uint64]*placeAt)
 		m.places[p.key.Node] = of
 	}
-	of[p.key.ID] = &held{p, name}
+	of[p.key.ID] = &placeAt{p, name}
 }
 
-// drop forgets a place, or a wait for one. The caller holds mu.
-func (m *Model) drop(key Place) {
+// forget removes a place, or a waiter. The caller holds mu.
+func (m *Model) forget(key Place) {
 	if w := m.waiting[key]; w != nil {
 		delete(m.waiting, key)
 		if s := m.servers[w.server]; s != nil {
@@ -90,12 +90,12 @@
 		}
 	}
 	if h := m.places[key.Node][key.ID]; h != nil {
-		m.free(h)
+		m.freePlace(h)
 	}
 }
 
-// free forgets a place. The caller holds mu.
-func (m *Model) free(h *held) {
+// freePlace removes a place. The caller holds mu.
+func (m *Model) freePlace(h *placeAt) {
 	delete(m.places[h.key.Node], h.key.ID)
 	if len(m.places[h.key.Node]) == 0 {
 		delete(m.places, h.key.Node)
@@ -105,113 +105,113 @@
 	}
 }
 
-// lostTime is the time after which a place that its node no longer tells of counts as free: a
-// verdict that is on its way to the node may cross what the node tells.
-const lostTime = 1500 * time.Millisecond
+// unreportedGrace is the time after which a place that its node no longer reports counts as free. A
+// report may cross a verdict that is on its way to the node.
+const unreportedGrace = 1500 * time.Millisecond
 
-// Told takes in what a node tells; whole means that these are all requests that it has, so that
-// its other places are free, see lostTime. It returns one error for each report that can't be
-// believed.
-func (m *Model) Told(now time.Time, node string, list []Report, whole bool) []error {
+// AddReports adds the reports of a node. With whole set, these are all requests of the node, and
+// its other places are free after unreportedGrace. It returns one error for each implausible
+// report.
+func (m *Model) AddReports(now time.Time, node string, list []Report, whole bool) []error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var faults []error
+	var errs []error
 	for i := range list {
-		if err := m.tell(now, node, &list[i]); err != nil {
-			faults = append(faults, err)
+		if err := m.addReport(now, node, &list[i]); err != nil {
+			errs = append(errs, err)
 		}
 	}
 	if whole {
 		for _, h := range m.places[node] {
-			if now.Sub(h.heard) > lostTime {
-				m.free(h)
+			if now.Sub(h.lastReport) > unreportedGrace {
+				m.freePlace(h)
 			}
 		}
 	}
-	return faults
+	return errs
 }
 
-// tell takes in one report. The caller holds mu.
-func (m *Model) tell(now time.Time, node string, r *Report) error {
+// addReport adds one report. The caller holds mu.
+func (m *Model) addReport(now time.Time, node string, r *Report) error {
 	if !r.Valid() {
 		return ErrReport
 	}
 	key := Place{node, r.ID}
 	if r.Server == "" {
-		m.drop(key)
+		m.forget(key)
 		return nil
 	}
 	s := m.server(r.Server)
 	if s == nil {
-		m.drop(key)
+		m.forget(key)
 		return ErrServer
 	}
 	s.heard = now
 	h := m.places[node][r.ID]
 	if h != nil && h.grantedAfter(now.Add(-r.Sent)) {
-		return nil // late news of an earlier send of the request
+		return nil // outdated: about an earlier send of the request
 	}
 	if h != nil && h.server != r.Server {
-		m.free(h)
+		m.freePlace(h)
 		h = nil
 	}
 	if h == nil {
-		h = m.learn(now, key, s, r)
+		h = m.learnPlace(now, key, s, r)
 	}
-	h.heard = now
+	h.lastReport = now
 	if h.first.IsZero() && r.First > 0 {
 		s.answered(now, h.place, r.First)
 	}
 	if r.Ended {
 		s.ended(h.place, now)
-		m.free(h)
+		m.freePlace(h)
 	}
 	return nil
 }
 
-// learn takes in a place that was not granted here.
-func (m *Model) learn(now time.Time, key Place, s *server, r *Report) *held {
+// learnPlace adds a place that was not granted here.
+func (m *Model) learnPlace(now time.Time, key Place, s *server, r *Report) *placeAt {
 	p := &place{key: key, model: r.Key, need: r.Need, rank: r.Rank, target: r.Target, sent: now.Add(-r.Sent),
-		work: s.toRead(now, r.Need, r.Work), memory: r.Work.memory(), out: r.Work.Out, whole: r.Work,
-		dies: now.Add(r.Left + newsDelay)}
-	m.put(r.Server, s, p)
-	s.profileOf(now, r.Rank, r.Target, p.work)
-	s.serves(p.sent, r.Rank)
+		work: s.prefillTokens(now, r.Need, r.Work), memory: r.Work.memory(), out: r.Work.Out, fullWork: r.Work,
+		deadline: now.Add(r.Left + newsDelay)}
+	m.addPlace(r.Server, s, p)
+	s.updateProfile(now, r.Rank, r.Target, p.work)
+	s.noteServed(p.sent, r.Rank)
 	return m.places[key.Node][key.ID]
 }
 
-// NodeGone frees what a node has.
+// NodeGone frees the places of a node.
 func (m *Model) NodeGone(node string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, h := range m.places[node] {
-		m.free(h)
+		m.freePlace(h)
 	}
 }
 
-// forgetTime is the time after which a server that nothing is told of is forgotten.
-const forgetTime = time.Minute
+// serverTTL is the time after which a server without reports is forgotten.
+const serverTTL = time.Minute
 
-// Expire forgets what is over: places past their deadline, waiters that did not ask again,
+// Expire removes what is over: places past their deadline, waiters that did not ask again, and
 // servers that are gone.
 func (m *Model) Expire(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, of := range m.places {
 		for _, h := range of {
-			if _, known := m.Engine(h.server); !known || now.After(h.dies) {
-				m.free(h)
+			if _, known := m.Engine(h.server); !known || now.After(h.deadline) {
+				m.freePlace(h)
 			}
 		}
 	}
 	for key, w := range m.waiting {
 		if now.After(w.until) {
-			m.drop(key)
+			m.forget(key)
 		}
 	}
 	for name, s := range m.servers {
 		_, known := m.Engine(name)
-		if !known || len(s.places)+len(s.waiters) == 0 && now.Sub(s.heard) > forgetTime {
+		if !known || len(s.places)+len(s.waiters) == 0 && now.Sub(s.heard) > serverTTL {
 			delete(m.servers, name)
 		}
 	}
--- a/pkg/admission/server.go
+++ b/pkg/admission/server.go
@@ -5,94 +5,94 @@
 	"time"
 )
 
-// Engine tells what a server can hold.
+// Engine describes what a server can hold.
 type Engine struct {
-	Slots       int // requests that it runs at once
-	CacheTokens int // of prompts and answers that run, together
-	EventTokens int // in one event of a stream
+	Slots       int // requests that run at once
+	CacheTokens int // tokens of all running prompts and answers together
+	EventTokens int // tokens in one event of a stream
 }
 
-// place is a request at a server.
+// place is a request on a server.
 type place struct {
-	key      Place
-	model    Key
-	need     string // see Request
-	rank     int
-	target   time.Duration // of its route
-	sent     time.Time
-	work     float64   // tokens to read
-	expected float64   // tokens to be read until its first event, when it was granted; zero: it was not granted here
-	memory   int       // tokens
-	out      int       // likely tokens of the answer
-	whole    Work      // as its node told it, with what the server keeps
-	first    time.Time // when its first event came; zero: not yet
-	dies     time.Time // shortly after its deadline
-	heard    time.Time // when its node last told of it
-}
-
-// profile is what was lately asked by requests of one rank.
+	key        Place
+	model      Key
+	need       string // see Request
+	rank       int
+	target     time.Duration // target of the route
+	sent       time.Time
+	work       float64   // prompt tokens to read
+	expected   float64   // tokens to read until its first event, as of the grant; zero if it was not granted here
+	memory     int       // cache tokens
+	out        int       // expected tokens of the answer
+	fullWork   Work      // as reported by its node, including cached parts
+	first      time.Time // when its first event came; zero if none came yet
+	deadline   time.Time // shortly after the request's deadline
+	lastReport time.Time // when its node last reported it
+}
+
+// profile describes recent requests of one rank.
 type profile struct {
-	target time.Duration // the shortest
-	work   float64       // tokens to read, smoothed
-	at     time.Time     // of the last one
+	target  time.Duration // shortest target
+	work    float64       // prompt tokens to read, smoothed
+	updated time.Time     // time of the last request
 }
 
-// ranks is the number of ranks that are told apart; larger ones count as the last.
-const ranks = 10
+// numRanks is the number of ranks that are told apart. Larger ones count as the last.
+const numRanks = 10
 
-// server is what is believed of one life of a server.
+// server is the state of one incarnation of a server.
 type server struct {
-	engine   Engine
-	places   []*place // by when they were sent
-	waiters  []*waiter
-	speed    speed
-	tokenMS  float64              // milliseconds for each token of a stream, lately; zero: not known
-	kept     map[string]time.Time // parts of prompts, under the need, when they were last used
-	profiles [ranks]profile
-	served   [ranks]time.Time // when it last got one of the rank or of a less urgent one
-	heard    time.Time
+	engine      Engine
+	places      []*place // in the order in which they were sent
+	waiters     []*waiter
+	speed       speed
+	tokenMS     float64              // recent milliseconds per token of a stream; zero if unknown
+	cachedParts map[string]time.Time // last use of prompt parts, by need and part ID
+	profiles    [numRanks]profile
+	lastServed  [numRanks]time.Time // when it last got a request of the rank or of a less urgent one
+	heard       time.Time
 }
 
-// keptTime is how long a part that was read and not used counts as kept: what runs meanwhile
-// takes the memory. Engines of a crowd turn theirs over within some ten seconds.
-const keptTime = 8 * time.Second
+// cachedTTL is how long a part counts as cached after it was last used, since running requests take
+// up the memory. Overloaded engines replace their cache content within some ten seconds.
+const cachedTTL = 8 * time.Second
 
-// mostKept bounds the parts that are remembered of a server.
-const mostKept = 512
+// maxCachedParts bounds the parts that are remembered per server.
+const maxCachedParts = 512
 
-// newsDelay is how long the news of a first event may be on the way.
+// newsDelay is how long the report of a first event may take.
 const newsDelay = 150 * time.Millisecond
 
-// load is what a server has to read.
+// load is what a server has to do.
 type load struct {
-	unread float64 // tokens
-	speed  float64 // tokens a millisecond
-	memory int     // tokens taken
-	places int     // requests that have one
+	pending float64 // prompt tokens to read
+	speed   float64 // tokens per millisecond
+	memory  int     // cache tokens in use
+	places  int     // requests that have a place
 }
 
-// load works out what is unread by now. Places whose first event is overdue tell that the server
-// is slower than was believed.
+// load computes what is pending by now. If a first event is overdue, the server is slower than
+// estimated.
 func (s *server) load(now time.Time) load {
-	l := load{speed: s.speed.careful(now), places: len(s.places)}
+	l := load{speed: s.speed.estimate(now), places: len(s.places)}
 	for _, p := range s.places {
 		l.memory += p.memory
 	}
 	unread, began := s.unanswered()
-	l.speed = s.overdue(now, unread, began, l.speed)
+	l.speed = s.overdueSpeed(now, unread, began, l.speed)
 	read := began
 	for _, p := range unread {
 		read = later(read, p.sent).Add(duration(p.work, l.speed))
 	}
 	if read.After(now) {
-		l.unread = tokens(read.Sub(now), l.speed)
+		l.pending = tokens(read.Sub(now), l.speed)
 	}
 	return l
 }
 
-// unanswered returns the places that may be unread, and when what was before them had been read.
-// Prompts are read in the order in which they come: those before one that was answered are read,
-// though the news of it may be lost.
+// unanswered returns the places whose prompts may be unread, and when everything before them had
+// been read. Prompts are read in the order of arrival: those before an answered one are read, even
+// if the report of their answer was lost.
 func (s *server) unanswered() ([]*place, time.Time) {
 	for i := len(s.places) - 1; i >= 0; i-- {
 		if p := s.places[i]; !p.first.IsZero() {
@@ -102,31 +102,33 @@
 	return s.places, time.Time{}
 }
 
-// silentShare is the least part of its believed speed that a server keeps while no news of it
-// comes, as the news may be lost. That an answer is overdue by what its node told counts in full.
-const silentShare = 0.5
+// silentSpeedShare is the least part of its estimated speed that a server keeps while no report on
+// it arrives, as reports may be lost. If its node reports that an answer is overdue, this counts in
+// full.
+const silentSpeedShare = 0.5
 
-// overdue returns the speed by which none of the answers is overdue, at most the one believed.
-func (s *server) overdue(now time.Time, unread []*place, began time.Time, believed float64) float64 {
-	speed, work := believed, s.tail(0)
+// overdueSpeed returns the highest speed at which none of the missing answers would be overdue, at
+// most the one believed.
+func (s *server) overdueSpeed(now time.Time, unread []*place, began time.Time, believed float64) float64 {
+	speed, work := believed, s.eventWork(0)
 	for i, p := range unread {
 		if i == 0 {
 			began = later(began, p.sent)
 		}
 		work += p.work
-		speed = min(speed, speedOf(work, p.heard.Sub(began)))
-		if p.expected > 0 { // its answer is told at once, that of others with beats
-			speed = min(speed, max(speedOf(work, now.Sub(began)-newsDelay), silentShare*believed))
+		speed = min(speed, speedOf(work, p.lastReport.Sub(began)))
+		if p.expected > 0 { // its answer is reported at once, that of other places in heartbeats
+			speed = min(speed, max(speedOf(work, now.Sub(began)-newsDelay), silentSpeedShare*believed))
 		}
 	}
-	return max(speed, leastSpeed)
+	return max(speed, minSpeed)
 }
 
-// speedOf returns the most that the speed of a server can be which has not done some work within a
-// time; without any time it is not bounded.
+// speedOf returns the highest possible speed of a server that has not finished some work within a
+// time. The speed is not bounded if the time is zero.
 func speedOf(work float64, d time.Duration) float64 {
 	if d <= 0 {
-		return mostSpeed
+		return maxSpeed
 	}
 	return work / (float64(d) / float64(time.Millisecond))
 }
@@ -139,18 +141,20 @@
 	return b
 }
 
-// tail returns the work from the end of a prompt's reading to its first event, if so many tokens
-// are unread behind it: the prompts behind are read between the tokens of the event.
-func (s *server) tail(behind float64) float64 {
+// eventWork returns the work between the end of reading a prompt and its first event, with the
+// given number of tokens pending behind it. The prompts behind are read in chunks between the
+// tokens of the event.
+func (s *server) eventWork(behind float64) float64 {
 	events := float64(max(s.engine.EventTokens, 1))
-	return events*stepWork + min(behind, events*pieceTokens)
+	return events*stepWork + min(behind, events*chunkTokens)
 }
 
-// toRead returns what a server reads of a prompt: not the first parts that it surely keeps.
-func (s *server) toRead(now time.Time, need string, w Work) float64 {
+// prefillTokens returns the prompt tokens that a server must read. The leading parts that it
+// certainly has in its cache don't count.
+func (s *server) prefillTokens(now time.Time, need string, w Work) float64 {
 	left := w.Tokens
 	for _, part := range w.Parts[:max(len(w.Parts)-1, 0)] {
-		if used, found := s.kept[need+" "+part.ID]; !found || now.Sub(used) > keptTime {
+		if used, found := s.cachedParts[need+" "+part.ID]; !found || now.Sub(used) > cachedTTL {
 			break
 		}
 		left -= part.Tokens
@@ -158,17 +162,17 @@
 	return float64(max(left, 1))
 }
 
-// keep notes that the shared parts of a prompt were read.
-func (s *server) keep(now time.Time, need string, w Work) {
-	if s.kept == nil || len(s.kept) > mostKept {
-		s.kept = make(map[string]time.Time)
+// noteCached records that the shared parts of a prompt were read.
+func (s *server) noteCached(now time.Time, need string, w Work) {
+	if s.cachedParts == nil || len(s.cachedParts) > maxCachedParts {
+		s.cachedParts = make(map[string]time.Time)
 	}
 	for _, part := range w.Parts[:max(len(w.Parts)-1, 0)] {
-		s.kept[need+" "+part.ID] = now
+		s.cachedParts[need+" "+part.ID] = now
 	}
 }
 
-// add puts a place in order.
+// add inserts a place in the order of sending.
 func (s *server) add(p *place) {
 	i := len(s.places)
 	for i > 0 && s.places[i-1].sent.After(p.sent) {
@@ -181,25 +185,25 @@
 	s.places = slices.DeleteFunc(s.places, func(other *place) bool { return other == p })
 }
 
-// answered takes in that the first event of a place came so long after it was sent. Prompts that
-// came later and were read meanwhile make the server count as slower, so that predictions hold in
-// the mean.
+// answered records that the first event of a place came the given time after it was sent. Prompts
+// that arrived later and were read meanwhile make the server count as slower, so that predictions
+// are right on average.
 func (s *server) answered(now time.Time, p *place, after time.Duration) {
 	p.first = p.sent.Add(after)
-	s.keep(p.first, p.need, p.whole)
-	if after < time.Millisecond || after > mostTime {
+	s.noteCached(p.first, p.need, p.fullWork)
+	if after < time.Millisecond || after > maxDuration {
 		return
 	}
 	work := p.expected
 	if work == 0 {
-		unread := s.unreadAt(p.sent)
-		work = unread + p.work + s.tail(unread/2)
+		unread := s.pendingAt(p.sent)
+		work = unread + p.work + s.eventWork(unread/2)
 	}
 	s.speed.add(now, work, after)
 }
 
-// unreadAt returns what was unread before a request when it was sent, as far as nodes told.
-func (s *server) unreadAt(sent time.Time) float64 {
+// pendingAt returns what was pending before a request when it was sent, as far as nodes reported.
+func (s *server) pendingAt(sent time.Time) float64 {
 	sum := 0.0
 	for _, p := range s.places {
 		if p.sent.Before(sent) && (p.first.IsZero() || p.first.After(sent)) {
@@ -209,7 +213,7 @@
 	return sum
 }
 
-// ended takes in that a place is free.
+// ended records that a place is free.
 func (s *server) ended(p *place, now time.Time) {
 	s.remove(p)
 	if p.first.IsZero() || p.out <= 0 {
@@ -222,30 +226,30 @@
 	s.tokenMS += speedWeight * (ms - s.tokenMS)
 }
 
-// profileOf notes what requests of a rank ask for.
-func (s *server) profileOf(now time.Time, rank int, target time.Duration, work float64) {
-	p := &s.profiles[min(rank, ranks-1)]
-	if now.Sub(p.at) > profileTime {
+// updateProfile records what requests of a rank need.
+func (s *server) updateProfile(now time.Time, rank int, target time.Duration, work float64) {
+	p := &s.profiles[min(rank, numRanks-1)]
+	if now.Sub(p.updated) > profileTTL {
 		*p = profile{target: target, work: work}
 	}
-	p.at, p.target = now, min(p.target, target)
+	p.updated, p.target = now, min(p.target, target)
 	p.work += speedWeight * (work - p.work)
 }
 
-// profileTime is how long room is kept for more urgent requests after the last of them came.
-const profileTime = 5 * time.Second
+// profileTTL is how long headroom is kept for more urgent requests after the last of them came.
+const profileTTL = 5 * time.Second
 
-// serves notes that a request of a rank goes to the server.
-func (s *server) serves(now time.Time, rank int) {
-	for i := range min(rank, ranks-1) + 1 {
-		s.served[i] = now
+// noteServed records that a request of a rank goes to the server.
+func (s *server) noteServed(now time.Time, rank int) {
+	for i := range min(rank, numRanks-1) + 1 {
+		s.lastServed[i] = now
 	}
 }
 
-// urgentBefore tells whether more urgent requests came lately.
-func (s *server) urgentBefore(now time.Time, rank int) bool {
+// urgentRecently reports whether more urgent requests came recently.
+func (s *server) urgentRecently(now time.Time, rank int) bool {
 	for i := range rank {
-		if now.Sub(s.profiles[i].at) <= profileTime {
+		if now.Sub(s.profiles[i].updated) <= profileTTL {
 			return true
 		}
 	}
--- a/pkg/affinity/affinity.go
+++ b/pkg/affinity/affinity.go
@@ -1,17 +1,18 @@
-// Package affinity decides at which replica of a model a request is best read, by what all
-// nodes know alike and without a message between them.
+// Package affinity decides which replica of a model is best for a request, from what all nodes know
+// alike and without messages between them.
 //
-// The load it answers: prompts of thousands of tokens, of which two thirds are parts that
-// others brought before, beside urgent streams whose events may not pause. Each of tens of nodes
-// sees a few in a hundred of the requests, so that what a node itself has running tells
-// nearly nothing, and a choice by it is a random one: each replica reads and keeps each
-// shared part, and each stream runs beside the reading of long prompts.
+// It is made for this load: prompts have thousands of tokens, two thirds of which are parts that
+// earlier requests had in common, and run beside urgent streams whose events must not pause. Each
+// of tens of nodes sees a few percent of the requests, so that its own running requests say almost
+// nothing about the load, and a choice by them is a random one. Each replica then reads and caches
+// each shared part, and each stream runs beside the reading of long prompts.
 //
-// Two preferences answer it. By affinity, requests that share parts go to the same replica,
-// the first in an order of rendezvous hashing over the replicas' lives: when one is lost, the
-// parts that it kept go elsewhere, and no others. By lanes, requests that are long to read keep to
-// the replicas at one end of an order of all servers, short ones whose pauses count to those at
-// the other end, so that over all models the servers of one end read few long prompts.
+// Two preferences help. With affinity, requests that share parts go to the same replica, which is
+// the first in an order by rendezvous hashing over the servers' incarnations. When a replica is
+// lost, only the requests with parts that it had cached move. With lanes, requests with long
+// prompts prefer replicas at one end of an order of all servers, and requests with short prompts
+// whose pauses matter prefer those at the other end. Over all models, the servers at one end thus
+// read few long prompts.
 package affinity
 
 import (
@@ -22,17 +23,17 @@
 	"martenwheel.dev/pkg/prompt"
 )
 
-// Lane tells at which end of the order of servers a request is served best.
+// Lane is the end of the order of servers at which a request is served best.
 type Lane uint8
 
 // The lanes.
 const (
-	AnyLane   Lane = iota // it makes no difference
-	ShortLane             // short to read, and its pauses count
-	LongLane              // its reading makes others pause
+	AnyLane   Lane = iota // makes no difference
+	ShortLane             // short to read, and its own pauses matter
+	LongLane              // its reading makes other streams pause
 )
 
-// String names the lane in logs.
+// String returns the name that is used in logs.
 func (l Lane) String() string {
 	switch l {
 	case ShortLane:
@@ -44,99 +45,100 @@
 	}
 }
 
-// Terms are the bounds of a request by its route and engine. A field that is zero is not known.
+// Terms are the limits that a request's route and engine set. Zero fields are unknown.
 type Terms struct {
-	Target      time.Duration // within which the first event is in time
+	Target      time.Duration // latest time of a first event that is in time
 	GapTarget   time.Duration // longest pause between events that is in time
-	EventTokens int           // in one event
+	EventTokens int           // tokens in one event
 }
 
-// readsPerMS is a cautious speed of reading prompts, in tokens a millisecond: about that of
-// the slowest servers met, half of the usual one. What seems short by it is short anywhere.
-const readsPerMS = 20
+// prefillPerMS is a cautious speed of reading prompts, in tokens per millisecond: about that of the
+// slowest known servers, half of the usual one. A prompt that is short at this speed is short
+// anywhere.
+const prefillPerMS = 20
 
-// From where on reading makes a difference to callers.
+// When reading a prompt makes a difference to callers.
 const (
-	// targetShare is the least part of a route's target that kept parts must save: less
-	// does not make late answers timely, and one replica would be crowded for nothing.
+	// targetShare is the least part of a route's target that cached parts must save. A smaller
+	// saving does not make late answers timely, and would overload one replica for nothing.
 	targetShare = 0.1
-	// mostSaving is a saving that counts whatever the target is, as it shortens the reading that
+	// maxMinSaving is a saving that counts whatever the target is, as it shortens the reading that
 	// others wait for.
-	mostSaving = 100 * time.Millisecond
-	// fullSaving is the number of least savings from which on the preference has its whole
-	// strength.
-	fullSaving = 4
-	// longShare is the part of the longest pause in time that the reading of a long prompt takes
-	// at least: two that meet then make a stream beside them late.
+	maxMinSaving = 100 * time.Millisecond
+	// fullStrengthSavings is the saving at which the preference has its full strength, as a
+	// multiple of the least saving.
+	fullStrengthSavings = 4
+	// longShare is the least part of the longest timely pause that reading a long prompt takes. Two
+	// long prompts at once then make a stream beside them late.
 	longShare = 0.5
 )
 
-// Request is what decides on the preferences of a request. The zero value prefers nothing.
+// Request holds what determines the preferences of a request. The zero value has no preference.
 type Request struct {
-	key      uint64  // of the shared parts; zero: none that count
+	key      uint64  // of the shared parts; zero if there are none that count
 	strength float64 // from 0 to 1, see Strength
 	lane     Lane
-	reads    time.Duration // that its whole prompt takes to be read
+	prefill  time.Duration // time to read the whole prompt
 }
 
-// Of returns what a request for a model, and perhaps an adapter, prefers.
+// Of returns the preferences of a request for a model and, unless it is empty, an adapter.
 func Of(model, adapter string, p *prompt.Prompt, t Terms) Request {
-	r := Request{reads: readingTime(p.Tokens())}
-	r.lane = laneOf(r.reads, t)
-	saved, least := readingTime(p.SharedTokens()), leastSaving(t)
+	r := Request{prefill: prefillTime(p.Tokens())}
+	r.lane = laneOf(r.prefill, t)
+	saved, least := prefillTime(p.SharedTokens()), minSaving(t)
 	if saved >= least && p.SharedID() != "" {
 		r.key = keyOf(model, adapter, p.SharedID())
-		r.strength = min(float64(saved)/float64(fullSaving*least), 1)
+		r.strength = min(float64(saved)/float64(fullStrengthSavings*least), 1)
 	}
 	return r
 }
 
-// Lane returns at which end of the order of servers the request is served best.
+// Lane returns the end of the order of servers at which the request is served best.
 func (r *Request) Lane() Lane { return r.lane }
 
-// Shares tells whether the request prefers the replica that read its shared parts before.
+// Shares reports whether the request prefers the replica that has its shared parts in cache.
 func (r *Request) Shares() bool { return r.key != 0 }
 
 // Strength returns how much the shared parts save, from 0 to 1.
 func (r *Request) Strength() float64 { return r.strength }
 
-// readingTime returns how long a slow server reads so many tokens.
-func readingTime(tokens int) time.Duration {
-	return time.Duration(tokens) * time.Millisecond / readsPerMS
+// prefillTime returns how long a slow server takes to read the tokens.
+func prefillTime(tokens int) time.Duration {
+	return time.Duration(tokens) * time.Millisecond / prefillPerMS
 }
 
-// leastSaving returns how much reading kept parts must save to count.
-func leastSaving(t Terms) time.Duration {
+// minSaving returns the least time that cached parts must save to count.
+func minSaving(t Terms) time.Duration {
 	if t.Target <= 0 {
-		return mostSaving
+		return maxMinSaving
 	}
-	return min(time.Duration(targetShare*float64(t.Target)), mostSaving)
+	return min(time.Duration(targetShare*float64(t.Target)), maxMinSaving)
 }
 
-// mostEventTokens bounds what a configuration may tell of events, so that no product overflows.
-const mostEventTokens = 1 << 10
+// maxEventTokens bounds the configured tokens per event, so that no product overflows.
+const maxEventTokens = 1 << 10
 
-// largestPiece is the most of prompts, in tokens, that engines usually read between two
-// tokens of their streams.
-const largestPiece = 2048
+// largestChunk is the most prompt tokens that engines usually read between two tokens of their
+// streams (chunked prefill).
+const largestChunk = 2048
 
-// laneOf tells a request's lane. Between two events an engine reads no more pieces of prompts
-// than the event has tokens: where these can't make a pause late no prompt does, and it makes
-// no difference.
-func laneOf(reads time.Duration, t Terms) Lane {
-	tokens := min(max(t.EventTokens, 0), mostEventTokens)
+// laneOf returns a request's lane. Between two events an engine reads at most as many chunks of
+// prompts as the event has tokens. If these can't make a pause late, no prompt can, and the lane
+// makes no difference.
+func laneOf(prefill time.Duration, t Terms) Lane {
+	tokens := min(max(t.EventTokens, 0), maxEventTokens)
 	switch {
-	case t.GapTarget <= 0 || reads <= 0 || readingTime(tokens*largestPiece) < t.GapTarget:
+	case t.GapTarget <= 0 || prefill <= 0 || prefillTime(tokens*largestChunk) < t.GapTarget:
 		return AnyLane
-	case float64(reads) >= longShare*float64(t.GapTarget):
+	case float64(prefill) >= longShare*float64(t.GapTarget):
 		return LongLane
 	default:
 		return ShortLane
 	}
 }
 
-// keyOf returns the key of shared parts, which an engine keeps for each model and adapter
-// apart. It is never zero.
+// keyOf returns the key of shared parts. Engines cache them separately for each model and adapter.
+// The key is never zero.
 func keyOf(model, adapter, shared string) uint64 {
 	key := mix(mix(xxhash.Sum64String(model)) ^ xxhash.Sum64String(adapter))
 	return max(mix(key^xxhash.Sum64String(shared)), 1)
@@ -150,12 +152,13 @@
 	return x ^ x>>31
 }
 
-// LifeOf returns the hash of a life of a server.
-func LifeOf(id string) uint64 { return xxhash.Sum64String(id) }
+// ServerHash returns the hash of the ID of a server's incarnation.
+func ServerHash(id string) uint64 { return xxhash.Sum64String(id) }
 
-// Place returns where a life of a server lies in the order of all servers, from 0, where short
-// requests are served, to 1, where long ones are: the same on all nodes and for all models.
-func Place(life uint64) float64 { return unit(mix(life)) }
+// Position returns the position of a server's incarnation in the order of all servers, from 0,
+// where short requests are served, to 1, where long ones are. It is the same on all nodes and for
+// all models.
+func Position(hash uint64) float64 { return unit(mix(hash)) }
 
 // unit maps x to a number above 0 and below 1.
 func unit(x uint64) float64 { return (float64(x>>11) + 0.5) / (1 << 53) }
--- a/pkg/affinity/affinity_test.go
+++ b/pkg/affinity/affinity_test.go
@@ -20,14 +20,14 @@
 func replicas(n int) []Replica {
 	list := make([]Replica, n)
 	for i := range list {
-		list[i] = Replica{Life: LifeOf(fmt.Sprintf("server-%d", i))}
+		list[i] = Replica{Hash: ServerHash(fmt.Sprintf("server-%d", i))}
 	}
 	return list
 }
 
 func random() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-// choose returns the choice of each of many sessions.
+// choose returns the choices of requests of many sessions.
 func choose(list []Replica, lanes float64) []Choice {
 	choices := make([]Choice, 2000)
 	for i := range choices {
@@ -65,21 +65,22 @@
 	}
 }
 
-// TestAllNodesChooseAlike: whatever the order of their lists and their random numbers.
-func TestAllNodesChooseAlike(t *testing.T) {
+// TestAllNodesChooseTheSameReplica: the choice must not depend on the order of a node's list or on
+// its random numbers.
+func TestAllNodesChooseTheSameReplica(t *testing.T) {
 	list := replicas(5)
-	turned := append([]Replica{list[4], list[3]}, list[:3]...)
+	rotated := append([]Replica{list[4], list[3]}, list[:3]...)
 	for i := range 100 {
 		r := Of("model", "adapter", long(fmt.Sprint("s", i)), terms)
 		a, _ := r.Choose(random(), 1, list)
-		b, _ := r.Choose(rand.New(rand.NewPCG(8, 9)), 1, turned)
-		if list[a.Taken] != turned[b.Taken] {
-			t.Fatalf("session %d: other nodes choose another replica", i)
+		b, _ := r.Choose(rand.New(rand.NewPCG(8, 9)), 1, rotated)
+		if list[a.Taken] != rotated[b.Taken] {
+			t.Fatalf("session %d: another node chooses another replica", i)
 		}
 	}
 }
 
-func TestModelsAndAdaptersAreApart(t *testing.T) {
+func TestModelsAndAdaptersHaveDifferentKeys(t *testing.T) {
 	keys := make(map[uint64]bool)
 	for _, need := range [][2]string{{"m", ""}, {"m", "a"}, {"n", ""}, {"n", "a"}, {"a", "m"}, {"ma", ""}, {"", "ma"}} {
 		r := Of(need[0], need[1], long("s"), terms)
@@ -90,8 +91,9 @@
 	}
 }
 
-// TestOnlyWhatWasAtALostReplicaMoves, and one reborn, with nothing kept, gets its share anew.
-func TestOnlyWhatWasAtALostReplicaMoves(t *testing.T) {
+// TestOnlySessionsOfALostReplicaMove: when a replica is lost, only its sessions move. When it comes
+// back as a new incarnation, with nothing cached, it gets its share of sessions again.
+func TestOnlySessionsOfALostReplicaMove(t *testing.T) {
 	for _, lanes := range []float64{0, 1} {
 		list := replicas(5)
 		before, after := choose(list, lanes), choose(list[:4], lanes)
@@ -104,9 +106,9 @@
 			}
 		}
 		if lost == 0 {
-			t.Fatal("nothing was at the lost replica")
+			t.Fatal("no session was on the lost replica")
 		}
-		list[4].Life = LifeOf("server-4 reborn")
+		list[4].Hash = ServerHash("server-4 reborn")
 		gained := 0
 		for i, c := range choose(list, lanes) {
 			switch c.Taken {
@@ -118,22 +120,22 @@
 			}
 		}
 		if lanes == 0 && (gained < 300 || gained > 500) {
-			t.Errorf("%d of 2,000 sessions at one of five replicas", gained)
+			t.Errorf("%d of 2,000 sessions on one of five replicas", gained)
 		}
 	}
 }
 
-// TestLanesSeparate: long prompts prefer the other end of the order than short ones do, and
-// slow servers get few of either.
+// TestLanesSeparate: long and short prompts prefer opposite ends of the order, and slow servers get
+// few of either.
 func TestLanesSeparate(t *testing.T) {
 	low, high := Replica{}, Replica{}
-	for i := 0; low.Life == 0 || high.Life == 0; i++ {
-		life := LifeOf(fmt.Sprint(i))
-		switch place := Place(life); {
+	for i := 0; low.Hash == 0 || high.Hash == 0; i++ {
+		hash := ServerHash(fmt.Sprint(i))
+		switch place := Position(hash); {
 		case place < 0.1:
-			low.Life = life
+			low.Hash = hash
 		case place > 0.9:
-			high.Life = life
+			high.Hash = hash
 		}
 	}
 	p := prompt.Parse(prompt.Fields{Tokens: "830,294", Parts: "a:119,b:79,c:632"})
@@ -144,7 +146,7 @@
 		}
 	}
 	if shortLow < 1900 {
-		t.Errorf("%d of 2,000 short requests at the low end", shortLow)
+		t.Errorf("%d of 2,000 short requests on the low end", shortLow)
 	}
 	count := func(list []Replica) int {
 		n := 0
@@ -154,16 +156,16 @@
 		return n
 	}
 	if n := count([]Replica{low, high}); n < 1750 {
-		t.Errorf("%d of 2,000 long requests at the high end", n)
+		t.Errorf("%d of 2,000 long requests on the high end", n)
 	}
 	high.Slowness = 12
 	if n := count([]Replica{low, high}); n > 200 {
-		t.Errorf("%d of 2,000 long requests at a slow server", n)
+		t.Errorf("%d of 2,000 long requests on a slow server", n)
 	}
 }
 
-// TestLoadIsBounded: one session that all ask for is spread once its replica has more than
-// its share.
+// TestLoadIsBounded: if all requests belong to one session, they are spread once its replica has
+// more than its share.
 func TestLoadIsBounded(t *testing.T) {
 	list := replicas(4)
 	r := Of("model", "", long("hot"), terms)
@@ -177,27 +179,27 @@
 	}
 	for i := range list {
 		if list[i].Load > 200*5/4/4+loadSlack+1 {
-			t.Errorf("replica %d runs %d of 200", i, list[i].Load)
+			t.Errorf("replica %d runs %d of 200 requests", i, list[i].Load)
 		}
 	}
 	if passed == 0 {
-		t.Error("none was passed on")
+		t.Error("no request was passed on to another replica")
 	}
 }
 
-func TestBarredReplicasArePassedOver(t *testing.T) {
+func TestExcludedReplicasAreSkipped(t *testing.T) {
 	list := replicas(3)
 	r := Of("model", "", long("s"), terms)
 	c, _ := r.Choose(random(), 1, list)
-	list[c.First].Barred = true
+	list[c.First].Excluded = true
 	if next, prefers := r.Choose(random(), 1, list); !prefers || next.First != c.First || next.Taken == c.First {
-		t.Errorf("%+v after %+v", next, c)
+		t.Errorf("with the first replica excluded the choice is %+v, before it was %+v", next, c)
 	}
 	for i := range list {
-		list[i].Barred = true
+		list[i].Excluded = true
 	}
 	if _, prefers := r.Choose(random(), 1, list); prefers {
-		t.Error("a barred replica is preferred")
+		t.Error("an excluded replica is preferred")
 	}
 }
 
@@ -217,7 +219,7 @@
 	if m.Lanes() != 1 {
 		t.Errorf("lanes count %v", m.Lanes())
 	}
-	now = now.Add(-time.Hour) // a clock that went back
+	now = now.Add(-time.Hour) // the clock goes back
 	m.Note(now, &many)
 	for range 1000 {
 		now = now.Add(4 * time.Second)
@@ -238,10 +240,10 @@
 			t.Errorf("strength %v, shares %v", r.Strength(), r.Shares())
 		}
 		list := replicas(3)
-		list[1].Slowness, list[2].Near, list[2].Load, list[0].Barred = slow, lanes, load, load%2 == 0
+		list[1].Slowness, list[2].Near, list[2].Load, list[0].Excluded = slow, lanes, load, load%2 == 0
 		c, prefers := r.Choose(random(), lanes, list)
-		if prefers && (c.Taken < 0 || c.Taken > 2 || c.First < 0 || list[c.Taken].Barred) {
-			t.Errorf("%+v", c)
+		if prefers && (c.Taken < 0 || c.Taken > 2 || c.First < 0 || list[c.Taken].Excluded) {
+			t.Errorf("invalid choice %+v", c)
 		}
 		var m Mix
 		m.Note(time.Unix(0, target), &r)
--- a/pkg/coordinator/crowds_test.go
+++ b/pkg/coordinator/crowds_test.go
@@ -30,10 +30,10 @@
 	now := time.Unix(1_000_000, 0)
 	model.Begin(now)
 	for i := range 150 {
-		model.Told(now, "n", []admission.Report{{ID: uint64(i), Key: admission.Key{Service: "s", Model: fmt.Sprint("m", i)}, Need: "m",
+		model.AddReports(now, "n", []admission.Report{{ID: uint64(i), Key: admission.Key{Service: "s", Model: fmt.Sprint("m", i)}, Need: "m",
 			Server: fmt.Sprint("s", i%140), Work: admission.Work{Tokens: 9000}, Target: time.Second, Left: 10 * time.Second}}, false)
 	}
 	for b.Loop() {
-		model.Crowded(now, h.replicas)
+		model.Overloaded(now, h.replicas)
 	}
 }
--- a/pkg/coordinator/doubts.go
+++ b/pkg/coordinator/doubts.go
@@ -67,7 +67,7 @@
 // in time: callers send such a request again within milliseconds, at any node.
 func (m *Member) Doubted(ctx context.Context, r quarantine.Run) {
 	now := m.Time.Now()
-	change := m.Quarantine.Doubt(now, r)
+	change := m.Quarantine.Suspect(now, r)
 	m.Logger.Info("server may have ended under request", "fingerprint", r.Request.String(), "request_id", r.RequestID,
 		"service", r.Service, "server", r.Server, "round", r.Round, "rounds_in_doubt", r.Doubts, "ended_under_it", change.Servers(),
 		"in_doubt", len(change.Doubts), "standing", change.Now.String())
--- a/pkg/coordinator/explore_innocent_test.go
+++ b/pkg/coordinator/explore_innocent_test.go
@@ -86,7 +86,7 @@
 
 // permit waits for a turn if the request is suspected.
 func (i *innocent) permit(n *worldNode, server string) (quarantine.Standing, bool) {
-	for began := time.Now(); time.Since(began) < innocentWait; time.Sleep(quarantine.TurnPause) {
+	for began := time.Now(); time.Since(began) < innocentWait; time.Sleep(quarantine.TrialRetryAfter) {
 		if !n.awake() {
 			return 0, false
 		}
--- a/pkg/coordinator/holder.go
+++ b/pkg/coordinator/holder.go
@@ -71,11 +71,11 @@
 	nodes       map[string]*nodeState
 	fleet       fleet
 	slack       relay.SlackPool
-	turns       quarantine.Turns // of suspected requests
-	doubts      doubtLimit       // that are passed on
-	paces       paces            // of servers
-	said        changeLog[noted] // by servers, by their lives
-	quotas      quota.Pool       // safe for other goroutines than the holder's
+	turns       quarantine.Trials // of suspected requests
+	doubts      doubtLimit        // that are passed on
+	paces       paces             // of servers
+	said        changeLog[noted]  // by servers, by their lives
+	quotas      quota.Pool        // safe for other goroutines than the holder's
 	places      holderPlaces
 	slots       backpressure.Slots // at servers with a limit; safe for other goroutines than the holder's
 	scarceTold  []string           // tenants for which the nodes were told to ask
@@ -141,8 +141,8 @@
 func (h *Holder) init() {
 	h.once.Do(func() {
 		h.requests = make(chan func(), 256)
-		h.quotas.Tolerance, h.quotas.Followed = h.Tolerance, h.followedFor
-		h.quotas.Asked, h.quotas.Heard = h.askedPart, h.heardPart
+		h.quotas.Tolerance, h.quotas.MajorityAsksFor = h.Tolerance, h.followedFor
+		h.quotas.AskingFraction, h.quotas.ReportedFraction = h.askedPart, h.heardPart
 		h.nextPlan = make(chan struct{})
 	})
 }
@@ -222,10 +222,10 @@
 	h.fleet.begin(now, record.Fleet, len(h.Nodes()), copied)
 	h.slack.Budget = h.Budget
 	h.slack.Begin(now)
-	h.turns = quarantine.Turns{}
+	h.turns = quarantine.Trials{}
 	h.paces = paces{}
 	h.beginSaid(now)
-	h.Quarantine.Keep(now, record.Aged(storeNow))
+	h.Quarantine.MergeStored(now, record.Aged(storeNow))
 	h.scarceTold, h.spentBefore = nil, nil
 	h.beginPlaces(now, term)
 	h.slots.Begin(now, term)
--- a/pkg/coordinator/member.go
+++ b/pkg/coordinator/member.go
@@ -255,13 +255,13 @@
 	var left []quota.Balance
 	if record, _ := m.Lease.Current(); record.Term != m.storeTold {
 		store = m.store
-		left = m.Holder.quotas.Former(m.Time.Now(), record.Term)
+		left = m.Holder.quotas.FormerBalances(m.Time.Now(), record.Term)
 	}
 	return Beat{
 		Node: m.self(), Uses: m.uses(m.Time.Now()), Knows: m.version, Partial: true, Paged: true, Store: store, Spent: m.ledger.Report(), QuotasLeft: left,
 		Evidence: knownEvidence(m.Quarantine, m.Time.Now(), m.evidence),
 		Paces:    m.Servers.TakeReports(pacesShare(m.Fleet())), KnowsPaces: m.pacesKnown,
-		Places: m.places.ledger.Whole(m.Time.Now()),
+		Places: m.places.ledger.AllReports(m.Time.Now()),
 		Said:   m.hearings.take(m.Time.Now()), KnowsSaid: m.saidKnown,
 	}
 }
@@ -270,7 +270,7 @@
 func (m *Member) takeAnswer(sent time.Time, answer *BeatAnswer) {
 	m.heardTerm(m.Time.Now(), answer.Version.Term)
 	m.tellLedgers(answer.ScarceTenants)
-	m.places.ledger.Told(m.Time.Now(), answer.Crowded)
+	m.places.ledger.UpdateOverloaded(m.Time.Now(), answer.Crowded)
 	m.takeEvidence(answer.Evidence.Parts)
 	m.evidence = answer.Evidence.Sum
 	m.takePaces(sent, answer)
@@ -351,7 +351,7 @@
 		return nil, nil
 	case CrowdNotice:
 		if record, known := m.Lease.Current(); known && record.Term == n.Term {
-			m.places.ledger.Told(m.Time.Now(), n.Crowded)
+			m.places.ledger.UpdateOverloaded(m.Time.Now(), n.Crowded)
 		}
 		return nil, nil
 	case Yield:
--- a/pkg/coordinator/places.go
+++ b/pkg/coordinator/places.go
@@ -53,7 +53,7 @@
 }
 
 // NextPlace implements relay.Places.
-func (m *Member) NextPlace() uint64 { return m.places.ledger.Next() }
+func (m *Member) NextPlace() uint64 { return m.places.ledger.NextID() }
 
 // SentToPlace implements relay.Places.
 func (m *Member) SentToPlace(r admission.Report) {
@@ -79,16 +79,16 @@
 // TakePlace implements relay.Places. It asks only for models that the holder told to be crowded.
 func (m *Member) TakePlace(ctx context.Context, r *admission.Request) (admission.Verdict, error) {
 	now := m.Time.Now()
-	switch m.places.ledger.Look(now, r) {
+	switch m.places.ledger.Check(now, r) {
 	case admission.Free:
 		return admission.Verdict{}, nil
 	case admission.Refused:
-		return admission.Verdict{Kind: admission.Refuse, After: admission.AgainAfter}, errPlaceSilent
+		return admission.Verdict{Kind: admission.Refuse, After: admission.RetryAfter}, errPlaceSilent
 	case admission.Silent:
 		return admission.Verdict{}, errPlaceSilent
 	}
 	r.Place.Node = placeNode(m.Self)
-	news := m.places.ledger.News(now)
+	news := m.places.ledger.NewReports(now)
 	ctx, cancel := context.WithTimeout(ctx, drawTimeout)
 	defer cancel()
 	answer, err := ask[PlaceAnswer](ctx, m, AskPlace{Request: *r, News: news})
@@ -118,7 +118,7 @@
 	if !known || record.Address == "" {
 		return // the next beat tells it
 	}
-	list := m.places.ledger.News(m.Time.Now())
+	list := m.places.ledger.NewReports(m.Time.Now())
 	if len(list) == 0 {
 		return
 	}
@@ -187,7 +187,7 @@
 	if h.places.term.Load() != term {
 		return answer // it has hardly begun and knows nothing
 	}
-	h.logPlaceFaults(now, a.Request.Place.Node, h.places.model.Told(now, a.Request.Place.Node, a.News, false)...)
+	h.logPlaceFaults(now, a.Request.Place.Node, h.places.model.AddReports(now, a.Request.Place.Node, a.News, false)...)
 	verdict, err := h.places.model.Decide(now, &a.Request)
 	if err != nil {
 		h.logPlaceFaults(now, a.Request.Place.Node, err)
@@ -199,7 +199,7 @@
 // takePlaceNews takes in what a node tells between its beats.
 func (h *Holder) takePlaceNews(now time.Time, n PlaceNews) {
 	if term, held := h.Lease.Held(); held && h.places.term.Load() == term {
-		h.logPlaceFaults(now, n.Node, h.places.model.Told(now, n.Node, n.News, false)...)
+		h.logPlaceFaults(now, n.Node, h.places.model.AddReports(now, n.Node, n.News, false)...)
 	}
 }
 
@@ -222,15 +222,15 @@
 // crowded.
 func (h *Holder) takePlaces(now time.Time, b Beat) []admission.Key {
 	node := placeNode(b.Node)
-	whole := len(b.Places) < admission.MostReports // else the list may be cut off
-	h.logPlaceFaults(now, node, h.places.model.Told(now, node, b.Places, whole)...)
+	whole := len(b.Places) < admission.MaxReports // else the list may be cut off
+	h.logPlaceFaults(now, node, h.places.model.AddReports(now, node, b.Places, whole)...)
 	return h.places.told
 }
 
 // watchCrowds finds out which models are crowded and tells all nodes at once if one became so.
 func (h *Holder) watchCrowds(now time.Time) {
 	h.places.model.Expire(now)
-	crowded := h.places.model.Crowded(now, h.replicas)
+	crowded := h.places.model.Overloaded(now, h.replicas)
 	added := slices.ContainsFunc(crowded, func(k admission.Key) bool { return !slices.Contains(h.places.told, k) })
 	if added || len(crowded) != len(h.places.told) {
 		h.Logger.Info("crowded models", "models", crowded, "before", h.places.told, "term", h.term)
--- a/pkg/coordinator/places_test.go
+++ b/pkg/coordinator/places_test.go
@@ -69,7 +69,7 @@
 	}
 	time.Sleep(2 * time.Second)
 	for _, n := range w.nodes {
-		if n.member.places.ledger.Look(time.Now(), crowdRequest(n.member)) != admission.Ask {
+		if n.member.places.ledger.Check(time.Now(), crowdRequest(n.member)) != admission.Ask {
 			w.t.Errorf("%s was not told of the crowd", n.name)
 		}
 	}
@@ -124,7 +124,7 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 		for _, n := range w.nodes {
-			if n.member.places.ledger.Look(time.Now(), crowdRequest(n.member)) != admission.Ask {
+			if n.member.places.ledger.Check(time.Now(), crowdRequest(n.member)) != admission.Ask {
 				t.Errorf("%s was not told", n.name)
 			}
 		}
@@ -204,7 +204,7 @@
 		w.crash(other)
 		time.Sleep(nodeExpiry + time.Second)
 		_, third := w.holderAndOther()
-		third.member.places.ledger.Told(time.Now(), []admission.Key{crowdKey})
+		third.member.places.ledger.UpdateOverloaded(time.Now(), []admission.Key{crowdKey})
 		if v := w.takePlace(third.member, crowdRequest(third.member)); v.Kind != admission.Go {
 			t.Errorf("after the node with all places was found silent: %v", v.Kind)
 		}
@@ -223,9 +223,9 @@
 		for _, id := range ids {
 			other.member.LeftPlace(id, crowdKey)
 		}
-		other.member.places.ledger.News(time.Now()) // they go out and get lost
+		other.member.places.ledger.NewReports(time.Now()) // they go out and get lost
 		time.Sleep(3 * time.Second)
-		other.member.places.ledger.Told(time.Now(), []admission.Key{crowdKey})
+		other.member.places.ledger.UpdateOverloaded(time.Now(), []admission.Key{crowdKey})
 		if v := w.takePlace(other.member, crowdRequest(other.member)); v.Kind != admission.Go {
 			t.Errorf("three seconds after the ends were lost: %v", v.Kind)
 		}
@@ -261,7 +261,7 @@
 		unknown := crowdRequest(other.member)
 		unknown.Servers = []string{"nobody"}
 		for _, r := range []*admission.Request{bad, unknown} {
-			other.member.places.ledger.Told(time.Now(), []admission.Key{crowdKey})
+			other.member.places.ledger.UpdateOverloaded(time.Now(), []admission.Key{crowdKey})
 			if v := w.takePlace(other.member, r); v.Kind != admission.Stand {
 				t.Errorf("%+v: %v", r, v.Kind)
 			}
--- a/pkg/coordinator/quarantine.go
+++ b/pkg/coordinator/quarantine.go
@@ -87,7 +87,7 @@
 
 // InDoubt implements relay.Quarantine.
 func (m *Member) InDoubt(f quarantine.Fingerprint, server string) (rounds int, again bool) {
-	return m.Quarantine.InDoubt(m.Time.Now(), f, server)
+	return m.Quarantine.SuspectedRounds(m.Time.Now(), f, server)
 }
 
 // sharedShows is how long the end of a run apart waits for the words of other requests on the same
@@ -165,7 +165,7 @@
 
 // Ended implements relay.Quarantine.
 func (m *Member) Ended(r quarantine.Run) {
-	if !r.Apart() {
+	if !r.Decisive() {
 		m.ended(r)
 		return
 	}
@@ -195,7 +195,7 @@
 
 // ended takes in the evidence of a run whose server ended, and has it told.
 func (m *Member) ended(r quarantine.Run) {
-	change := m.Quarantine.Merge(m.Time.Now(), r.Ended())
+	change := m.Quarantine.Merge(m.Time.Now(), r.CrashEvidence())
 	m.Logger.Info("server ended under request", "fingerprint", r.Request.String(), "request_id", r.RequestID, "service", r.Service,
 		"server", r.Server, "round", r.Round, "rounds_in_doubt", r.Doubts, "ended_under_it", change.Servers(), "standing", change.Now.String())
 	m.tellEvidence(change)
@@ -203,14 +203,14 @@
 
 // Ran implements relay.Quarantine.
 func (m *Member) Ran(f quarantine.Fingerprint) {
-	change := m.Quarantine.Ran(m.Time.Now(), f)
+	change := m.Quarantine.Completed(m.Time.Now(), f)
 	m.logStanding(change, "the request ran to its end")
 	m.tellEvidence(change)
 }
 
 // Lives implements relay.Quarantine.
 func (m *Member) Lives(server string, sent time.Time) {
-	m.Quarantine.Lives(m.Time.Now(), server, sent)
+	m.Quarantine.ServerAlive(m.Time.Now(), server, sent)
 }
 
 // Lift takes a request out of quarantine, as an operator wants. It tells whether there was
@@ -356,10 +356,10 @@
 		return answer
 	}
 	if t.Keep {
-		h.turns.Keep(now, t.Server, t.Evidence.Request)
+		h.turns.Renew(now, t.Server, t.Evidence.Request)
 		return answer
 	}
-	answer.Granted = h.turns.Take(now, t.Server, t.Evidence.Request)
+	answer.Granted = h.turns.Start(now, t.Server, t.Evidence.Request)
 	h.Logger.Info("turn of a suspected request", "fingerprint", t.Evidence.Request.String(), "service", t.Evidence.Service,
 		"server", t.Server, "granted", answer.Granted)
 	return answer
@@ -371,7 +371,7 @@
 	if len(r.Evidence.Ends) > 0 {
 		h.takeIn(now, []quarantine.Evidence{r.Evidence})
 	}
-	h.turns.Release(r.Server, r.Request)
+	h.turns.End(r.Server, r.Request)
 	h.Logger.Info("turn released", "fingerprint", r.Request.String(), "server", r.Server, "ended_under_it", r.Evidence.Servers(),
 		"standing", h.Quarantine.Standing(now, r.Request).String())
 }
--- a/pkg/coordinator/quotas.go
+++ b/pkg/coordinator/quotas.go
@@ -51,12 +51,12 @@
 }
 
 func newDrawAnswer(term uint64, a quota.Answer) DrawAnswer {
-	return DrawAnswer{Term: term, Granted: a.Granted, After: a.After, Promised: a.Promised, Room: a.Room, Sieve: a.Sieve}
+	return DrawAnswer{Term: term, Granted: a.Granted, After: a.After, Promised: a.Reserved, Room: a.Room, Sieve: a.Sieve}
 }
 
 // answer is the inverse of newDrawAnswer.
 func (d DrawAnswer) answer() quota.Answer {
-	return quota.Answer{Granted: d.Granted, After: d.After, Promised: d.Promised, Room: d.Room, Sieve: d.Sieve}
+	return quota.Answer{Granted: d.Granted, After: d.After, Reserved: d.Promised, Room: d.Room, Sieve: d.Sieve}
 }
 
 // DeputyDraw asks the deputy for what the holder does not answer. It is answered by a
@@ -75,7 +75,7 @@
 
 // Admit implements relay.Quotas.
 func (m *Member) Admit(ctx context.Context, t *tenant.Tenant, r quota.Request) relay.Admission {
-	verdict, after := m.ledger.LookFor(m.Time.Now(), t, &r)
+	verdict, after := m.ledger.DecideFor(m.Time.Now(), t, &r)
 	var err error
 	if verdict == quota.Ask {
 		var answer DrawAnswer
@@ -137,17 +137,17 @@
 func (m *Member) admitAlone(ctx context.Context, t *tenant.Tenant, r quota.Request, cause error) relay.Admission {
 	answer, err := m.drawFromDeputy(ctx, DeputyDraw(newDraw(t, r)))
 	if err != nil {
-		return admitted(m.ledger.GoAloneFor(m.Time.Now(), t, r, m.Fleet()), err)
+		return admitted(m.ledger.DecideAloneFor(m.Time.Now(), t, r, m.Fleet()), err)
 	}
 	if answer.Granted {
-		m.ledger.LentFor(t, r)
+		m.ledger.DeputyGrantedFor(t, r)
 	}
 	return admitted(answer.answer(), cause)
 }
 
 // admitted is an answer for package relay; err: why the holder could not be asked.
 func admitted(a quota.Answer, err error) relay.Admission {
-	return relay.Admission{Granted: a.Granted, Reserved: a.Promised, After: a.After, Room: a.Room, Err: err}
+	return relay.Admission{Granted: a.Granted, Reserved: a.Reserved, After: a.After, Room: a.Room, Err: err}
 }
 
 // drawFromDeputy has the deputy decide, which may be this node.
@@ -194,7 +194,7 @@
 // drawAsDeputy decides for the holder: by asking it, if this node hears of it, or by what
 // all nodes together may let in without it.
 func (m *Member) drawAsDeputy(ctx context.Context, d DeputyDraw) (DrawAnswer, error) {
-	if m.ledger.Hears(m.Time.Now()) {
+	if m.ledger.HearsHolder(m.Time.Now()) {
 		if answer, err := m.drawFromHolder(ctx, Draw(d)); err == nil {
 			return answer, nil
 		}
@@ -203,7 +203,7 @@
 	if t == nil {
 		return DrawAnswer{}, errNoDeputy
 	}
-	return newDrawAnswer(0, m.deputized.GoAloneFor(m.Time.Now(), t, Draw(d).request(), 1)), nil
+	return newDrawAnswer(0, m.deputized.DecideAloneFor(m.Time.Now(), t, Draw(d).request(), 1)), nil
 }
 
 // tenant returns the tenant of a name, nil if the configuration in force has none.
@@ -217,10 +217,10 @@
 // tellLedgers takes in for which tenants the holder is to be asked.
 func (m *Member) tellLedgers(scarce []string) {
 	now := m.Time.Now()
-	if m.ledger.Told(now, scarce) {
+	if m.ledger.UpdateScarce(now, scarce) {
 		m.beatSoon()
 	}
-	m.deputized.Told(now, scarce)
+	m.deputized.UpdateScarce(now, scarce)
 }
 
 // errNoDeputy means that no node decides on quotas without the holder.
@@ -241,7 +241,7 @@
 func (m *Member) ScarceTold() []string { return m.ledger.Scarce() }
 
 // Unheard returns for how long this node has not heard of the holder; zero if it never did.
-func (m *Member) Unheard(now time.Time) time.Duration { return m.ledger.Unheard(now) }
+func (m *Member) Unheard(now time.Time) time.Duration { return m.ledger.SinceHeard(now) }
 
 // tenants returns those of the configuration in force, nil if there are none.
 func (h *Holder) tenants() *tenant.Table {
@@ -328,7 +328,7 @@
 	if added {
 		h.tellScarce(scarce)
 	}
-	if added || h.quotas.Owes() {
+	if added || h.quotas.RecordDue() {
 		h.recordScarce(now)
 	}
 	if !slices.Equal(scarce, h.scarceTold) {
@@ -364,7 +364,7 @@
 func (h *Holder) spend(now time.Time, tenants *tenant.Table, r report) {
 	for _, one := range r.left {
 		if t := tenants.Named(one.Tenant); t != nil {
-			h.quotas.Left(now, t, one.Amount+t.Quota.PerSecond*now.Sub(r.at).Seconds())
+			h.quotas.CorrectBalance(now, t, one.Amount+t.Quota.PerSecond*now.Sub(r.at).Seconds())
 		}
 	}
 	if len(r.left) > 0 {
--- a/pkg/coordinator/shares_test.go
+++ b/pkg/coordinator/shares_test.go
@@ -46,7 +46,7 @@
 	if got := recode[Draw](t, newDraw(of, r)); got.request() != r {
 		t.Errorf("%+v is read, want %+v", got.request(), r)
 	}
-	answer := quota.Answer{Promised: true, After: time.Second, Room: quota.Room{Share: 1}, Sieve: quota.Sieve{Part: 0.5, Salt: 3}}
+	answer := quota.Answer{Reserved: true, After: time.Second, Room: quota.Room{Share: 1}, Sieve: quota.Sieve{Part: 0.5, Salt: 3}}
 	if got := recode[oldAnswer](t, newDrawAnswer(4, answer)); got != (oldAnswer{4, false, time.Second}) {
 		t.Errorf("an older node reads %+v", got)
 	}
@@ -56,9 +56,9 @@
 	var l quota.Ledger
 	one := &tenant.Tenant{Name: "a", Quota: tenant.Quota{PerSecond: 1000, Tokens: true}}
 	now := time.Unix(1000, 0)
-	l.Told(now, []string{"a"})
+	l.UpdateScarce(now, []string{"a"})
 	l.Answered(now, one, r, recode[DrawAnswer](t, oldAnswer{4, false, time.Second}).answer())
-	if verdict, _ := l.LookFor(now, one, &quota.Request{Route: "r", Mark: quota.Mark{2}}); verdict != quota.Ask {
+	if verdict, _ := l.DecideFor(now, one, &quota.Request{Route: "r", Mark: quota.Mark{2}}); verdict != quota.Ask {
 		t.Errorf("after a refusal by an older holder a node decides %d by itself", verdict)
 	}
 }
--- a/pkg/coordinator/world_test.go
+++ b/pkg/coordinator/world_test.go
@@ -167,7 +167,7 @@
 	n.holder.Nodes, n.holder.Unheard, n.holder.ScarceTold = n.member.Nodes, n.member.Unheard, n.member.ScarceTold
 	own.Fleet, own.AllowOffline = n.holder.Fleet, n.holder.MayGoOn
 	own.Quotas = n.holder.QuotaBalances
-	own.Quarantine = func(recorded []quarantine.Aged) []quarantine.Aged { return known.Keep(time.Now(), recorded) }
+	own.Quarantine = func(recorded []quarantine.Aged) []quarantine.Aged { return known.MergeStored(time.Now(), recorded) }
 	if *exploreLogs {
 		own.Log = func(message string, fields ...any) { n.holder.Logger.Info(message, fields...) }
 	}
--- a/pkg/gateway/quarantine.go
+++ b/pkg/gateway/quarantine.go
@@ -26,7 +26,7 @@
 // suspected runs at one engine in each try.
 func (c *call) engineEnded(server string, round int) bool {
 	run := quarantine.Run{Request: c.fingerprint, Service: string(c.model.Service), Server: server, Round: round}
-	change := c.gateway.quarantine.Merge(c.gateway.config.Now(), run.Ended())
+	change := c.gateway.quarantine.Merge(c.gateway.config.Now(), run.CrashEvidence())
 	c.gateway.config.Logger.Warn("engine ended under request", "request_id", c.record.requestID, "fingerprint", c.fingerprint.String(),
 		"server", server, "ended_under_it", change.Servers(), "standing", change.Now.String())
 	return change.Now == quarantine.Free
@@ -34,5 +34,5 @@
 
 // ran notes that an engine ran the request, or began to and lives.
 func (c *call) ran() {
-	c.gateway.quarantine.Ran(c.gateway.config.Now(), c.fingerprint)
+	c.gateway.quarantine.Completed(c.gateway.config.Now(), c.fingerprint)
 }
--- a/pkg/quarantine/doc.go
+++ b/pkg/quarantine/doc.go
@@ -1,18 +1,21 @@
-// Package quarantine keeps requests that end the servers that run them from more servers.
+// Package quarantine stops requests that crash the servers that run them from reaching more
+// servers.
 //
-// A connection that breaks under a request may mean much: a crash of the server by itself,
-// a kill, a neighbour's request. Evidence against a request is that different servers ended
-// within a moment of beginning to run it, and that none has run it to its end since. With
-// one such end the request goes on as any other: most that ran at a server when it ended
-// are innocent. With two, the second under a run that began after the first was known, it is
-// suspected and runs apart: of all suspected requests one at a server at a time, over all
-// nodes, so that the next end tells which of them it was. With a third round it is in
-// quarantine and goes to no server until that lapses or is lifted, unless other suspected
-// requests ended the servers of that round as well: then its next turn tells.
+// A connection that breaks under a request has many possible causes: the server crashed by itself,
+// it was killed, or another request crashed it. Evidence against a request is that several servers
+// crashed shortly after they began to run it, and that none has completed it since. After one such
+// crash the request is handled like any other, since most requests that were running on a crashed
+// server are harmless. After two, where the second run began after the first crash was known, the
+// request is suspected and runs in trials: over all nodes, a server runs only one suspected request
+// at a time, so that the next crash shows which of them caused it. After a third round the request
+// is in quarantine. It goes to no server until the quarantine expires or is lifted. If other
+// suspected requests also crashed the servers of the third round, the request's next trial decides
+// instead.
 //
-// A request that ran to its end within the last minute, at any node, is not blamed.
+// A request that any node completed within the last minute is not blamed.
 //
-// fingerprint.go names a request that comes again; ran.go remembers those that ran;
-// evidence.go is what is known of one, and how the words of several nodes become one; table.go
-// holds it on each node; turns.go has suspected requests run one at a time.
+// fingerprint.go identifies a request that comes again. completed.go remembers completed requests.
+// evidence.go has what is known of a request, and how reports of several nodes are merged.
+// suspicion.go has runs that may have crashed their servers. table.go keeps all of this on each
+// node. trials.go has suspected requests run one at a time.
 package quarantine
--- a/pkg/quarantine/evidence.go
+++ b/pkg/quarantine/evidence.go
@@ -6,17 +6,17 @@
 	"strings"
 )
 
-// Standing is what may be done with a request.
+// Standing says whether and how a request may run.
 type Standing uint8
 
 // The standings.
 const (
-	Free        Standing = iota // it runs as any other
-	Suspected                   // it runs alone, see Turns
-	Quarantined                 // it does not run
+	Free        Standing = iota // runs like any other request
+	Suspected                   // runs alone, see Trials
+	Quarantined                 // does not run
 )
 
-// String names the standing in logs.
+// String returns the name that is used in logs.
 func (s Standing) String() string {
 	switch s {
 	case Suspected:
@@ -28,99 +28,101 @@
 	}
 }
 
-// Ends of servers and rounds of them from which a request is suspected and in quarantine. A
-// round is of runs none of which began after another's end was known: many copies of an
-// innocent request break at once beside one that ends servers. One end says little: up to all
-// places of a server break at its end. Two rounds happen to innocents as well, as all that ran
-// at a server are sent on together; the third round is of a run apart from other suspected
-// requests, and tells which of them it was. The users' rules allow three ends before retries
-// count, and three retries.
+// The number of crashes, and of rounds of crashes, after which a request is suspected or in
+// quarantine. The runs of one round all began before a crash of that round was known: many copies
+// of a harmless request break at once when another request crashes servers.
+//
+// One crash says little, since it may break as many requests as the server has places. Two rounds
+// happen to harmless requests as well, because all requests of a crashed server are sent on
+// together. The third round is a trial apart from other suspected requests and shows which of them
+// caused the crash. The users' rules allow three crashes before retries count, and three retries.
 const (
 	suspectedRounds   = 2
-	suspectedEnds     = 3 // in whatever rounds
+	suspectedCrashes  = 3 // in any rounds
 	quarantinedRounds = 3
 )
 
-// maxEnds bounds the ends that are kept of a request: those of the last rounds. Copies that
-// break at once may be many in one round; with the first ones kept instead, later rounds did
-// not count and the request ran on (soak, seed 202: eight ends in two rounds, then nine more).
+// maxEnds bounds the crashes that are kept of a request. Those of the last rounds are kept, as many
+// copies may break at once in one round. If the first ones were kept instead, later rounds would
+// not count, and the request would keep running: it crashed nine more servers after eight crashes
+// in two rounds.
 const maxEnds = 8
 
-// End is that a server ended under a request.
+// End records that a server crashed under a request.
 type End struct {
-	Server  string // of one life; a restarted server has another ID
-	Round   int    // one more than of the ends that were known when the request began there
-	Cleared bool   // the request ran to its end at another one since, or an operator lifted it
-	// Doubts is how many rounds more it is if all runs that were in doubt as the request began there ended
-	// their servers, see Doubt.
+	Server  string // ID of one incarnation; a restarted server has another ID
+	Round   int    // one more than the rounds that were known when the run began
+	Cleared bool   // a server completed the request since, or an operator lifted the quarantine
+	// Doubts is the number of additional rounds if all runs that were under suspicion when this run
+	// began crashed their servers, see Doubt.
 	Doubts int `json:",omitempty"`
 }
 
-// last is the round with those in doubt.
-func (e End) last() int { return e.Round + e.Doubts }
+// maxRound returns the round if all earlier suspicions were crashes.
+func (e End) maxRound() int { return e.Round + e.Doubts }
 
-// Run is one run of a request at a server, as it begins.
+// Run is one run of a request on a server, as of its beginning.
 type Run struct {
 	Request   Fingerprint
 	Service   string
 	Server    string
-	Round     int    // of its end, if the server ends
-	Doubts    int    // rounds more by runs in doubt, see End
-	Again     bool   // an earlier run there was in doubt: if that ended the server, this one is at what took its place
-	RequestID string // of the caller's try, for logs
-	// ByRecord tells that its server's end showed by the server's record alone, as behind what never
-	// refuses a connection.
+	Round     int    // round of the crash, if the server crashes
+	Doubts    int    // additional rounds by suspicions, see End
+	Again     bool   // an earlier run there is under suspicion: if it crashed the server, this run is on its successor
+	RequestID string // of the caller's attempt, for logs
+	// ByRecord is set if only the server's record showed its crash, as with servers behind a proxy
+	// that never refuses connections.
 	ByRecord bool
 }
 
-// Apart tells whether it is a run that puts the request in quarantine if its server ends.
-func (r Run) Apart() bool { return r.Round+r.Doubts >= quarantinedRounds }
+// Decisive reports whether a crash of the run's server puts the request in quarantine.
+func (r Run) Decisive() bool { return r.Round+r.Doubts >= quarantinedRounds }
 
-// againMark stands between a server and the round of a run at what took its place.
-const againMark = "#"
+// repeatMark separates a server's ID from the round of a run on the server's successor.
+const repeatMark = "#"
 
-// Ended is the evidence that its server ended under a run.
-func (r Run) Ended() Evidence {
+// CrashEvidence returns the evidence that the run's server crashed under it.
+func (r Run) CrashEvidence() Evidence {
 	server := r.Server
 	if r.Again {
-		server += againMark + strconv.Itoa(r.Round+r.Doubts)
+		server += repeatMark + strconv.Itoa(r.Round+r.Doubts)
 	}
 	return Evidence{Request: r.Request, Service: r.Service, Ends: []End{{Server: server, Round: r.Round, Doubts: r.Doubts}}}
 }
 
-// listed returns the server of an end as it was listed.
-func listed(server string) string {
-	name, _, _ := strings.Cut(server, againMark)
+// listedServer returns the ID under which the server of an End is listed.
+func listedServer(server string) string {
+	name, _, _ := strings.Cut(server, repeatMark)
 	return name
 }
 
-// Evidence is what is known of a request. Words of different nodes are merged in any order
-// and any number of times with the same result.
+// Evidence is what is known of a request. Merging the evidence of different nodes in any order and
+// any number of times gives the same result.
 type Evidence struct {
 	Request Fingerprint
 	Service string
-	Ends    []End // by server
-	// Doubts are of runs whose servers may have ended; nodes tell them with questions for turns, and the
-	// platform's store does not keep them.
+	Ends    []End // sorted by server
+	// Doubts lists the runs that may have crashed their servers. Nodes send them when they ask for
+	// trials. They are not stored in the platform's store.
 	Doubts []Doubt `json:",omitempty"`
 }
 
-// Standing is by the ends of this request that nothing cleared; Table.Standing looks at those of
-// others as well.
+// Standing returns the standing by this request's crashes that are not cleared. Table.Standing also
+// considers other requests.
 func (e *Evidence) Standing() Standing {
 	rounds := e.rounds()
 	switch {
 	case rounds >= quarantinedRounds:
 		return Quarantined
-	case rounds >= suspectedRounds, len(e.Servers()) >= suspectedEnds:
+	case rounds >= suspectedRounds, len(e.Servers()) >= suspectedCrashes:
 		return Suspected
 	default:
 		return Free
 	}
 }
 
-// rounds returns how many there were of the ends that nothing cleared. A round in doubt counts once there are ends of
-// it and of the one before.
+// rounds returns the number of rounds with crashes that are not cleared. A round that may be higher
+// because of suspicions counts as soon as there are crashes of that round and of the one before.
 func (e *Evidence) rounds() int {
 	rounds := 0
 	for _, end := range e.Ends {
@@ -134,12 +136,12 @@
 	return rounds
 }
 
-// hasRound tells whether a server ended in a round, by what was in doubt as well.
+// hasRound reports whether a server crashed in a round, counting suspicions as crashes.
 func (e *Evidence) hasRound(round int) bool {
-	return slices.ContainsFunc(e.Ends, func(end End) bool { return !end.Cleared && end.last() == round })
+	return slices.ContainsFunc(e.Ends, func(end End) bool { return !end.Cleared && end.maxRound() == round })
 }
 
-// merge takes in what another node knows. It tells whether anything was new.
+// merge adds what another node knows. It reports whether anything was new.
 func (e *Evidence) merge(other Evidence) bool {
 	before := slices.Clone(e.Ends)
 	for _, end := range other.Ends {
@@ -153,32 +155,32 @@
 		}
 	}
 	for len(e.Ends) > maxEnds {
-		e.dropOne()
+		e.dropEarliest()
 	}
 	return !slices.Equal(before, e.Ends)
 }
 
-// dropOne forgets the end that tells least: one of the first round.
-func (e *Evidence) dropOne() {
+// dropEarliest drops the crash that says least, which is one of the earliest round.
+func (e *Evidence) dropEarliest() {
 	least := 0
 	for i, end := range e.Ends {
-		if end.last() < e.Ends[least].last() {
+		if end.maxRound() < e.Ends[least].maxRound() {
 			least = i
 		}
 	}
 	e.Ends = slices.Delete(e.Ends, least, least+1)
 }
 
-// merge takes in another word on the same end. Of several runs at the server the one that began
-// last counts.
+// merge combines two reports of the same crash. If there were several runs on the server, the last
+// one counts.
 func (e *End) merge(other End) {
-	last := max(e.last(), other.last())
+	last := max(e.maxRound(), other.maxRound())
 	e.Round = max(e.Round, other.Round)
 	e.Doubts = last - e.Round
 	e.Cleared = e.Cleared || other.Cleared
 }
 
-// clear takes all ends as not caused by the request. It tells whether anything changed.
+// clear marks all crashes as not caused by the request. It reports whether anything changed.
 func (e *Evidence) clear() bool {
 	changed := false
 	for i := range e.Ends {
@@ -188,26 +190,27 @@
 	return changed
 }
 
-// ended tells whether a server, or what took its place, ended under the request and nothing cleared that.
-func (e *Evidence) ended(server string) bool {
-	return slices.ContainsFunc(e.Ends, func(end End) bool { return listed(end.Server) == listed(server) && !end.Cleared })
+// crashed reports whether a server or its successor crashed under the request and the crash is not
+// cleared.
+func (e *Evidence) crashed(server string) bool {
+	return slices.ContainsFunc(e.Ends, func(end End) bool { return listedServer(end.Server) == listedServer(server) && !end.Cleared })
 }
 
-// Servers returns the servers that ended under the request, but those that are cleared.
+// Servers returns the servers that crashed under the request, except cleared ones.
 func (e *Evidence) Servers() []string { return e.serversFrom(0) }
 
-// serversFrom is Servers of a round and later ones.
+// serversFrom is Servers for the given round and later ones.
 func (e *Evidence) serversFrom(round int) []string {
 	var list []string
 	for _, end := range e.Ends {
-		if !end.Cleared && end.last() >= round {
+		if !end.Cleared && end.maxRound() >= round {
 			list = append(list, end.Server)
 		}
 	}
 	return list
 }
 
-// copy returns evidence that shares nothing with e, without doubts.
+// copy returns a copy that shares no memory with e and has no suspicions.
 func (e *Evidence) copy() Evidence {
 	return Evidence{Request: e.Request, Service: e.Service, Ends: slices.Clone(e.Ends)}
 }
--- a/pkg/quarantine/fingerprint.go
+++ b/pkg/quarantine/fingerprint.go
@@ -9,13 +9,13 @@
 	"github.com/pkg/errors"
 )
 
-// Fingerprint names a request by what makes it the same one when it comes again, at any
-// node and under any request id: its method, host, target and body. Headers don't count, as
-// retries change some of them. Neither does the caller: what ends a server does so whoever
-// sends it, and callers come back from other addresses.
+// Fingerprint identifies a request when it comes again, at any node and with any request ID, by its
+// method, host, target and body. Headers don't count because retries change some of them. The
+// caller doesn't count because a request crashes servers whoever sends it, and callers come back
+// from other addresses.
 //
-// It is a digest of 128 bits without a key, which all nodes would have to share: nobody
-// finds another request with the same fingerprint.
+// It is a digest of 128 bits without a key, which all nodes would have to share. Nobody can find
+// another request with the same fingerprint.
 type Fingerprint [16]byte
 
 // FingerprintOf returns the fingerprint of a request.
@@ -30,7 +30,8 @@
 	return f
 }
 
-// writePart adds a part behind its length, so that no two lists of parts look the same.
+// writePart writes a part after its length, so that different lists of parts never have the same
+// encoding.
 func writePart(sum hash.Hash, part []byte) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(part)))
@@ -38,10 +39,10 @@
 	_, _ = sum.Write(part)
 }
 
-// ErrFingerprint means that a text is no fingerprint.
+// ErrFingerprint is returned for a text that is not a fingerprint.
 var ErrFingerprint = errors.New("quarantine: not a fingerprint of 32 hexadecimal digits")
 
-// ParseFingerprint is the inverse of String.
+// ParseFingerprint parses the result of String.
 func ParseFingerprint(text string) (Fingerprint, error) {
 	var f Fingerprint
 	raw, err := hex.DecodeString(text)
--- a/pkg/quarantine/fingerprint_test.go
+++ b/pkg/quarantine/fingerprint_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestFingerprintTellsRequestsApart moves bytes between the parts of a request and changes
-// each one.
+// TestFingerprintTellsRequestsApart changes each part of a request and moves bytes from one part to
+// the next. Each change must change the fingerprint.
 func TestFingerprintTellsRequestsApart(t *testing.T) {
 	base := FingerprintOf("POST", "h", "/p/x", []byte("body"))
 	if again := FingerprintOf("POST", "h", "/p/x", []byte("body")); again != base {
@@ -26,7 +26,7 @@
 	}
 }
 
-// FuzzParseFingerprint takes any text: what is read is written the same way again.
+// FuzzParseFingerprint checks that any text that is parsed is formatted as the same text again.
 func FuzzParseFingerprint(f *testing.F) {
 	f.Add("00112233445566778899aabbccddeeff")
 	f.Add("00112233445566778899AABBCCDDEEFF")
@@ -35,14 +35,12 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		print, err := ParseFingerprint(text)
 		if err == nil && print.String() != strings.ToLower(text) {
-			t.Errorf("%q was read as %s", text, print)
+			t.Errorf("%q was parsed as %s", text, print)
 		}
 	})
 }
 
-// BenchmarkFingerprint is the cost for each request, with a body as those of drafts.
-// It is new: before, nothing was spent; now
-// 1.2 microseconds on one core of the machine that ran it.
+// BenchmarkFingerprint measures the cost per request, with a body of typical size.
 func BenchmarkFingerprint(b *testing.B) {
 	body := []byte(strings.Repeat("a", 2000))
 	for b.Loop() {
--- /dev/null
+++ b/pkg/quarantine/suspicion_test.go
@@ -0,0 +1,140 @@
+package quarantine
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// beginRun returns a run that begins on a server.
+func beginRun(table *Table, f Fingerprint, now time.Time, server string) Run {
+	doubts, again := table.SuspectedRounds(now, f, server)
+	return Run{Request: f, Server: server, Round: table.NextRound(now, f), Doubts: doubts, Again: again}
+}
+
+// suspectRuns runs the request on servers one after the other and has each connection break.
+func suspectRuns(table *Table, f Fingerprint, now time.Time, servers ...string) {
+	for _, server := range servers {
+		table.Suspect(now, beginRun(table, f, now, server))
+	}
+}
+
+// TestSuspicionsNeverQuarantine: after two broken connections the request is suspected, but no
+// number of broken connections puts it in quarantine while no server is known to have crashed.
+func TestSuspicionsNeverQuarantine(t *testing.T) {
+	var table Table
+	f := request(1)
+	for i := range 6 {
+		want := Suspected
+		if i < 2 {
+			want = Free
+		}
+		if got := table.Standing(testStart, f); got != want {
+			t.Errorf("after %d broken runs the request is %v, want %v", i, got, want)
+		}
+		suspectRuns(&table, f, testStart, fmt.Sprintf("i-%d", i))
+	}
+	if list := table.Restricted(testStart); len(list) > 0 {
+		t.Errorf("suspicions are shared and stored like crashes: %+v", list)
+	}
+}
+
+// TestSuspicionsConfirmedAsCrashesCount: once the crashes of two runs and of a trial are known, the
+// request is in quarantine.
+func TestSuspicionsConfirmedAsCrashesCount(t *testing.T) {
+	var table Table
+	f := request(1)
+	var runs []Run
+	for i := range 3 {
+		runs = append(runs, beginRun(&table, f, testStart, fmt.Sprintf("i-%d", i)))
+		table.Suspect(testStart, runs[i])
+	}
+	for _, r := range runs {
+		table.Merge(testStart.Add(time.Second), r.CrashEvidence())
+	}
+	if got := table.Standing(testStart.Add(time.Second), f); got != Quarantined {
+		t.Errorf("the request is %v, want quarantined", got)
+	}
+}
+
+// TestSuspicionsExpire: a suspicion ends after its time, when the server answers a request that was
+// sent later, and when the request completes.
+func TestSuspicionsExpire(t *testing.T) {
+	f := request(1)
+	for _, c := range []struct {
+		name string
+		do   func(table *Table)
+		at   time.Duration
+		want Standing
+	}{
+		{"just before their time is over", func(*Table) {}, SuspicionTime - 1, Suspected},
+		{"their time is over", func(*Table) {}, SuspicionTime, Free},
+		{"one of the servers answers", func(table *Table) {
+			table.ServerAlive(testStart.Add(time.Second), "i-1", testStart.Add(time.Millisecond))
+		}, time.Second, Free},
+		{"it answers what was sent before", func(table *Table) {
+			table.ServerAlive(testStart.Add(time.Second), "i-1", testStart.Add(-time.Millisecond))
+		}, time.Second, Suspected},
+		{"another server answers", func(table *Table) {
+			table.ServerAlive(testStart.Add(time.Second), "i-9", testStart.Add(time.Millisecond))
+		}, time.Second, Suspected},
+		{"the request ran to its end", func(table *Table) { table.Completed(testStart.Add(time.Second), f) }, time.Second, Free},
+	} {
+		var table Table
+		suspectRuns(&table, f, testStart, "i-0", "i-1")
+		c.do(&table)
+		if got := table.Standing(testStart.Add(c.at), f); got != c.want {
+			t.Errorf("%s: the request is %v, want %v", c.name, got, c.want)
+		}
+	}
+}
+
+// TestRunsAtOneServerOneAfterTheOther: if a server's new incarnations are listed late, all runs
+// have the ID of the one that crashed first. They still count as crashes of different incarnations.
+func TestRunsAtOneServerOneAfterTheOther(t *testing.T) {
+	var table Table
+	f := request(1)
+	var runs []Run
+	for range 3 {
+		runs = append(runs, beginRun(&table, f, testStart, "i-0"))
+		table.Suspect(testStart, runs[len(runs)-1])
+	}
+	for _, r := range runs {
+		table.Merge(testStart.Add(time.Second), r.CrashEvidence())
+	}
+	if got := table.Standing(testStart.Add(time.Second), f); got != Quarantined {
+		t.Errorf("the request is %v, want quarantined", got)
+	}
+}
+
+// TestRoundsOfSuspicionsAreNotCrashes: a harmless request whose connections broke twice and that
+// then runs on a crashing server has one crash, not three.
+func TestRoundsOfSuspicionsAreNotCrashes(t *testing.T) {
+	var table Table
+	f := request(1)
+	suspectRuns(&table, f, testStart, "i-0", "i-1")
+	run := beginRun(&table, f, testStart, "i-2")
+	if !run.Decisive() {
+		t.Errorf("its third run is not decisive: %+v", run)
+	}
+	later := testStart.Add(SuspicionTime)
+	table.Merge(later, run.CrashEvidence())
+	if got := table.Standing(later, f); got != Free {
+		t.Errorf("after one crash the request is %v, want free", got)
+	}
+}
+
+// TestOtherNodesLearnOfSuspicions: the suspicions that a node sends when it asks for a trial make
+// other nodes suspect the request, for as long as at that node.
+func TestOtherNodesLearnOfSuspicions(t *testing.T) {
+	var here, there Table
+	f := request(1)
+	suspectRuns(&here, f, testStart, "i-0", "i-1")
+	asked := testStart.Add(2 * time.Second)
+	if c := there.Merge(asked, here.Evidence(asked, f, "s")); !c.New || c.Now != Suspected {
+		t.Errorf("merging it at the other node gives %+v, want a new suspected request", c)
+	}
+	if got := there.Standing(testStart.Add(SuspicionTime), f); got != Free {
+		t.Errorf("after SuspicionTime the request is %v, want free", got)
+	}
+}
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -11,96 +11,98 @@
 
 // Bounds of a table.
 const (
-	// Lifetime is how long evidence counts after its last end. Requests that end servers come
-	// again within seconds to minutes; who is in quarantine wrongly is so no longer than this.
+	// Lifetime is how long evidence counts after its last crash. Requests that crash servers come
+	// again within seconds to minutes. A request that is wrongly in quarantine stays there no
+	// longer than this.
 	Lifetime = 10 * time.Minute
-	// maxEntries bounds the requests of which a node keeps evidence, some 300 bytes each. A
-	// loss of 20 servers with 64 places each leaves 1,280; beyond the bound those with the
-	// least evidence, and of these the oldest, are forgotten.
+	// maxEntries bounds the requests of which a node keeps evidence, at some 300 bytes each. A loss
+	// of 20 servers with 64 places each gives 1,280 entries. Beyond the bound, the entries with the
+	// least evidence are dropped, the oldest of them first.
 	maxEntries = 4096
-	// maxRestricted bounds the evidence that nodes tell each other again and that the store keeps,
-	// some 200 bytes each.
+	// maxRestricted bounds the evidence that nodes exchange again and that the store keeps, at some
+	// 200 bytes each.
 	maxRestricted = 64
 )
 
-// entry is the evidence on a request at a node.
+// entry is a node's evidence on a request.
 type entry struct {
 	Evidence
-	at     time.Time // of the last news
-	doubts []doubt
+	updated    time.Time // time of the last new evidence
+	suspicions []suspicion
 
-	// Whether other suspected requests share its last round, and the table's number of changes that
-	// this was found at.
-	shared   bool
-	sharedAt uint64
+	// shared says whether other suspected requests share the entry's last round, as computed when
+	// the table's change counter was sharedAtChange.
+	shared         bool
+	sharedAtChange uint64
 }
 
-// Table is what a node knows. The zero value is ready. Safe for concurrent use.
+// Table is a node's knowledge of crashing requests. The zero value is ready. It is safe for
+// concurrent use.
 type Table struct {
-	mu      sync.Mutex
-	entries map[Fingerprint]*entry
-	ran     ranSet
-	changes uint64 // of entries
-	// doubted is until when there may be doubts at a server.
-	doubted map[string]time.Time
+	mu        sync.Mutex
+	entries   map[Fingerprint]*entry
+	completed completedSet
+	changes   uint64 // counts changes of entries
+	// suspectedUntil is, for each server, until when there may be suspicions.
+	suspectedUntil map[string]time.Time
 }
 
-// Change is what news did to what is known of a request.
+// Change is the effect of new evidence on a request.
 type Change struct {
 	Evidence
 	Before, Now Standing
-	New         bool // anything was not known
+	New         bool // whether anything was new
 }
 
-// Standing returns what may be done with a request.
+// Standing returns the standing of a request.
 func (t *Table) Standing(now time.Time, f Fingerprint) Standing {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if e := t.live(now, f); e != nil {
+	if e := t.liveEntry(now, f); e != nil {
 		return t.standing(now, e)
 	}
 	return Free
 }
 
-// standing is by the ends of all requests. The run of the third round is to be apart, so that its
-// server's end tells which request it was; where another suspected one ended the same server, at a
-// node that did not know of turns yet, it tells nothing, and the next turn does. A fourth round counts
-// in any case: a request that ends servers and is never alone takes one server more. Doubts make it no
-// more than suspected. The caller holds mu.
+// standing considers the crashes of all requests. The run of the third round is a trial, so that a
+// crash shows which request caused it. If another suspected request crashed the same server,
+// because a node did not know of trials yet, the crash shows nothing and the next trial decides. A
+// fourth round counts in any case: a request that crashes servers and is never alone takes one more
+// server. Suspicions alone never make a request more than suspected. The caller holds mu.
 func (t *Table) standing(now time.Time, e *entry) Standing {
 	s := e.Standing()
-	if s == Free && e.isDoubted() {
+	if s == Free && e.suspectedBySuspicion() {
 		return Suspected
 	}
-	if s == Quarantined && e.rounds() == quarantinedRounds && t.sharesLast(now, e) {
+	if s == Quarantined && e.rounds() == quarantinedRounds && t.lastRoundShared(now, e) {
 		return Suspected
 	}
 	return s
 }
 
-// sharesLast tells whether other suspected requests ended all servers of a request's last round. The
-// answer is kept until an entry changes: it looks at all entries, and a request in quarantine may come
-// thousands of times. The caller holds mu.
-func (t *Table) sharesLast(now time.Time, e *entry) bool {
-	if e.sharedAt != t.changes {
-		e.shared = t.share(now, e)
-		e.sharedAt = t.changes
+// lastRoundShared reports whether other suspected requests crashed all servers of a request's last
+// round. The result is cached until an entry changes, since it takes a scan of all entries and a
+// request in quarantine may come thousands of times. The caller holds mu.
+func (t *Table) lastRoundShared(now time.Time, e *entry) bool {
+	if e.sharedAtChange != t.changes {
+		e.shared = t.computeLastRoundShared(now, e)
+		e.sharedAtChange = t.changes
 	}
 	return e.shared
 }
 
-// share is sharesLast, without what is kept. The caller holds mu.
-func (t *Table) share(now time.Time, e *entry) bool {
+// computeLastRoundShared is lastRoundShared without the cache. The caller holds mu.
+func (t *Table) computeLastRoundShared(now time.Time, e *entry) bool {
 	last := e.serversFrom(e.rounds())
 	for f := range t.entries {
 		if len(last) == 0 {
 			return true
 		}
-		other := t.live(now, f)
+		other := t.liveEntry(now, f)
 		if other == nil || other == e || other.Standing() == Free {
 			continue
 		}
-		last = slices.DeleteFunc(last, other.ended)
+		last = slices.DeleteFunc(last, other.crashed)
 	}
 	return len(last) == 0
 }
@@ -109,51 +111,52 @@
 func (t *Table) NextRound(now time.Time, f Fingerprint) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if e := t.live(now, f); e != nil {
+	if e := t.liveEntry(now, f); e != nil {
 		return e.rounds() + 1
 	}
 	return 1
 }
 
-// Evidence returns what is known of a request to a service, with its doubts.
+// Evidence returns what is known of a request to a service, including suspicions.
 func (t *Table) Evidence(now time.Time, f Fingerprint, service string) Evidence {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if e := t.live(now, f); e != nil {
+	if e := t.liveEntry(now, f); e != nil {
 		evidence := e.copy()
-		evidence.Doubts = e.tellDoubts(now)
+		evidence.Doubts = e.exportSuspicions(now)
 		return evidence
 	}
 	return Evidence{Request: f, Service: service}
 }
 
-// live returns the entry of a request, nil if there is none. The caller holds mu.
-func (t *Table) live(now time.Time, f Fingerprint) *entry {
+// liveEntry returns the entry of a request, or nil if there is none or it has expired. The caller
+// holds mu.
+func (t *Table) liveEntry(now time.Time, f Fingerprint) *entry {
 	e := t.entries[f]
 	if e == nil {
 		return nil
 	}
-	e.settle(now)
-	if now.Sub(e.at) > Lifetime || len(e.Ends) == 0 && len(e.doubts) == 0 {
+	e.pruneSuspicions(now)
+	if now.Sub(e.updated) > Lifetime || len(e.Ends) == 0 && len(e.suspicions) == 0 {
 		t.drop(f)
 		return nil
 	}
 	return e
 }
 
-// Merge takes in evidence of this node or of another one.
+// Merge adds evidence of this node or of another one.
 func (t *Table) Merge(now time.Time, other Evidence) Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.merge(now, now, other)
 }
 
-// merge takes in evidence whose last news came at a time. The caller holds mu.
+// merge adds evidence whose last news came at the given time. The caller holds mu.
 func (t *Table) merge(now, at time.Time, other Evidence) Change {
-	e := t.live(now, other.Request)
+	e := t.liveEntry(now, other.Request)
 	if e == nil {
 		t.makeRoom(now)
-		e = &entry{Evidence: Evidence{Request: other.Request, Service: other.Service}, at: at}
+		e = &entry{Evidence: Evidence{Request: other.Request, Service: other.Service}, updated: at}
 		if t.entries == nil {
 			t.entries = make(map[Fingerprint]*entry)
 		}
@@ -161,27 +164,27 @@
 	}
 	return t.change(at, e, func() bool {
 		changed := e.merge(other)
-		if t.ran.has(now, other.Request) {
+		if t.completed.has(now, other.Request) {
 			return e.clear() || changed
 		}
-		e.settle(now)
-		if e.mergeDoubts(now, other.Doubts) {
-			t.noteDoubted(now, e.doubts)
+		e.pruneSuspicions(now)
+		if e.mergeSuspicions(now, other.Doubts) {
+			t.noteSuspicions(now, e.suspicions)
 			changed = true
 		}
 		return changed
 	})
 }
 
-// Aged is evidence and how long ago its last news came.
+// Aged is evidence with the time since its last news.
 type Aged struct {
 	Evidence
 	Age time.Duration
 }
 
-// Keep takes in the evidence that the platform's store has and returns what it is to have
-// from now on: of all requests that are suspected or in quarantine.
-func (t *Table) Keep(now time.Time, stored []Aged) []Aged {
+// MergeStored adds the evidence in the platform's store and returns what must be stored from now
+// on: the evidence on all requests that are suspected or in quarantine.
+func (t *Table) MergeStored(now time.Time, stored []Aged) []Aged {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, a := range stored {
@@ -191,61 +194,61 @@
 	}
 	var kept []Aged
 	for _, e := range t.restricted(now) {
-		kept = append(kept, Aged{e.copy(), now.Sub(e.at)})
+		kept = append(kept, Aged{e.copy(), now.Sub(e.updated)})
 	}
 	return kept
 }
 
-// Ran notes that a request ran to its end here, which clears it.
-func (t *Table) Ran(now time.Time, f Fingerprint) Change {
+// Completed records that a request completed on this node, which clears it.
+func (t *Table) Completed(now time.Time, f Fingerprint) Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.ran.add(now, f)
+	t.completed.add(now, f)
 	return t.clear(now, f)
 }
 
-// Clear takes the request as one that ends no servers. Later ends count: it is not taken as one
-// that ran.
+// Clear marks a request as not crashing servers. Unlike after Completed, later crashes count.
 func (t *Table) Clear(now time.Time, f Fingerprint) Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.clear(now, f)
 }
 
-// clear is Clear. The caller holds mu.
+// clear implements Clear. The caller holds mu.
 func (t *Table) clear(now time.Time, f Fingerprint) Change {
-	e := t.live(now, f)
+	e := t.liveEntry(now, f)
 	if e == nil {
 		return Change{}
 	}
 	return t.change(now, e, func() bool {
-		doubted := len(e.doubts) > 0
-		e.doubts = nil
+		doubted := len(e.suspicions) > 0
+		e.suspicions = nil
 		return e.clear() || doubted
 	})
 }
 
-// change notes what news of a time did to an entry. The caller holds mu.
+// change applies f to an entry and returns the effect. at is the time of the news. The caller holds
+// mu.
 func (t *Table) change(at time.Time, e *entry, f func() bool) Change {
 	c := Change{Before: t.standing(at, e)}
 	if c.New = f(); c.New {
 		t.changes++
-		if at.After(e.at) {
-			e.at = at
+		if at.After(e.updated) {
+			e.updated = at
 		}
 	}
 	c.Now, c.Evidence = t.standing(at, e), e.copy()
-	c.Doubts = e.tellDoubts(at)
+	c.Doubts = e.exportSuspicions(at)
 	return c
 }
 
-// makeRoom forgets entries if there are too many. The caller holds mu.
+// makeRoom drops entries if there are too many. The caller holds mu.
 func (t *Table) makeRoom(now time.Time) {
 	if len(t.entries) < maxEntries {
 		return
 	}
 	for f := range t.entries {
-		t.live(now, f)
+		t.liveEntry(now, f)
 	}
 	if len(t.entries) < maxEntries {
 		return
@@ -255,21 +258,21 @@
 		list = append(list, e)
 	}
 	slices.SortFunc(list, func(a, b *entry) int {
-		return cmp.Or(cmp.Compare(len(a.Servers()), len(b.Servers())), a.at.Compare(b.at))
+		return cmp.Or(cmp.Compare(len(a.Servers()), len(b.Servers())), a.updated.Compare(b.updated))
 	})
-	for _, e := range list[:len(list)/4] { // so that this is rare
+	for _, e := range list[:len(list)/4] { // a quarter at a time, so that this is rare
 		t.drop(e.Request)
 	}
 }
 
-// drop forgets an entry. The caller holds mu.
+// drop removes an entry. The caller holds mu.
 func (t *Table) drop(f Fingerprint) {
 	delete(t.entries, f)
 	t.changes++
 }
 
-// Restricted returns the evidence against requests that are suspected or in quarantine: what
-// nodes that may have missed it are to know. Nodes that know the same return the same.
+// Restricted returns the evidence on requests that are suspected or in quarantine, which nodes that
+// may have missed it must get. Nodes with the same knowledge return the same list.
 func (t *Table) Restricted(now time.Time) []Evidence {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -280,11 +283,11 @@
 	return list
 }
 
-// restricted is Restricted. The caller holds mu.
+// restricted implements Restricted. The caller holds mu.
 func (t *Table) restricted(now time.Time) []*entry {
 	var list []*entry
 	for f := range t.entries {
-		if e := t.live(now, f); e != nil && e.Standing() != Free {
+		if e := t.liveEntry(now, f); e != nil && e.Standing() != Free {
 			list = append(list, e)
 		}
 	}
@@ -294,21 +297,21 @@
 	return list[:min(len(list), maxRestricted)]
 }
 
-// Differing returns what is known of the requests in a list of evidence of another node that
-// differs from what that node knows.
+// Differing returns this node's evidence on those requests in another node's list for which it
+// differs from the other node's.
 func (t *Table) Differing(now time.Time, theirs []Evidence) []Evidence {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var list []Evidence
 	for _, other := range theirs {
-		if e := t.live(now, other.Request); e != nil && !slices.Equal(e.Ends, other.Ends) {
+		if e := t.liveEntry(now, other.Request); e != nil && !slices.Equal(e.Ends, other.Ends) {
 			list = append(list, e.copy())
 		}
 	}
 	return list
 }
 
-// Sum returns a number that is the same for the same evidence in any order.
+// Sum returns a checksum that does not depend on the order of the list.
 func Sum(list []Evidence) uint64 {
 	total := uint64(0)
 	for _, e := range list {
@@ -326,13 +329,13 @@
 	return total
 }
 
-// Count returns how many requests have a standing.
+// Count returns the number of requests with a standing.
 func (t *Table) Count(now time.Time, standing Standing) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
 	for f := range t.entries {
-		if e := t.live(now, f); e != nil && t.standing(now, e) == standing {
+		if e := t.liveEntry(now, f); e != nil && t.standing(now, e) == standing {
 			n++
 		}
 	}
--- a/pkg/quota/draw.go
+++ b/pkg/quota/draw.go
@@ -2,148 +2,152 @@
 
 import "time"
 
-// draw decides on a request within its route's share of a bucket that was filled up to now.
+// draw decides on a request within its route's share of a bucket. The bucket must be filled up to
+// now.
 func (b *bucket) draw(now time.Time, r Request) Answer {
-	d := b.shares
-	one := d.share(now, r.Route, r.Priority)
+	d := b.division
+	s := d.share(now, r.Route, r.Priority)
 	d.fill(now, b)
-	one.promises.expire(now)
-	one.turnedAway.expire(now)
-	room := d.room(one, b.rate)
-	answer := Answer{Room: room, Sieve: Sieve{Part: one.part, Salt: d.salt}}
-	if away := one.turnedAway.marks[r.Mark]; away != nil && now.Before(away.due) {
-		one.refused = now
-		answer.After = away.due.Sub(now) // it is not counted as asked again
+	s.reservations.expire(now)
+	s.turnedAway.expire(now)
+	room := d.room(s, b.rate)
+	answer := Answer{Room: room, Sieve: Sieve{Part: s.askedPart, Salt: d.salt}}
+	if away := s.turnedAway.marks[r.Mark]; away != nil && now.Before(away.due) {
+		s.lastRefusal = now
+		answer.After = away.due.Sub(now) // a repeat that comes too early is not counted as new demand
 		return answer
 	}
-	p := one.promises.find(now, r.Mark, d.policy.noMarks)
+	p := s.reservations.find(now, r.Mark, d.policy.noMarks)
 	if p == nil {
-		one.count(r)
+		s.count(r)
 	}
 	switch {
-	case p != nil && now.Before(p.due.Add(-earliness)):
-		answer.Promised, answer.After = true, p.due.Sub(now)
+	case p != nil && now.Before(p.due.Add(-earlyTolerance)):
+		answer.Reserved, answer.After = true, p.due.Sub(now)
 		return answer
-	case b.fits(now, one, r.Amount, room.Share, p):
-		one.promises.remove(p)
-		one.level -= r.Amount
+	case b.fits(now, s, r.Amount, room.Share, p):
+		s.reservations.remove(p)
+		s.level -= r.Amount
 		b.level -= r.Amount
 		answer.Granted = true
 		return answer
 	}
-	one.promises.remove(p)
-	one.refused = now
-	wait := one.wait(r.Amount, room.Share)
-	if wait > r.Within || !one.kept(d.salt, r.Mark) || !one.promises.add(now, wait, r.Mark, r.Amount) {
-		answer.After = max(wait, r.beyond())
-		one.turnedAway.add(now, answer.After, r.Mark, 0)
+	s.reservations.remove(p)
+	s.lastRefusal = now
+	wait := s.wait(r.Amount, room.Share)
+	if wait > r.Within || !s.passesLater(d.salt, r.Mark) || !s.reservations.add(now, wait, r.Mark, r.Amount) {
+		answer.After = max(wait, r.noReturnAfter())
+		s.turnedAway.add(now, answer.After, r.Mark, 0)
 		return answer
 	}
-	answer.Promised, answer.After = true, wait
+	answer.Reserved, answer.After = true, wait
 	return answer
 }
 
-// kept tells whether a request will pass the sieves of nodes when it comes back, though they let
-// fewer pass by then.
-func (s *share) kept(salt uint64, m Mark) bool {
-	return s.aim >= 1 || Sieve{Part: keptPart * s.aim, Salt: salt}.passes(m)
+// passesLater reports whether a request will pass the nodes' sieves when it comes back, even if
+// they let fewer requests pass by then.
+func (s *share) passesLater(salt uint64, m Mark) bool {
+	return s.targetPart >= 1 || Sieve{Part: reservablePart * s.targetPart, Salt: salt}.passes(m)
 }
 
-// count notes a request, and with it those that the node's sieve held back for each that it lets
-// pass.
+// count records a request together with an estimate of those that the node's sieve held back for
+// it.
 func (s *share) count(r Request) {
 	part := r.Part
-	if !(part >= leastAsked && part <= 1) {
+	if !(part >= minAskedPart && part <= 1) {
 		part = 1
 	}
 	s.newAsked += r.Amount / part
 	s.newRequests += 1 / part
 }
 
-// fits tells whether a route has room for an amount, with what the others can spare; what it lacks
-// is borrowed. p is the promise that was made to the request; without one, what was promised to
-// others is left out. certain is the route's share, a second.
-func (b *bucket) fits(now time.Time, one *share, amount, certain float64, p *promise) bool {
-	lacks := amount - one.level
+// fits reports whether a route has capacity for an amount, including what the other routes can
+// spare. It borrows what the route lacks. p is the request's own reservation; without one, capacity
+// reserved for others is not available. certain is the route's share per second.
+func (b *bucket) fits(now time.Time, s *share, amount, certain float64, p *reservation) bool {
+	lacks := amount - s.level
 	if p == nil {
-		lacks += one.setAside(now, certain)
+		lacks += s.setAside(now, certain)
 	}
 	switch {
 	case lacks <= 0:
 		return true
-	case lacks <= b.shares.spare(one):
-		b.shares.borrow(one, lacks)
+	case lacks <= b.division.spare(s):
+		b.division.borrow(s, lacks)
 		return true
-	case p != nil && lacks <= keptDebt*one.most:
+	case p != nil && lacks <= maxReservationDebt*s.capacity:
 		return true
 	}
-	return amount > one.most && b.shares.overdraws(now, one)
+	return amount > s.capacity && b.division.mayOverdraw(now, s)
 }
 
-// overdraws tells whether a request may run that is larger than its route's whole reserve: it
-// empties a full one and leaves a debt. One route at a time may: of those that asked for as much
-// lately, the one that was let do so the longest ago.
-func (d *division) overdraws(now time.Time, one *share) bool {
-	one.large = now
-	if one.level < one.most || d.debt() > 0 {
+// mayOverdraw reports whether a request that is larger than its route's reserve may run. It empties
+// a full reserve and leaves a debt. Only one route at a time may do so: of those that recently
+// asked for such an amount, the one that was granted it longest ago.
+func (d *division) mayOverdraw(now time.Time, s *share) bool {
+	s.lastOversized = now
+	if s.level < s.capacity || d.debt() > 0 {
 		return false
 	}
 	for _, other := range d.list {
-		if now.Sub(other.large) < largeTime && other.overdrew.Before(one.overdrew) {
+		if now.Sub(other.lastOversized) < oversizedTurn && other.lastOverdraw.Before(s.lastOverdraw) {
 			return false
 		}
 	}
-	one.overdrew = now
+	s.lastOverdraw = now
 	return true
 }
 
-// largeTime is how long a route that asked for more than its reserve keeps its turn.
-const largeTime = time.Second
+// oversizedTurn is how long a route keeps its place in the order of mayOverdraw after a request
+// larger than its reserve.
+const oversizedTurn = time.Second
 
-// setAside returns what of a route's reserve is promised, beyond what flows in until the last
-// promise is due.
+// setAside returns the part of a route's reserve that is reserved, less what flows in until the
+// last reservation is due.
 func (s *share) setAside(now time.Time, certain float64) float64 {
-	last := s.promises.last()
+	last := s.reservations.last()
 	if last == nil {
 		return 0
 	}
-	return max(s.promises.sum-s.rate(certain, lentCounted/2)*max(last.due.Sub(now).Seconds(), 0), 0)
+	return max(s.reservations.sum-s.rate(certain, countedLoanPart/2)*max(last.due.Sub(now).Seconds(), 0), 0)
 }
 
-// debt returns what all routes together owe.
+// debt returns the sum of the debts of all routes.
 func (d *division) debt() float64 {
 	debt := 0.0
-	for _, one := range d.list {
-		debt -= min(one.level, 0)
+	for _, s := range d.list {
+		debt -= min(s.level, 0)
 	}
 	return debt
 }
 
-// wait returns after how long a route has room for an amount, behind all that was promised.
+// wait returns how long it takes until a route has capacity for an amount, after all existing
+// reservations.
 func (s *share) wait(amount, certain float64) time.Duration {
-	lacks := min(amount, s.most) + s.promises.sum - s.level
-	seconds := min(lacks/max(s.rate(certain, lentCounted), leastWeight), mostWait.Seconds())
-	return max(time.Duration(seconds*float64(time.Second)), leastWait)
+	lacks := min(amount, s.capacity) + s.reservations.sum - s.level
+	seconds := min(lacks/max(s.rate(certain, countedLoanPart), minWeight), maxWait.Seconds())
+	return max(time.Duration(seconds*float64(time.Second)), minWait)
 }
 
-// mostWait is the longest time that a request is told to wait.
-const mostWait = time.Hour
+// maxWait is the longest wait that a request is told.
+const maxWait = time.Hour
 
-// rate is what a route may count on, a second: of its share, certain, and of the part lent of what
-// it is given beyond that, since others may come back.
+// rate returns the inflow per second that a route may count on: its share (certain) and the given
+// part of what it gets beyond that. It counts only a part because the routes that lend it may claim
+// it back.
 func (s *share) rate(certain, lent float64) float64 {
-	return promisedPart * (certain + lent*max(s.given-certain, 0))
+	return reservedInflow * (certain + lent*max(s.given-certain, 0))
 }
 
-// lentCounted is the part of what others lend a route that promises count on; those who come
-// in between may count on half of it.
-const lentCounted = 0.8
+// countedLoanPart is the part of borrowed inflow that reservations count on. Requests without a
+// reservation may count on half of it.
+const countedLoanPart = 0.8
 
-// promisedPart is the part of that which is promised: what is left goes to those who come in
-// between.
-const promisedPart = 0.85
+// reservedInflow is the part of the expected inflow that may be reserved. The rest goes to requests
+// without a reservation.
+const reservedInflow = 0.85
 
-// keptDebt is the debt that a route may make to keep its promises, as a part of its reserve:
-// what it is given varies with what the others ask. All routes together run no more beyond the
-// bucket than this part of it, 0.025 of what may run in eight seconds.
-const keptDebt = 0.25
+// maxReservationDebt is the debt that a route may make to honour its reservations, as a part of its
+// capacity: its inflow varies with the demand of other routes. All routes together exceed the
+// bucket by no more than this part, which is 0.025 of what may run in eight seconds.
+const maxReservationDebt = 0.25
--- a/pkg/quota/ledger.go
+++ b/pkg/quota/ledger.go
@@ -16,90 +16,90 @@
 
 // The verdicts.
 const (
-	Admit  Verdict = iota // let it in
-	Ask                   // have the holder grant it
-	Alone                 // the holder did not answer a moment ago: have the deputy grant it, or GoAlone decide
+	Admit  Verdict = iota // admit the request
+	Ask                   // have the holder decide
+	Alone                 // the holder did not answer a moment ago: have the deputy decide, or use DecideAlone
 	Refuse                // the quota is spent, or may be
 )
 
-// aloneAfter is for how long a node goes by what the holder told last. Beats are a second
-// apart; a new holder needs some two seconds.
+// aloneAfter is how long a node acts on the holder's last report. Heartbeats are a second apart,
+// and a new holder takes some two seconds.
 const aloneAfter = 1200 * time.Millisecond
 
-// What all nodes together let in of a tenant while they hear nothing of the holder, as a
-// time at the quota's rate: at once, and for each second. A tenant that was not scarce ran
-// less than its quota before, so that no window has more than may run: 0.95 of it at most,
-// with a third of the nodes cut off (TestQUOTAOfAllNodes). One node that all know, the
-// deputy, has it all; those that don't reach it have their shares, of which most are less
-// than a request: with shares alone 0.040 of what a small tenant is owed were refused in the
-// 40 s around the loss of a holder, with the deputy none.
+// What all nodes together admit of a tenant while they do not hear from a holder: aloneBurst or
+// aloneScarceBurst at once, as a time at the quota's rate, and after that aloneRate of the quota. A
+// tenant that was not scarce ran less than its quota before, so that no window exceeds what may
+// run: at most 0.95 of it with a third of the nodes cut off (TestQUOTAOfAllNodes).
+//
+// One node that all nodes know, the deputy, has the whole amount. Nodes that do not reach it have
+// equal shares, most of which are smaller than a request: in the 40 s around the loss of a holder,
+// 0.040 of what a small tenant is owed were refused with shares alone, and none with the deputy.
 const (
-	alonePlenty = time.Second
-	aloneScarce = 300 * time.Millisecond
-	aloneFlow   = 0.2
+	aloneBurst       = time.Second
+	aloneScarceBurst = 300 * time.Millisecond
+	aloneRate        = 0.2
 )
 
-// aloneRenewal is how long after the last time without a holder the next one is taken for another one: as long as the
-// users' windows of quotas, in which aloneFlow brings as much as may be let in at once.
-const aloneRenewal = 8 * time.Second
+// aloneRenewAfter is how long after a node last acted without a holder it gets the full allowance
+// again. It is as long as the users' quota window, in which aloneRate brings as much as the burst.
+const aloneRenewAfter = 8 * time.Second
 
-// shortRest is the least time for which a node does not ask after it was refused.
-const shortRest = 50 * time.Millisecond
+// minRetryAfter is the least time for which a node does not ask again after a refusal.
+const minRetryAfter = 50 * time.Millisecond
 
-// Ledger is a node's part. The zero value is ready and knows of no holder. Safe for
-// concurrent use.
+// Ledger is a node's part of the quotas. The zero value is ready and has not heard from a holder.
+// It is safe for concurrent use.
 type Ledger struct {
-	Chance func() float64 // from 0 to 1; at random if nil. Set before the first use.
+	Chance func() float64 // returns a number from 0 to 1; nil for random numbers; set before the first use
 
-	mu       sync.Mutex
-	accounts map[string]*account
-	told     time.Time // when the holder last told; zero: never
-	scarce   map[string]bool
-	silent   time.Time // the holder is not asked before: it did not answer
+	mu              sync.Mutex
+	accounts        map[string]*account
+	lastHeard       time.Time // when the holder last reported; zero means never
+	scarce          map[string]bool
+	skipHolderUntil time.Time // the holder is not asked before this time because it did not answer
 }
 
 // account is what a node knows of a tenant.
 type account struct {
-	spent    float64                  // without asking, and not reported yet
-	refused  time.Time                // the holder grants nothing before
-	alone    bool                     // it goes on without a holder
-	allowed  float64                  // that it may still let in without a holder, at aloneAt
-	aloneAt  time.Time                // when it last did; zero: never
-	fraction float64                  // of a request that counts as allowed, by chance
-	routes   map[string]*routeAccount // of a divided quota
-	bucket   *bucket                  // of the deputy, for a divided quota; nil: there was none yet
+	spent        float64                  // admitted without asking and not reported yet
+	refusedUntil time.Time                // the holder grants nothing before this time
+	alone        bool                     // whether the node acts without a holder
+	allowance    float64                  // what the node may still admit without a holder, as of lastAlone
+	lastAlone    time.Time                // when the node last acted without a holder; zero means never
+	fraction     float64                  // part of a request's cost that is added to the allowance, at random
+	routes       map[string]*routeAccount // routes of a divided quota
+	bucket       *bucket                  // the deputy's bucket for a divided quota; nil until it is needed
 }
 
 // routeAccount is what a node knows of a tenant's route.
 type routeAccount struct {
-	priority int
-	spent    float64 // without asking, and not reported yet
-	sieve    Sieve
-	sieved   time.Time // until when the sieve counts
+	priority   int
+	spent      float64 // admitted without asking and not reported yet
+	sieve      Sieve
+	sieveUntil time.Time // the sieve is used until this time
 }
 
-// sieveTime is how long a node goes by the holder's word on which requests to ask about; then it asks
-// about the next one, whichever it is. While that matters a node has some tens of requests of the
-// route a second.
-const sieveTime = time.Second
+// sieveTTL is how long a node uses the sieve that the holder sent. After that it asks about the
+// next request, whichever it is. While sieves matter, a node has some tens of requests of the route
+// per second.
+const sieveTTL = time.Second
 
-// route returns the account of a request's route. Those beyond maxRoutes share one, and
-// requests of it are always asked about.
+// route returns the account of a request's route. All routes beyond maxRoutes share one.
 func (a *account) route(r Request) *routeAccount {
-	one := a.routes[r.Route]
-	if one == nil && len(a.routes) >= maxRoutes {
+	acct := a.routes[r.Route]
+	if acct == nil && len(a.routes) >= maxRoutes {
 		r.Route = ""
-		one = a.routes[""]
+		acct = a.routes[""]
 	}
-	if one == nil {
-		one = &routeAccount{}
+	if acct == nil {
+		acct = &routeAccount{}
 		if a.routes == nil {
 			a.routes = make(map[string]*routeAccount)
 		}
-		a.routes[r.Route] = one
+		a.routes[r.Route] = acct
 	}
-	one.priority = r.Priority
-	return one
+	acct.priority = r.Priority
+	return acct
 }
 
 func (l *Ledger) account(name string) *account {
@@ -114,9 +114,9 @@
 	return a
 }
 
-// Look decides on a request that costs so much. A request that is let in is noted as
-// spent. One that is refused may come back after the time.
-func (l *Ledger) Look(now time.Time, t *tenant.Tenant, cost float64) (Verdict, time.Duration) {
+// Decide decides on a request of the given cost. An admitted request is recorded as spent. A
+// refused request may come back after the returned time.
+func (l *Ledger) Decide(now time.Time, t *tenant.Tenant, cost float64) (Verdict, time.Duration) {
 	if !t.Quota.Limited() {
 		return Admit, 0
 	}
@@ -124,58 +124,59 @@
 	defer l.mu.Unlock()
 	a := l.account(t.Name)
 	switch {
-	case now.Before(a.refused):
-		return Refuse, a.refused.Sub(now)
-	case l.scarce[t.Name] || now.Sub(l.told) > aloneAfter:
-		if now.Before(l.silent) {
+	case now.Before(a.refusedUntil):
+		return Refuse, a.refusedUntil.Sub(now)
+	case l.scarce[t.Name] || now.Sub(l.lastHeard) > aloneAfter:
+		if now.Before(l.skipHolderUntil) {
 			return Alone, 0
 		}
 		return Ask, 0
 	}
-	a.restart()
+	a.holderBack()
 	a.spent += cost
 	return Admit, 0
 }
 
-// LookFor is Look for a request of a route. Of a quota that is divided, a refusal holds for
-// requests of its route alone, and only for those that the holder is not to be asked about. If
-// the verdict is Ask it sets the request's Part.
-func (l *Ledger) LookFor(now time.Time, t *tenant.Tenant, r *Request) (Verdict, time.Duration) {
+// DecideFor is Decide for a request of a route. If the quota is divided, a refusal applies only to
+// requests of the same route that the holder should not be asked about. With the verdict Ask it
+// sets the request's Part.
+func (l *Ledger) DecideFor(now time.Time, t *tenant.Tenant, r *Request) (Verdict, time.Duration) {
 	if !Shared(t.Quota) {
-		return l.Look(now, t, r.Amount)
+		return l.Decide(now, t, r.Amount)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(t.Name)
-	one := a.route(*r)
-	if l.scarce[t.Name] || now.Sub(l.told) > aloneAfter {
+	acct := a.route(*r)
+	if l.scarce[t.Name] || now.Sub(l.lastHeard) > aloneAfter {
 		switch {
-		case now.Before(l.silent):
+		case now.Before(l.skipHolderUntil):
 			return Alone, 0
-		case !now.Before(one.sieved):
+		case !now.Before(acct.sieveUntil):
 			return Ask, 0
-		case !one.sieve.passes(r.Mark):
-			return Refuse, r.beyond()
+		case !acct.sieve.passes(r.Mark):
+			return Refuse, r.noReturnAfter()
 		}
-		r.Part = one.sieve.Part
+		r.Part = acct.sieve.Part
 		return Ask, 0
 	}
-	a.restart()
-	one.spent += r.Amount
+	a.holderBack()
+	acct.spent += r.Amount
 	return Admit, 0
 }
 
-// restart ends what a node does without a holder. What it let in counts for aloneRenewal: nodes that lose the holder
-// again and again would let in what they may at once each time.
-func (a *account) restart() { a.alone = false }
+// holderBack ends acting without a holder. The allowance is kept for aloneRenewAfter: otherwise
+// nodes that lose the holder again and again would admit a full burst each time.
+func (a *account) holderBack() { a.alone = false }
 
-// renews tells whether what may be let in without a holder begins anew.
-func (a *account) renews(now time.Time) bool {
-	return a.aloneAt.IsZero() || !a.alone && now.Sub(a.aloneAt) > aloneRenewal
+// allowanceRenewed reports whether the node gets the full allowance for acting without a holder
+// again.
+func (a *account) allowanceRenewed(now time.Time) bool {
+	return a.lastAlone.IsZero() || !a.alone && now.Sub(a.lastAlone) > aloneRenewAfter
 }
 
-// Answered takes in what the holder decided on a request, and returns when it is to come
-// back if it was refused.
+// Answered records the holder's answer to a request. It returns when a refused request is to come
+// back.
 func (l *Ledger) Answered(now time.Time, t *tenant.Tenant, r Request, answer Answer) time.Duration {
 	if !Shared(t.Quota) {
 		if answer.Granted {
@@ -187,25 +188,25 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(t.Name)
-	a.restart()
-	if !(answer.Sieve.Part > 0) { // of a holder that knows no shares, or no number
+	a.holderBack()
+	if !(answer.Sieve.Part > 0) { // the holder does not know sieves, or the number is NaN
 		answer.Sieve.Part = 1
 	}
-	one := a.route(r)
-	one.sieve, one.sieved = answer.Sieve, now.Add(sieveTime)
+	acct := a.route(r)
+	acct.sieve, acct.sieveUntil = answer.Sieve, now.Add(sieveTTL)
 	if answer.Granted {
 		return 0
 	}
-	return max(answer.After, leastWait)
+	return max(answer.After, minWait)
 }
 
-// GoAloneFor is GoAlone for a request of a route. The deputy divides what it may let in as the
-// holder does.
-func (l *Ledger) GoAloneFor(now time.Time, t *tenant.Tenant, r Request, nodes int) Answer {
+// DecideAloneFor is DecideAlone for a request of a route. The deputy divides what it may admit like
+// the holder does.
+func (l *Ledger) DecideAloneFor(now time.Time, t *tenant.Tenant, r Request, nodes int) Answer {
 	if !Shared(t.Quota) || nodes != 1 {
-		verdict, after := l.GoAlone(now, t, r.Amount, nodes)
+		verdict, after := l.DecideAlone(now, t, r.Amount, nodes)
 		if verdict == Admit {
-			l.LentFor(t, r) // in place of what GoAlone noted for the tenant as a whole
+			l.DeputyGrantedFor(t, r) // replaces what DecideAlone recorded for the tenant as a whole
 			l.GiveBack(t, r.Amount)
 		}
 		return Answer{Granted: verdict == Admit, After: after}
@@ -213,14 +214,14 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(t.Name)
-	if a.bucket == nil || a.renews(now) {
+	if a.bucket == nil || a.allowanceRenewed(now) {
 		a.bucket = l.aloneBucket(now, t)
 	}
 	b := a.bucket
-	b.size = t.Quota.PerSecond * l.atOnce(t).Seconds()
+	b.size = t.Quota.PerSecond * l.burstAlone(t).Seconds()
 	b.fill(now)
 	b.level = min(b.level, b.size)
-	a.alone, a.aloneAt = true, now
+	a.alone, a.lastAlone = true, now
 	answer := b.draw(now, r)
 	if answer.Granted {
 		a.route(r).spent += r.Amount
@@ -228,26 +229,27 @@
 	return answer
 }
 
-// aloneBucket returns a bucket of what all nodes together may let in of a tenant without a holder.
+// aloneBucket returns a bucket with what all nodes together may admit of a tenant without a holder.
 func (l *Ledger) aloneBucket(now time.Time, t *tenant.Tenant) *bucket {
-	b := &bucket{rate: aloneFlow * t.Quota.PerSecond, at: now}
-	b.size = t.Quota.PerSecond * l.atOnce(t).Seconds()
+	b := &bucket{rate: aloneRate * t.Quota.PerSecond, updated: now}
+	b.size = t.Quota.PerSecond * l.burstAlone(t).Seconds()
 	b.level = b.size
 	marks := maxMarks
-	b.divided(policy{}, uint64(now.UnixNano()), &marks)
+	b.divide(policy{}, uint64(now.UnixNano()), &marks)
 	return b
 }
 
-// atOnce returns what all nodes together may let in of a tenant at once without a holder. The caller holds mu.
-func (l *Ledger) atOnce(t *tenant.Tenant) time.Duration {
-	if l.scarce[t.Name] || l.told.IsZero() {
-		return aloneScarce
+// burstAlone returns what all nodes together may admit of a tenant at once without a holder. The
+// caller holds mu.
+func (l *Ledger) burstAlone(t *tenant.Tenant) time.Duration {
+	if l.scarce[t.Name] || l.lastHeard.IsZero() {
+		return aloneScarceBurst
 	}
-	return alonePlenty
+	return aloneBurst
 }
 
-// LentFor is Lent for a request of a route.
-func (l *Ledger) LentFor(t *tenant.Tenant, r Request) {
+// DeputyGrantedFor is DeputyGranted for a request of a route.
+func (l *Ledger) DeputyGrantedFor(t *tenant.Tenant, r Request) {
 	l.GiveBackFor(t, Request{Route: r.Route, Priority: r.Priority, Amount: -r.Amount})
 }
 
@@ -262,92 +264,93 @@
 	l.account(t.Name).route(r).spent -= r.Amount
 }
 
-// Unanswered notes that the holder was asked in vain.
+// Unanswered records that the holder did not answer.
 func (l *Ledger) Unanswered(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.silent = now.Add(silentRest)
+	l.skipHolderUntil = now.Add(unansweredPause)
 }
 
-// silentRest is for how long a holder that did not answer is not asked again: each vain
-// question costs its request the time that an answer is waited for.
-const silentRest = 300 * time.Millisecond
+// unansweredPause is how long a holder that did not answer is not asked again. Each question in
+// vain delays its request until the timeout.
+const unansweredPause = 300 * time.Millisecond
 
-// Hears tells whether the holder told something lately.
-func (l *Ledger) Hears(now time.Time) bool {
+// HearsHolder reports whether the holder reported recently.
+func (l *Ledger) HearsHolder(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return now.Sub(l.told) <= aloneAfter
+	return now.Sub(l.lastHeard) <= aloneAfter
 }
 
-// GoAlone decides on a request without the holder, at one of so many nodes that do so; zero:
-// not known how many.
-func (l *Ledger) GoAlone(now time.Time, t *tenant.Tenant, cost float64, nodes int) (Verdict, time.Duration) {
+// DecideAlone decides on a request without the holder. nodes is the number of nodes that do so,
+// zero if it is unknown.
+func (l *Ledger) DecideAlone(now time.Time, t *tenant.Tenant, cost float64, nodes int) (Verdict, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(t.Name)
 	if nodes <= 0 {
-		return Refuse, aloneRest
+		return Refuse, aloneRetryAfter
 	}
 	share := t.Quota.PerSecond / float64(nodes)
-	most := share * l.atOnce(t).Seconds()
-	if a.renews(now) {
-		a.allowed, a.fraction = most, l.chance()
+	most := share * l.burstAlone(t).Seconds()
+	if a.allowanceRenewed(now) {
+		a.allowance, a.fraction = most, l.random()
 	} else {
-		a.allowed += aloneFlow * share * now.Sub(a.aloneAt).Seconds()
+		a.allowance += aloneRate * share * now.Sub(a.lastAlone).Seconds()
 	}
 	if !a.alone {
-		a.allowed = min(a.allowed, most)
+		a.allowance = min(a.allowance, most)
 	}
-	a.alone, a.aloneAt = true, now
-	// Shares of many nodes are less than a request: the fraction decides which of them let
-	// one in, so that all together let in what they may.
-	if a.allowed+a.fraction*cost < cost {
-		return Refuse, aloneRest
+	a.alone, a.lastAlone = true, now
+	// With many nodes, the share of one is smaller than a request. The random fraction decides
+	// which nodes admit one, so that all nodes together admit what they may.
+	if a.allowance+a.fraction*cost < cost {
+		return Refuse, aloneRetryAfter
 	}
-	a.allowed -= cost
+	a.allowance -= cost
 	a.spent += cost
 	return Admit, 0
 }
 
-func (l *Ledger) chance() float64 {
+func (l *Ledger) random() float64 {
 	if l.Chance == nil {
 		return rand.Float64()
 	}
 	return l.Chance()
 }
 
-// aloneRest is when a request comes back that was refused without a holder: about when
-// there is a new one.
-const aloneRest = time.Second
+// aloneRetryAfter is when a request that was refused without a holder may come back. By then there
+// probably is a new holder.
+const aloneRetryAfter = time.Second
 
-// Granted notes that the holder granted a request.
+// Granted records that the holder granted a request.
 func (l *Ledger) Granted(t *tenant.Tenant) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.account(t.Name).restart()
+	l.account(t.Name).holderBack()
 }
 
-// Lent notes that the deputy granted a request: the next holder is to know of it.
-func (l *Ledger) Lent(t *tenant.Tenant, cost float64) {
+// DeputyGranted records that the deputy granted a request, so that it is reported to the next
+// holder.
+func (l *Ledger) DeputyGranted(t *tenant.Tenant, cost float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.account(t.Name).spent += cost
 }
 
-// Denied notes that the holder does not grant a request before a time is over. It returns
-// when to come back.
+// Denied records that the holder does not grant a request before the given time has passed. It
+// returns when to come back.
 func (l *Ledger) Denied(now time.Time, t *tenant.Tenant, after time.Duration) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(t.Name)
-	a.restart()
-	after = max(after, shortRest)
-	a.refused = now.Add(after)
+	a.holderBack()
+	after = max(after, minRetryAfter)
+	a.refusedUntil = now.Add(after)
 	return after
 }
 
-// GiveBack takes back a request that was let in and did not run.
+// GiveBack takes back a request that was admitted and did not run.
 func (l *Ledger) GiveBack(t *tenant.Tenant, cost float64) {
 	if !t.Quota.Limited() {
 		return
@@ -357,8 +360,7 @@
 	l.account(t.Name).spent -= cost
 }
 
-// Spent is what a node let in of a tenant without asking; of a quota that is divided, of one
-// route.
+// Spent is what a node admitted of a tenant without asking, per route if the quota is divided.
 type Spent struct {
 	Tenant   string
 	Amount   float64
@@ -366,8 +368,8 @@
 	Priority int // of the route
 }
 
-// Report returns what was spent since the last report. If it does not arrive, Return puts
-// it back.
+// Report returns what was spent since the last report. Call Return if the report may not have
+// arrived.
 func (l *Ledger) Report() []Spent {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -378,33 +380,33 @@
 	return list
 }
 
-// ReportOf returns what was spent of one tenant since the last report, to go with a question
-// to the holder: before it makes promises it is to know what nodes let in a moment ago.
+// ReportOf returns what was spent of one tenant since the last report. It is sent with a question
+// to the holder, which must know what nodes admitted recently before it makes reservations.
 func (l *Ledger) ReportOf(t *tenant.Tenant) []Spent {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.account(t.Name).report(t.Name, nil)
 }
 
-// report appends what was spent to a list, in order.
+// report appends what was spent to a list, sorted by route.
 func (a *account) report(name string, list []Spent) []Spent {
 	begin := len(list)
 	if a.spent != 0 {
 		list = append(list, Spent{Tenant: name, Amount: a.spent})
 		a.spent = 0
 	}
-	for route, one := range a.routes {
-		if one.spent != 0 {
-			list = append(list, Spent{Tenant: name, Amount: one.spent, Route: route, Priority: one.priority})
-			one.spent = 0
+	for route, acct := range a.routes {
+		if acct.spent != 0 {
+			list = append(list, Spent{Tenant: name, Amount: acct.spent, Route: route, Priority: acct.priority})
+			acct.spent = 0
 		}
 	}
 	slices.SortFunc(list[begin:], func(a, b Spent) int { return cmp.Compare(a.Route, b.Route) })
 	return list
 }
 
-// Return takes back a report that may not have arrived: what is counted twice only makes
-// the tenant wait.
+// Return takes back a report that may not have arrived. If it did arrive, it is counted twice,
+// which only makes the tenant wait.
 func (l *Ledger) Return(list []Spent) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -418,36 +420,36 @@
 	}
 }
 
-// Scarce returns the tenants for which the holder is to be asked by its last word, in order.
+// Scarce returns the sorted names of the tenants that are scarce by the holder's last report.
 func (l *Ledger) Scarce() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Sorted(maps.Keys(l.scarce))
 }
 
-// Unheard returns for how long the holder has not told anything; zero if it never did.
-func (l *Ledger) Unheard(now time.Time) time.Duration {
+// SinceHeard returns how long ago the holder last reported, zero if it never did.
+func (l *Ledger) SinceHeard(now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.told.IsZero() {
+	if l.lastHeard.IsZero() {
 		return 0
 	}
-	return now.Sub(l.told)
+	return now.Sub(l.lastHeard)
 }
 
-// Told takes in for which tenants the holder is to be asked. Accounts of tenants that are
-// gone stay until the process ends: their number is that of the tenants ever configured. It
-// tells whether the holder is to hear at once what was spent of a divided quota that became
-// scarce: what it promises meanwhile would lack that room.
-func (l *Ledger) Told(now time.Time, scarce []string) (reportNow bool) {
+// UpdateScarce records which tenants are scarce by a report of the holder. It returns whether to
+// report at once to the holder, because something was spent of a divided quota that became scarce:
+// the holder would otherwise reserve capacity that is already spent. Accounts of removed tenants
+// stay until the process ends; their number is bounded by that of the tenants ever configured.
+func (l *Ledger) UpdateScarce(now time.Time, scarce []string) (reportNow bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, name := range scarce {
 		reportNow = reportNow || !l.scarce[name] && l.accounts[name].owesReport()
 	}
-	l.told = now
+	l.lastHeard = now
 	for _, a := range l.accounts {
-		a.restart()
+		a.holderBack()
 	}
 	l.scarce = make(map[string]bool, len(scarce))
 	for _, name := range scarce {
@@ -456,13 +458,13 @@
 	return reportNow
 }
 
-// owesReport tells whether something was spent of a divided quota since the last report.
+// owesReport reports whether something was spent of a divided quota since the last report.
 func (a *account) owesReport() bool {
 	if a == nil {
 		return false
 	}
-	for _, one := range a.routes {
-		if one.spent > 0 {
+	for _, acct := range a.routes {
+		if acct.spent > 0 {
 			return true
 		}
 	}
--- a/pkg/relay/affinity.go
+++ b/pkg/relay/affinity.go
@@ -98,9 +98,9 @@
 func (p *choiceBuffers) barRemoteRegions() {
 	near := func(i int) bool { return p.candidates[i].Region == p.request.Region }
 	for i := range p.replicas {
-		if near(i) && !p.replicas[i].Barred {
+		if near(i) && !p.replicas[i].Excluded {
 			for j := range p.replicas {
-				p.replicas[j].Barred = p.replicas[j].Barred || !near(j)
+				p.replicas[j].Excluded = p.replicas[j].Excluded || !near(j)
 			}
 			return
 		}
@@ -112,8 +112,8 @@
 	near := routing.ConnectedScorer{}.Score(request, candidate)*weightConnected +
 		routing.ZoneScorer{}.Score(request, candidate)*weightZone
 	return affinity.Replica{
-		Life: affinity.LifeOf(string(candidate.Server)), Load: candidate.Usage.Requests, Slowness: candidate.Slowness,
-		Near: near / (weightConnected + weightZone), Barred: candidate.Ejected || slices.Contains(request.Tried, candidate.Server),
+		Hash: affinity.ServerHash(string(candidate.Server)), Load: candidate.Usage.Requests, Slowness: candidate.Slowness,
+		Near: near / (weightConnected + weightZone), Excluded: candidate.Ejected || slices.Contains(request.Tried, candidate.Server),
 	}
 }
 
--- a/pkg/relay/affinity_load_test.go
+++ b/pkg/relay/affinity_load_test.go
@@ -57,7 +57,7 @@
 }
 
 func score(key string, candidate *routing.Candidate) string {
-	return fmt.Sprintf("%016x", affinity.LifeOf(key+string(candidate.Server)))
+	return fmt.Sprintf("%016x", affinity.ServerHash(key+string(candidate.Server)))
 }
 
 func lastPart(c *call) string  { return c.need.String() + c.prompt.SharedID() }
@@ -94,7 +94,7 @@
 
 // byPlace is the standard order of replicas in lanes.
 func byPlace(candidate *routing.Candidate) float64 {
-	return affinity.Place(affinity.LifeOf(string(candidate.Server)))
+	return affinity.Position(affinity.ServerHash(string(candidate.Server)))
 }
 
 // slowForShort is the order of lanes with slow servers at the end for short requests.
@@ -121,7 +121,7 @@
 		}
 		var prefixes []uint64
 		for _, part := range c.prompt.Parts()[:2] {
-			prefixes = append(prefixes, affinity.LifeOf(part.ID))
+			prefixes = append(prefixes, affinity.ServerHash(part.ID))
 		}
 		best := -1
 		for i := range candidates {
--- a/pkg/relay/quarantine.go
+++ b/pkg/relay/quarantine.go
@@ -93,11 +93,11 @@
 	case ctx.Err() != nil:
 		c.giveUp(ctx)
 		return wasRefused
-	case !c.headSent && c.callerLeavesBy(c.relay.Time.Now().Add(quarantine.TurnPause)): // refusing after part of the answer would make the caller start over
+	case !c.headSent && c.callerLeavesBy(c.relay.Time.Now().Add(quarantine.TrialRetryAfter)): // refusing after part of the answer would make the caller start over
 		c.refuse(c.notServed(reasonSuspected, suspectedAfter))
 		return wasRefused
 	}
-	c.sleep(ctx, quarantine.TurnPause)
+	c.sleep(ctx, quarantine.TrialRetryAfter)
 	return chooseAgain
 }
 
@@ -214,7 +214,7 @@
 	}
 	run := c.lastRun(m)
 	run.ByRecord = true
-	m.IfItEnds(quarantine.DoubtTime, func() { q.Ended(run) })
+	m.IfItEnds(quarantine.SuspicionTime, func() { q.Ended(run) })
 }
 
 // Reasons of refusals, telling the caller why retrying does not help.
--- a/pkg/relay/quarantine_test.go
+++ b/pkg/relay/quarantine_test.go
@@ -22,7 +22,7 @@
 
 	table   quarantine.Table
 	mu      sync.Mutex
-	turns   quarantine.Turns
+	turns   quarantine.Trials
 	crashes []string // servers, as reported
 }
 
@@ -36,7 +36,7 @@
 	a.mu.Lock()
 	a.crashes = append(a.crashes, r.Server)
 	a.mu.Unlock()
-	a.table.Merge(time.Now(), r.Ended())
+	a.table.Merge(time.Now(), r.CrashEvidence())
 }
 
 // NextRound implements Quarantine.
@@ -46,7 +46,7 @@
 
 // InDoubt implements Quarantine.
 func (a *localQuarantine) InDoubt(f quarantine.Fingerprint, server string) (rounds int, again bool) {
-	return a.table.InDoubt(time.Now(), f, server)
+	return a.table.SuspectedRounds(time.Now(), f, server)
 }
 
 // suspect makes a request with the body suspected and returns its fingerprint.
@@ -63,14 +63,16 @@
 }
 
 // Doubted implements Quarantine.
-func (a *localQuarantine) Doubted(_ context.Context, r quarantine.Run) { a.table.Doubt(time.Now(), r) }
+func (a *localQuarantine) Doubted(_ context.Context, r quarantine.Run) {
+	a.table.Suspect(time.Now(), r)
+}
 
 // Ran implements Quarantine.
-func (a *localQuarantine) Ran(f quarantine.Fingerprint) { a.table.Ran(time.Now(), f) }
+func (a *localQuarantine) Ran(f quarantine.Fingerprint) { a.table.Completed(time.Now(), f) }
 
 // Lives implements Quarantine.
 func (a *localQuarantine) Lives(server string, sent time.Time) {
-	a.table.Lives(time.Now(), server, sent)
+	a.table.ServerAlive(time.Now(), server, sent)
 }
 
 // TakeTurn implements Quarantine.
@@ -80,14 +82,14 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.turns.Take(time.Now(), server, f), nil
+	return a.turns.Start(time.Now(), server, f), nil
 }
 
 // ReleaseTurn implements Quarantine.
 func (a *localQuarantine) ReleaseTurn(f quarantine.Fingerprint, server string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.turns.Release(server, f)
+	a.turns.End(server, f)
 }
 
 // crashCount returns the number of reported crashes.
@@ -234,7 +236,7 @@
 	if got := q.Standing(fingerprint); got != quarantine.Free {
 		t.Errorf("the standing after a completed run is %v", got)
 	}
-	if !q.turns.Take(time.Now(), "server-0", fingerprint) {
+	if !q.turns.Start(time.Now(), "server-0", fingerprint) {
 		t.Error("the trial was not released")
 	}
 }
--- a/pkg/relay/region_test.go
+++ b/pkg/relay/region_test.go
@@ -52,13 +52,13 @@
 func TestSharedPartsAreKeptInEachRegion(t *testing.T) {
 	p := regionBuffers(0)
 	p.barRemoteRegions()
-	if p.replicas[0].Barred || p.replicas[1].Barred || !p.replicas[2].Barred || !p.replicas[3].Barred {
+	if p.replicas[0].Excluded || p.replicas[1].Excluded || !p.replicas[2].Excluded || !p.replicas[3].Excluded {
 		t.Errorf("the replicas are %+v, want exactly those of the other region barred", p.replicas)
 	}
 	p = regionBuffers(0)
-	p.replicas[0].Barred, p.replicas[1].Barred = true, true
+	p.replicas[0].Excluded, p.replicas[1].Excluded = true, true
 	p.barRemoteRegions()
-	if p.replicas[2].Barred || p.replicas[3].Barred {
+	if p.replicas[2].Excluded || p.replicas[3].Excluded {
 		t.Error("the replicas of the other region are barred although no other is usable")
 	}
 }
--- a/pkg/site/site.go
+++ b/pkg/site/site.go
@@ -140,7 +140,7 @@
 	holder.Complete = s.tablesWhole
 	s.member.Nearest, s.member.Cover = s.nearest, s.cover
 	l.Fleet, l.AllowOffline = holder.Fleet, holder.MayGoOn
-	l.Quarantine = func(recorded []quarantine.Aged) []quarantine.Aged { return known.Keep(clock.Now(), recorded) }
+	l.Quarantine = func(recorded []quarantine.Aged) []quarantine.Aged { return known.MergeStored(clock.Now(), recorded) }
 	l.Quotas = holder.QuotaBalances
 	l.FirstStart, l.TakeoverDelay = s.First, s.leasePatience
 	l.Eager = func() bool { return s.member.Known() && s.hub.Watching() }
--- a/pkg/site/suspension_test.go
+++ b/pkg/site/suspension_test.go
@@ -125,9 +125,9 @@
 		},
 		"a holder's word on quotas": func(_ *testing.T, c clock.Clock) func() bool {
 			ledger := &quota.Ledger{}
-			ledger.Told(now(c), nil)
+			ledger.UpdateScarce(now(c), nil)
 			of := &tenant.Tenant{Name: "t", Quota: tenant.Quota{PerSecond: 1000, Burst: 1000}}
-			return func() bool { verdict, _ := ledger.Look(now(c), of, 100); return verdict == quota.Admit }
+			return func() bool { verdict, _ := ledger.Decide(now(c), of, 100); return verdict == quota.Admit }
 		},
 		"evidence against a request": func(_ *testing.T, c clock.Clock) func() bool {
 			var table quarantine.Table
