--- a/pkg/coordinator/adapters.go
+++ b/pkg/coordinator/adapters.go
@@ -9,29 +9,29 @@
 	"martenwheel.dev/pkg/route"
 )
 
-// adapterIdle is how long an adapter is unused before it may make way.
+// adapterIdle is how long an adapter must be unused before it may be replaced.
 const adapterIdle = 1500 * time.Millisecond
 
-// planAdapters has the adapters loaded that requests wait for.
+// planAdapters orders the adapters that requests wait for.
 func (h *Holder) planAdapters(now time.Time, service string, e *route.Engine) {
 	for key, d := range h.demands {
 		need := backend.ParseNeed(key.need)
 		if key.service != service || need.Adapter == "" || e.Models[need.Model] == nil {
 			continue
 		}
-		h.touch(now, service, need, d)
+		h.recordAdapterUse(now, service, need, d)
 		if !d.waits(now) || h.heldBy(now, service, need) != "" || h.adapterUnderWay(now, service, need) {
 			continue
 		}
 		if s := h.adapterServer(now, service, need, e); s != nil && h.prepare(now, s) {
-			h.giveAdapter(now, s, need, e)
+			h.orderAdapter(now, s, need, e)
 		}
 	}
 }
 
-// touch notes the last use of an adapter where it is held.
-func (h *Holder) touch(now time.Time, service string, need backend.Need, d *demand) {
-	for _, s := range h.holdersOf(service, need.Model) {
+// recordAdapterUse sets the last use of an adapter at the servers that hold it.
+func (h *Holder) recordAdapterUse(now time.Time, service string, need backend.Need, d *demand) {
+	for _, s := range h.serversWith(service, need.Model) {
 		if known := s.holds[need.Model]; known != nil {
 			if used, has := known.adapters[need.Adapter]; has && d.last.After(used) {
 				known.adapters[need.Adapter] = d.last
@@ -40,13 +40,13 @@
 	}
 }
 
-// adapterUnderWay tells whether the adapter is held or on its way somewhere.
+// adapterUnderWay tells whether a server is loading the adapter, or may be.
 func (h *Holder) adapterUnderWay(now time.Time, service string, need backend.Need) bool {
-	for _, s := range h.holdersOf(service, need.Model) {
+	for _, s := range h.serversWith(service, need.Model) {
 		if s.removed || s.member.Withdrawn() {
 			continue
 		}
-		if s.doubt != nil && s.doubt.need == need {
+		if s.unresolved != nil && s.unresolved.need == need {
 			return true
 		}
 		if known := s.holds[need.Model]; known != nil && now.Before(known.arriving[need.Adapter]) {
@@ -56,18 +56,17 @@
 	return false
 }
 
-// adapterServer picks the server that gets an adapter: one that holds its model,
-// with the fewest adapters.
+// adapterServer picks the server to load an adapter: one that holds its model, with the fewest adapters.
 func (h *Holder) adapterServer(now time.Time, service string, need backend.Need, e *route.Engine) *serverState {
 	var able []*serverState
-	for _, s := range h.holdersOf(service, need.Model) {
-		if s.removed || !s.usable(now) || s.asking || s.doubt != nil || s.holds[need.Model] == nil {
+	for _, s := range h.serversWith(service, need.Model) {
+		if s.removed || !s.usable(now) || s.asking || s.unresolved != nil || s.holds[need.Model] == nil {
 			continue
 		}
 		if s.busy != nil {
 			continue // it would refuse the order
 		}
-		if s.adapters(now) >= e.AdapterPlaces && s.idleAdapter(now).Adapter == "" {
+		if s.adapterCount(now) >= e.AdapterPlaces && s.idleAdapter(now).Adapter == "" {
 			continue
 		}
 		able = append(able, s)
@@ -76,12 +75,12 @@
 		return nil
 	}
 	return slices.MinFunc(able, func(a, b *serverState) int {
-		return cmp.Or(cmp.Compare(a.adapters(now), b.adapters(now)), cmp.Compare(a.id, b.id))
+		return cmp.Or(cmp.Compare(a.adapterCount(now), b.adapterCount(now)), cmp.Compare(a.id, b.id))
 	})
 }
 
-// adapters returns how many adapters the server holds or is getting.
-func (s *serverState) adapters(now time.Time) int {
+// adapterCount returns how many adapters the server holds or is loading.
+func (s *serverState) adapterCount(now time.Time) int {
 	count := 0
 	for _, known := range s.holds {
 		count += len(known.adapters)
@@ -94,8 +93,7 @@
 	return count
 }
 
-// idleAdapter returns the adapter that was unused for longest, none if all were
-// used lately.
+// idleAdapter returns the least recently used adapter, none if all were used recently.
 func (s *serverState) idleAdapter(now time.Time) backend.Need {
 	var idle backend.Need
 	oldest := now.Add(-adapterIdle)
@@ -109,14 +107,14 @@
 	return idle
 }
 
-// giveAdapter orders an adapter, or the unload of one that makes way.
-func (h *Holder) giveAdapter(now time.Time, s *serverState, need backend.Need, e *route.Engine) {
-	if s.adapters(now) >= e.AdapterPlaces {
+// orderAdapter orders the load of an adapter, or first the unload of one to free its place.
+func (h *Holder) orderAdapter(now time.Time, s *serverState, need backend.Need, e *route.Engine) {
+	if s.adapterCount(now) >= e.AdapterPlaces {
 		idle := s.idleAdapter(now)
-		h.tell(Notice{Server: s.id, Need: idle.String(), Holds: false})
-		h.give(s, order{need: idle}, false, 0, "room for "+need.String())
+		h.sendNotice(Notice{Server: s.id, Need: idle.String(), Holds: false})
+		h.sendOrder(s, order{need: idle}, false, 0, "room for "+need.String())
 		return
 	}
-	s.holds[need.Model].arriving[need.Adapter] = now.Add(arriveTime)
-	h.give(s, order{load: true, need: need}, false, adapterTime, "wished")
+	s.holds[need.Model].arriving[need.Adapter] = now.Add(adapterRecordTime)
+	h.sendOrder(s, order{load: true, need: need}, false, adapterTime, "wished")
 }
--- a/pkg/coordinator/beats_bench_test.go
+++ b/pkg/coordinator/beats_bench_test.go
@@ -9,34 +9,36 @@
 	"martenwheel.dev/pkg/api"
 )
 
-// largeFleet is a holder of 302 nodes before 3,000 servers, all nodes known.
-func largeFleet(b *testing.B) (*node, []Beat) {
+// startLargeFleet starts a holder with 302 nodes and 3,000 servers, and sends one heartbeat of each
+// node.
+func startLargeFleet(b *testing.B) (*node, []Beat) {
 	holds := make([][]string, 3000)
 	for i := range holds {
-		holds[i] = []string{fmt.Sprintf("m%d", i%models)}
+		holds[i] = []string{fmt.Sprintf("m%d", i%modelCount)}
 	}
 	s := newSite(b, holds...)
 	n := s.start("holder-1")
-	n.hold()
-	var beats []Beat
+	n.waitForLease()
+	var heartbeats []Beat
 	for i := range 302 {
-		beats = append(beats, Beat{Node: Node{
+		heartbeats = append(heartbeats, Beat{Node: Node{
 			Name: fmt.Sprintf("front-lakes-a-%d", i), Life: 1771376905538999662, Zone: "lakes-a",
 			Callers: fmt.Sprintf("10.1.0.%d:8509", i), Peers: fmt.Sprintf("10.1.0.%d:7020", i), Power: 0.192,
 		}})
 	}
-	for _, beat := range beats {
+	for _, beat := range heartbeats {
 		if _, err := n.holder.HandleMessage(b.Context(), api.NodeRef{}, beat); err != nil {
 			b.Fatal(err)
 		}
 	}
-	return n, beats
+	return n, heartbeats
 }
 
-// BenchmarkBeatsOfALargeFleet is a beat of a node that lacks the changes of a second, in which one node
-// started again, with its answer: 235 microseconds and 25,643 bytes with all nodes in each answer.
+// BenchmarkBeatsOfALargeFleet measures a heartbeat and its answer, for a node that does not know the
+// changes of the last second, in which one node restarted. With all nodes in each answer this took
+// 235 microseconds and 25,643 bytes.
 func BenchmarkBeatsOfALargeFleet(b *testing.B) {
-	n, beats := largeFleet(b)
+	n, heartbeats := startLargeFleet(b)
 	defer n.stop()
 	bytesOf := func(answer any) int {
 		var buffer bytes.Buffer
@@ -45,18 +47,18 @@
 		}
 		return buffer.Len()
 	}
-	versions := make([]NodesVersion, len(beats))
+	versions := make([]NodesVersion, len(heartbeats))
 	total := 0
 	for i := 0; b.Loop(); i++ {
-		at := 1 + i%(len(beats)-1)
+		at := 1 + i%(len(heartbeats)-1)
 		if at == 1 {
-			beats[0].Node.Life++
-			if _, err := n.holder.HandleMessage(b.Context(), api.NodeRef{}, beats[0]); err != nil {
+			heartbeats[0].Node.Life++
+			if _, err := n.holder.HandleMessage(b.Context(), api.NodeRef{}, heartbeats[0]); err != nil {
 				b.Fatal(err)
 			}
 		}
-		beats[at].Knows, beats[at].Partial = versions[at], true
-		reply, err := n.holder.HandleMessage(b.Context(), api.NodeRef{}, beats[at])
+		heartbeats[at].Knows, heartbeats[at].Partial = versions[at], true
+		reply, err := n.holder.HandleMessage(b.Context(), api.NodeRef{}, heartbeats[at])
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/pkg/coordinator/explore_limit_test.go
+++ b/pkg/coordinator/explore_limit_test.go
@@ -10,56 +10,57 @@
 	"martenwheel.dev/pkg/backpressure"
 )
 
-// What may arrive at a server with a limit, as in the users' rules.
+// How many requests may arrive at a server with a rate limit within a window, by the users' rules.
 const (
 	limitWindow  = 4 * time.Second
 	limitOverage = 1.5
 	limitSlack   = 5
 )
 
-// exploreLimits are the limits, in requests a second, in turn for one schedule after the other.
+// exploreLimits are the rate limits in requests per second; schedules take them in turn.
 var exploreLimits = []float64{1, 5, 20}
 
-// limitFactor is how much more nodes have for the server than it takes.
-const limitFactor = 3
+// demandFactor is the ratio of the requests that nodes have for the server to its limit.
+const demandFactor = 3
 
-// usedLeast is the part of the limit that is used once all trouble is over.
-const usedLeast = 0.7
+// minUsed is the share of the limit that must be used once all faults are over.
+const minUsed = 0.7
 
-// limitedServer is a server that names a limit, and nodes that have more for it.
+// limitedServer is a server with a rate limit, and the nodes' requests, which exceed it.
 type limitedServer struct {
-	world  *world
+	sim    *simulation
 	limit  float64
 	random *rand.Rand // for the callers; not safe for concurrent use
 
-	mu      sync.Mutex
-	rations map[string]*backpressure.Ration // by the life of a node
-	came    []time.Time
+	mu       sync.Mutex
+	rations  map[string]*backpressure.Ration // by name of the node's incarnation
+	arrivals []time.Time
 }
 
-func newLimitedServer(w *world, seed uint64) *limitedServer {
-	return &limitedServer{world: w, limit: exploreLimits[seed%uint64(len(exploreLimits))], random: rand.New(rand.NewPCG(seed, 6)),
+func newLimitedServer(sim *simulation, seed uint64) *limitedServer {
+	return &limitedServer{sim: sim, limit: exploreLimits[seed%uint64(len(exploreLimits))], random: rand.New(rand.NewPCG(seed, 6)),
 		rations: make(map[string]*backpressure.Ration)}
 }
 
-// flood sends for a while.
+// flood sends requests for the given time.
 func (s *limitedServer) flood(length time.Duration) {
-	pause := time.Duration(float64(time.Second) / (limitFactor * s.limit))
+	pause := time.Duration(float64(time.Second) / (demandFactor * s.limit))
 	for began := time.Now(); time.Since(began) < length; time.Sleep(pause) {
-		s.world.mu.Lock()
-		n := s.world.nodes[s.random.IntN(len(s.world.nodes))]
-		s.world.mu.Unlock()
+		s.sim.mu.Lock()
+		n := s.sim.nodes[s.random.IntN(len(s.sim.nodes))]
+		s.sim.mu.Unlock()
 		go s.send(n)
 	}
-	time.Sleep(2 * time.Second) // virtual; for slots that are waited for
+	time.Sleep(2 * time.Second) // virtual; lets requests that wait for their slots end
 }
 
-// send has a node send one request as package relay does: by a slot, or by its ration.
-func (s *limitedServer) send(n *worldNode) {
-	if n.isFrozen() || !n.awake() {
+// send makes a node send one request as package relay does: with a slot from the holder, or from the
+// node's own ration.
+func (s *limitedServer) send(n *simNode) {
+	if n.isFrozen() || !n.waitUntilRunning() {
 		return
 	}
-	slot, err := n.member.TakeSlot(s.world.t.Context(), []backpressure.Ask{{Server: "server-0", Limit: s.limit}}, backpressure.MostWait)
+	slot, err := n.member.TakeSlot(s.sim.t.Context(), []backpressure.Ask{{Server: "server-0", Limit: s.limit}}, backpressure.MostWait)
 	if err != nil {
 		slot = backpressure.Slot{Granted: s.ration(n).Take(time.Now(), n.member.Self.Name, "server-0", backpressure.AloneShare*s.limit, n.member.Fleet())}
 	}
@@ -68,15 +69,15 @@
 	}
 	time.Sleep(slot.Wait)
 	due := time.Now()
-	if !n.awake() || time.Since(due) > 500*time.Millisecond { // the slot lapsed
+	if !n.waitUntilRunning() || time.Since(due) > 500*time.Millisecond { // the slot has expired
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.came = append(s.came, time.Now())
+	s.arrivals = append(s.arrivals, time.Now())
 }
 
-func (s *limitedServer) ration(n *worldNode) *backpressure.Ration {
+func (s *limitedServer) ration(n *simNode) *backpressure.Ration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.rations[n.name] == nil {
@@ -85,52 +86,52 @@
 	return s.rations[n.name]
 }
 
-// judge looks at the fullest window, and at what came in a while without trouble.
-func (s *limitedServer) judge(calm time.Time, lasted time.Duration) {
+// check checks the fullest window and, over a time without faults, the used share of the limit.
+func (s *limitedServer) check(faultsEnded time.Time, length time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	slices.SortFunc(s.came, time.Time.Compare)
-	most, first, late := 0, 0, 0
-	for i, at := range s.came {
-		for at.Sub(s.came[first]) >= limitWindow {
+	slices.SortFunc(s.arrivals, time.Time.Compare)
+	fullest, first, arrivalsWithoutFaults := 0, 0, 0
+	for i, at := range s.arrivals {
+		for at.Sub(s.arrivals[first]) >= limitWindow {
 			first++
 		}
-		most = max(most, i-first+1)
-		if !at.Before(calm) && at.Sub(calm) < lasted {
-			late++
+		fullest = max(fullest, i-first+1)
+		if !at.Before(faultsEnded) && at.Sub(faultsEnded) < length {
+			arrivalsWithoutFaults++
 		}
 	}
-	may := limitOverage*s.limit*limitWindow.Seconds() + limitSlack
-	used := float64(late) / (s.limit * lasted.Seconds())
-	s.world.t.Logf("%d came in %v at most, %g may; of the limit %.2f were used without trouble; %d terms", most, limitWindow, may, used, s.world.row.stored.Record.Term)
-	if float64(most) > may {
-		s.world.t.Errorf("LIMIT: %d came in %v, %g may", most, limitWindow, may)
+	allowed := limitOverage*s.limit*limitWindow.Seconds() + limitSlack
+	used := float64(arrivalsWithoutFaults) / (s.limit * length.Seconds())
+	s.sim.t.Logf("at most %d requests arrived within %v, %g are allowed; %.2f of the limit used without faults; %d terms", fullest, limitWindow, allowed, used, s.sim.leaseStore.stored.Record.Term)
+	if float64(fullest) > allowed {
+		s.sim.t.Errorf("LIMIT: %d requests arrived within %v, %g are allowed", fullest, limitWindow, allowed)
 	}
-	if used < usedLeast {
-		s.world.t.Errorf("%.2f of the limit are used without trouble", used)
+	if used < minUsed {
+		s.sim.t.Errorf("only %.2f of the limit used without faults", used)
 	}
 }
 
-// TestLIMITInSchedules plays the explorer's faults, and losses of all nodes at once, beside a server that names a
-// limit and nodes that have more for it.
+// TestLIMITInSchedules runs the explorer's faults, and crashes of all nodes at once, while nodes
+// have more requests for a server than its rate limit allows.
 func TestLIMITInSchedules(t *testing.T) {
-	explore(t, func(w *world, seed uint64) {
-		const calmPart = 8 * time.Second
-		w.addressesStay = seed%2 == 0
-		s := newLimitedServer(w, seed)
+	explore(t, func(sim *simulation, seed uint64) {
+		const timeWithoutFaults = 8 * time.Second
+		sim.keepNodeAddresses = seed%2 == 0
+		s := newLimitedServer(sim, seed)
 		time.Sleep(time.Second)
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			s.flood(faultTime + calmTime + calmPart)
+			s.flood(faultTime + settleTime + timeWithoutFaults)
 		}()
-		w.playLosses()
-		time.Sleep(calmTime)
-		calm := time.Now()
-		time.Sleep(calmPart)
+		sim.runFaultsAndCrashes()
+		time.Sleep(settleTime)
+		faultsEnded := time.Now()
+		time.Sleep(timeWithoutFaults)
 		<-done
-		s.judge(calm, calmPart)
-		time.Sleep(recoverTime) // virtual; for the wishes under way to end
-		w.stopNodes()
+		s.check(faultsEnded, timeWithoutFaults)
+		time.Sleep(recoverTime) // virtual; lets pending load requests end
+		sim.stopNodes()
 	})
 }
--- a/pkg/coordinator/explore_quarantine_test.go
+++ b/pkg/coordinator/explore_quarantine_test.go
@@ -16,179 +16,184 @@
 	"martenwheel.dev/pkg/quarantine"
 )
 
-// fatal is a request that ends the servers that run it and comes again and again, at any node.
-type fatal struct {
-	world       *world
+// crashingRequest is a request that crashes each server that runs it and is sent again and again, at
+// any node.
+type crashingRequest struct {
+	sim         *simulation
 	fingerprint quarantine.Fingerprint
 	random      *rand.Rand    // for the caller; not safe for concurrent use
-	runs        time.Duration // until its server ends
-	sticky      bool          // it goes to the same server, whose lives have one name and stand behind a proxy
-	proxied     bool          // all servers stand behind proxies
-	unlisted    bool          // it goes to servers that the node does not know of as well
-	tries       int           // servers that one coming may be sent to; zero: triesOfOne
+	timeToCrash time.Duration // from its start to the crash of the server
+	sticky      bool          // all are sent to one server, which keeps its name and is behind a proxy
+	proxied     bool          // all servers are behind proxies
+	unlisted    bool          // also sent to servers that the node does not list
+	maxTries    int           // servers that one request may be sent to; zero means defaultMaxTries
 
 	mu       sync.Mutex
-	ends     []time.Time // of servers
+	crashes  []time.Time // when servers crashed
 	arrivals []arrival
 }
 
-// arrival is a request that came to a server.
+// arrival is a request that reached a server.
 type arrival struct {
-	at      time.Time
-	node    string
-	inTouch bool // the node was, by the users' rules
+	at        time.Time
+	node      string
+	inContact bool // the node was in contact with the store, by the users' rules
 }
 
-// Times of a fatal request.
+// Times of a crashing request.
 const (
-	comesAgain  = 900 * time.Millisecond // at most, after it came last
-	runsFor     = 120 * time.Millisecond // until its server ends
-	runsShortly = 5 * time.Millisecond   // the same, before anything can be told
-	triesOfOne  = 3                      // servers that one coming may be sent to
-	troubledFor = 6 * time.Second        // at most, between two calms
-	calmFor     = 8 * time.Second        // at most, after contact
+	maxResendPause    = 900 * time.Millisecond // longest pause until it is sent again
+	crashTime         = 120 * time.Millisecond // from its start to the crash of the server
+	shortCrashTime    = 5 * time.Millisecond   // from its start to the crash, before a node can report anything
+	defaultMaxTries   = 3                      // servers that one request may be sent to
+	maxFaultPhase     = 6 * time.Second        // longest phase with faults
+	maxFaultFreePhase = 8 * time.Second        // longest phase without faults, not counting contactTime
 )
 
-// TestBUDGETOfFatalRequestsInSchedules plays the explorer's faults, and losses of all nodes at
-// once, beside a request that ends servers. From contact after it ended three, nodes in touch
-// send it to servers three times more at most.
+// TestBUDGETOfFatalRequestsInSchedules runs the explorer's faults, and crashes of all nodes at once,
+// while a crashing request is sent. From contactTime after it crashed three servers, nodes in
+// contact with the store may send it to servers three more times at most.
 func TestBUDGETOfFatalRequestsInSchedules(t *testing.T) {
-	explore(t, func(w *world, seed uint64) {
-		f := &fatal{
-			world: w, fingerprint: quarantine.FingerprintOf("POST", "h", "/", []byte{byte(seed)}),
-			random: rand.New(rand.NewPCG(seed, 3)), runs: runsFor, sticky: seed%2 == 0,
+	explore(t, func(sim *simulation, seed uint64) {
+		r := &crashingRequest{
+			sim: sim, fingerprint: quarantine.FingerprintOf("POST", "h", "/", []byte{byte(seed)}),
+			random: rand.New(rand.NewPCG(seed, 3)), timeToCrash: crashTime, sticky: seed%2 == 0,
 		}
-		w.namesStay = f.sticky
-		f.play()
-		f.judge()
+		sim.keepServerNames = r.sticky
+		r.run()
+		r.check()
 	})
 }
 
-// TestBUDGETOfFatalRequestsAtUnlistedServers is TestBUDGETOfFatalRequestsInSchedules with nodes that send the request to
-// servers that they do not list yet, as one that has just started would: no end of those is ever told.
+// TestBUDGETOfFatalRequestsAtUnlistedServers is TestBUDGETOfFatalRequestsInSchedules with nodes that
+// also send the request to servers that they do not list yet, like a server that has just started.
+// Nodes never report the end of those servers.
 func TestBUDGETOfFatalRequestsAtUnlistedServers(t *testing.T) {
-	explore(t, func(w *world, seed uint64) {
-		f := &fatal{
-			world: w, fingerprint: quarantine.FingerprintOf("POST", "h", "/", []byte{byte(seed)}),
-			random: rand.New(rand.NewPCG(seed, 3)), runs: runsFor, sticky: seed%2 == 0, unlisted: true,
+	explore(t, func(sim *simulation, seed uint64) {
+		r := &crashingRequest{
+			sim: sim, fingerprint: quarantine.FingerprintOf("POST", "h", "/", []byte{byte(seed)}),
+			random: rand.New(rand.NewPCG(seed, 3)), timeToCrash: crashTime, sticky: seed%2 == 0, unlisted: true,
 		}
-		w.namesStay = f.sticky
-		f.play()
-		f.judge()
+		sim.keepServerNames = r.sticky
+		r.run()
+		r.check()
 	})
 }
 
-// TestBUDGETWhereEndsShowLate has all servers stand behind proxies, which accept connections after a server's end, and
-// the request come to one node right after the other. The first end shows as the server's record goes, when the request
-// had been at all servers: each node knew of its own tries alone, and took none of them for an end.
+// TestBUDGETWhereEndsShowLate has all servers behind proxies, which accept connections after the
+// server has ended, and the request is sent to one node right after the other. A crash shows only
+// once the server's record disappears. By then the request had been at all servers, since each node
+// knew only its own tries and counted none of them as a crash.
 func TestBUDGETWhereEndsShowLate(t *testing.T) {
-	for _, tries := range []int{1, triesOfOne} {
+	for _, tries := range []int{1, defaultMaxTries} {
 		t.Run(fmt.Sprintf("%d tries", tries), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t, 1)
-				f := &fatal{world: w, fingerprint: quarantine.FingerprintOf("POST", "h", "/", nil), runs: runsShortly, proxied: true, tries: tries}
-				time.Sleep(contact)
-				for i := range 4 * len(w.nodes) {
-					f.come(w.nodes[i%len(w.nodes)])
+				sim := newSimulation(t, 1)
+				r := &crashingRequest{sim: sim, fingerprint: quarantine.FingerprintOf("POST", "h", "/", nil), timeToCrash: shortCrashTime, proxied: true, maxTries: tries}
+				time.Sleep(contactTime)
+				for i := range 4 * len(sim.nodes) {
+					r.send(sim.nodes[i%len(sim.nodes)])
 				}
-				time.Sleep(contact)
-				for _, n := range w.nodes {
-					f.come(n)
+				time.Sleep(contactTime)
+				for _, n := range sim.nodes {
+					r.send(n)
 				}
-				if len(f.arrivals) < 1 || len(f.arrivals) > 3 {
-					t.Errorf("the request came to servers %d times, though one try was sent after the other", len(f.arrivals))
+				if len(r.arrivals) < 1 || len(r.arrivals) > 3 {
+					t.Errorf("the request reached servers %d times, want 1 to 3: the tries were sent one after the other", len(r.arrivals))
 				}
-				w.stopNodes()
+				sim.stopNodes()
 			})
 		})
 	}
 }
 
-// play has the request come while faults and calm take turns, and all nodes be lost as calm
-// begins, in most schedules: nodes that had no trouble for a while are held to the rule.
-func (f *fatal) play() {
-	w := f.world
-	time.Sleep(time.Duration(f.random.Int64N(int64(3 * time.Second))))
+// run sends the request through alternating phases with and without faults. Most phases without
+// faults begin with a crash of all nodes. Nodes in contact with the store are held to the users'
+// rule.
+func (r *crashingRequest) run() {
+	sim := r.sim
+	time.Sleep(time.Duration(r.random.Int64N(int64(3 * time.Second))))
 	for range 3 {
-		f.phase(time.Duration(f.random.Int64N(int64(troubledFor))), true)
-		w.heal()
-		if f.random.IntN(3) > 0 {
-			w.note("all nodes crash")
-			for _, n := range append([]*worldNode(nil), w.nodes...) {
-				w.crash(n)
+		r.phase(time.Duration(r.random.Int64N(int64(maxFaultPhase))), true)
+		sim.heal()
+		if r.random.IntN(3) > 0 {
+			sim.logEvent("all nodes crash")
+			for _, n := range append([]*simNode(nil), sim.nodes...) {
+				sim.crash(n)
 			}
 		}
-		f.phase(contact+time.Duration(f.random.Int64N(int64(calmFor))), false)
+		r.phase(contactTime+time.Duration(r.random.Int64N(int64(maxFaultFreePhase))), false)
 	}
-	time.Sleep(recoverTime) // virtual; for the wishes under way to end
-	for _, n := range w.nodes {
+	time.Sleep(recoverTime) // virtual; lets pending load requests end
+	for _, n := range sim.nodes {
 		n.stop()
 	}
 	time.Sleep(5 * time.Second)
 }
 
-// phase has the request come again and again for a while.
-func (f *fatal) phase(length time.Duration, troubled bool) {
-	w := f.world
-	for began := time.Now(); time.Since(began) < length; time.Sleep(time.Duration(f.random.Int64N(int64(comesAgain)))) {
-		go f.come(w.nodes[f.random.IntN(len(w.nodes))])
-		if troubled {
-			w.step()
+// phase sends the request again and again for a while.
+func (r *crashingRequest) phase(length time.Duration, withFaults bool) {
+	sim := r.sim
+	for began := time.Now(); time.Since(began) < length; time.Sleep(time.Duration(r.random.Int64N(int64(maxResendPause)))) {
+		go r.send(sim.nodes[r.random.IntN(len(sim.nodes))])
+		if withFaults {
+			sim.randomStep()
 		}
 	}
 }
 
-// come sends the request to servers as a node's relay does.
-func (f *fatal) come(n *worldNode) {
-	for range cmp.Or(f.tries, triesOfOne) {
-		if !n.awake() {
+// send sends the request to up to maxTries servers, as a node's relay does.
+func (r *crashingRequest) send(n *simNode) {
+	for range cmp.Or(r.maxTries, defaultMaxTries) {
+		if !n.waitUntilRunning() {
 			return
 		}
-		server, standing := f.server(n), n.member.Standing(f.fingerprint)
+		server, standing := r.nextServer(n), n.member.Standing(r.fingerprint)
 		if server == "" || standing == quarantine.Quarantined {
 			return
 		}
 		if standing == quarantine.Suspected {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-			granted, _ := n.member.TakeTurn(ctx, f.fingerprint, "s", n.listed(server))
+			granted, _ := n.member.TakeTurn(ctx, r.fingerprint, "s", n.listedIncarnation(server))
 			cancel()
-			if !granted || !n.awake() {
+			if !granted || !n.waitUntilRunning() {
 				return
 			}
 		}
-		if n.cutOff(server) {
+		if n.isCutFromServer(server) {
 			return
 		}
-		born := f.born(server)
-		run := quarantine.Run{Request: f.fingerprint, Service: "s", Server: n.listed(server), Round: n.member.NextRound(f.fingerprint), RequestID: "id"}
-		run.Doubts, run.Again = n.member.InDoubt(f.fingerprint, run.Server)
+		incarnation := r.incarnation(server)
+		run := quarantine.Run{Request: r.fingerprint, Service: "s", Server: n.listedIncarnation(server), Round: n.member.NextRound(r.fingerprint), RequestID: "id"}
+		run.Doubts, run.Again = n.member.InDoubt(r.fingerprint, run.Server)
 		sentTo := n.servers.Snapshot().Member(run.Server)
-		f.arrive(n, server)
-		time.Sleep(f.runs)
-		f.end(server, born)
-		if !n.awake() {
+		r.noteArrival(n, server)
+		time.Sleep(r.timeToCrash)
+		r.crashServer(server, incarnation)
+		if !n.waitUntilRunning() {
 			return
 		}
-		if f.sticky || f.proxied {
-			n.member.Doubted(f.world.t.Context(), run)
-			n.tellByRecord(run, sentTo)
+		if r.sticky || r.proxied {
+			n.member.Doubted(r.sim.t.Context(), run)
+			n.reportEndByRecord(run, sentTo)
 			if standing == quarantine.Suspected {
-				return // the turn is kept until it lapses
+				return // the trial is kept until it expires
 			}
 			continue
 		}
 		n.member.Ended(run)
 		if standing == quarantine.Suspected {
-			n.member.ReleaseTurn(f.fingerprint, run.Server)
+			n.member.ReleaseTurn(r.fingerprint, run.Server)
 		}
 	}
 }
 
-// server returns one that runs and, unless it may go to others, that a node knows of; "" if there is none.
-func (f *fatal) server(n *worldNode) string {
-	names := f.names()
-	if !f.unlisted {
-		names = slices.DeleteFunc(names, func(name string) bool { return n.servers.Snapshot().Member(n.listed(name)) == nil })
+// nextServer returns a running server, or "" if there is none. Unless unlisted is set, it is one
+// that the node lists.
+func (r *crashingRequest) nextServer(n *simNode) string {
+	names := r.runningServers()
+	if !r.unlisted {
+		names = slices.DeleteFunc(names, func(name string) bool { return n.servers.Snapshot().Member(n.listedIncarnation(name)) == nil })
 	}
 	if len(names) == 0 {
 		return ""
@@ -196,27 +201,27 @@
 	return names[0]
 }
 
-// names returns the servers that run, in the map's order unless the request goes to the same one.
-func (f *fatal) names() []string {
-	names := slices.Collect(maps.Keys(f.world.serverIDs()))
-	if f.sticky {
+// runningServers returns the running servers, in random order unless the request is sticky.
+func (r *crashingRequest) runningServers() []string {
+	names := slices.Collect(maps.Keys(r.sim.serverIDs()))
+	if r.sticky {
 		slices.Sort(names)
 	}
 	return names
 }
 
-// born returns the start of the life that runs under a name.
-func (f *fatal) born(server string) int64 {
-	f.world.engines.mu.Lock()
-	defer f.world.engines.mu.Unlock()
-	if e := f.world.engines.servers[server]; e != nil {
-		return e.born
+// incarnation returns the current incarnation of a server.
+func (r *crashingRequest) incarnation(server string) int64 {
+	r.sim.engines.mu.Lock()
+	defer r.sim.engines.mu.Unlock()
+	if e := r.sim.engines.servers[server]; e != nil {
+		return e.incarnation
 	}
 	return 0
 }
 
-// listed returns the life of a server that the node believes to run, by its record.
-func (n *worldNode) listed(server string) string {
+// listedIncarnation returns the ID of the server's incarnation that the node lists.
+func (n *simNode) listedIncarnation(server string) string {
 	for id, m := range n.servers.Snapshot().Members() {
 		if m.Instance() == server {
 			return id
@@ -225,53 +230,55 @@
 	return server
 }
 
-// endShows is within which the record of a server that ended tells it, as in package relay.
-const endShows = 5 * time.Second
+// recordTimeout is the time within which the record of an ended server shows its end, as in package
+// relay.
+const recordTimeout = 5 * time.Second
 
-// tellByRecord has the end of a server told once its record tells it: what stands before the
-// server refuses no connection.
-func (n *worldNode) tellByRecord(r quarantine.Run, m *backend.Member) {
+// reportEndByRecord reports the end of a server once its record shows it. The proxy before the
+// server does not refuse connections.
+func (n *simNode) reportEndByRecord(r quarantine.Run, m *backend.Member) {
 	r.ByRecord = true
 	if m != nil {
-		m.IfItEnds(endShows, func() { n.member.Ended(r) })
+		m.IfItEnds(recordTimeout, func() { n.member.Ended(r) })
 	}
 }
 
-// arrive notes that a node sent the request to a server.
-func (f *fatal) arrive(n *worldNode, server string) {
-	touch := n.inTouch() && time.Since(n.started) > contact
-	f.world.note("%s sends the fatal request to %s, in touch %t", n.name, server, touch)
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.arrivals = append(f.arrivals, arrival{time.Now(), n.name, touch})
+// noteArrival records that a node sent the request to a server.
+func (r *crashingRequest) noteArrival(n *simNode, server string) {
+	inContact := n.inContact() && time.Since(n.started) > contactTime
+	r.sim.logEvent("%s sends the crashing request to %s, in contact %t", n.name, server, inContact)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.arrivals = append(r.arrivals, arrival{time.Now(), n.name, inContact})
 }
 
-// end ends a server, unless that life has ended, and it comes back as another one.
-func (f *fatal) end(server string, born int64) {
-	w := f.world
-	w.engines.mu.Lock()
-	if e := w.engines.servers[server]; e != nil && e.born == born {
-		w.startAgain(server)
+// crashServer ends a server, unless the given incarnation has already ended, and starts its next
+// incarnation.
+func (r *crashingRequest) crashServer(server string, incarnation int64) {
+	sim := r.sim
+	sim.engines.mu.Lock()
+	if e := sim.engines.servers[server]; e != nil && e.incarnation == incarnation {
+		sim.replaceServer(server)
 	}
-	w.engines.mu.Unlock()
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.ends = append(f.ends, time.Now())
+	sim.engines.mu.Unlock()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.crashes = append(r.crashes, time.Now())
 }
 
-// judge counts the arrivals by the users' rule.
-func (f *fatal) judge() {
-	if len(f.ends) < 3 {
-		f.world.t.Logf("only %d servers ended", len(f.ends))
+// check checks the arrivals against the users' rule.
+func (r *crashingRequest) check() {
+	if len(r.crashes) < 3 {
+		r.sim.t.Logf("only %d servers crashed", len(r.crashes))
 		return
 	}
-	late := 0
-	for _, a := range f.arrivals {
-		if a.inTouch && a.at.Sub(f.ends[2]) > contact {
-			late++
+	lateArrivals := 0
+	for _, a := range r.arrivals {
+		if a.inContact && a.at.Sub(r.crashes[2]) > contactTime {
+			lateArrivals++
 		}
 	}
-	if late > 3 {
-		f.world.t.Errorf("the request came to servers %d times later than %v after it had ended three; %d ended in all", late, contact, len(f.ends))
+	if lateArrivals > 3 {
+		r.sim.t.Errorf("the request reached servers %d times later than %v after the third crash; %d servers crashed in all", lateArrivals, contactTime, len(r.crashes))
 	}
 }
--- a/pkg/coordinator/explore_test.go
+++ b/pkg/coordinator/explore_test.go
@@ -13,306 +13,306 @@
 	"github.com/sourcegraph/conc/pool"
 )
 
-// What the explorer plays, for runs by hand.
+// Flags of the explorer, for manual runs.
 var (
 	exploreSeed      = flag.Uint64("explore.seed", 1, "seed of the first schedule")
 	exploreSchedules = flag.Int("explore.schedules", 300, "number of schedules")
-	exploreCopies    = flag.Bool("explore.copies", false, "have the store come back from copies beside each schedule")
-	exploreLogs      = flag.Bool("explore.logs", false, "tell the holders' logs in the story of a failed schedule")
+	exploreRestores  = flag.Bool("explore.copies", false, "restore the store from backups during each schedule")
+	exploreLogs      = flag.Bool("explore.logs", false, "include the holders' logs in the event log of a failed schedule")
 )
 
-// exploreLoadRates are the ceilings of loads a second, in turn for one schedule
-// after the other: less than the servers could do, and no bound to them.
+// exploreLoadRates are the ceilings of loads per second; schedules take them in turn. The first is
+// lower than what the servers could do, the second does not limit them.
 var exploreLoadRates = []float64{0.4, loadRate}
 
-// Times of a schedule.
+// Durations of the parts of a schedule.
 const (
 	faultTime   = 25 * time.Second
-	calmTime    = 8 * time.Second  // after the faults, before the site must serve
-	recoverTime = 20 * time.Second // in which it then serves
+	settleTime  = 8 * time.Second  // after the faults, before the site must serve
+	recoverTime = 20 * time.Second // within which the site must then serve
 )
 
-// TestSchedules plays random schedules of faults against nodes with the real
-// lease, holder and member, and judges every order that reaches a server.
+// TestSchedules runs random schedules of faults against nodes with the real lease, holder and
+// member, and checks every order that reaches a server.
 func TestSchedules(t *testing.T) {
-	explore(t, func(w *world, _ uint64) {
-		w.play()
-		w.judge()
+	explore(t, func(sim *simulation, _ uint64) {
+		sim.runFaults()
+		sim.checkOrders()
 	})
 }
 
-// explore plays schedules until some broke a promise.
-func explore(t *testing.T, play func(w *world, seed uint64)) {
-	const mostFound = 5
-	var found atomic.Int32
+// explore runs schedules until maxFailures of them have failed.
+func explore(t *testing.T, run func(sim *simulation, seed uint64)) {
+	const maxFailures = 5
+	var failures atomic.Int32
 	workers := pool.New().WithMaxGoroutines(max(runtime.GOMAXPROCS(0)/2, 1))
 	for i := range *exploreSchedules {
 		seed := *exploreSeed + uint64(i)
 		workers.Go(func() {
-			if found.Load() < mostFound && !playSchedule(t, seed, play) {
-				found.Add(1)
+			if failures.Load() < maxFailures && !runSchedule(t, seed, run) {
+				failures.Add(1)
 			}
 		})
 	}
 	workers.Wait()
 }
 
-// playSchedule plays one schedule. It returns false if a promise was broken.
-func playSchedule(t *testing.T, seed uint64, play func(w *world, seed uint64)) bool {
+// runSchedule runs one schedule and reports whether it passed.
+func runSchedule(t *testing.T, seed uint64, run func(sim *simulation, seed uint64)) bool {
 	return t.Run(fmt.Sprint(seed), func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(t, seed)
+			sim := newSimulation(t, seed)
 			defer func() {
 				if t.Failed() {
-					t.Log("the story of the schedule:\n" + strings.Join(w.steps, "\n"))
+					t.Log("events of the schedule:\n" + strings.Join(sim.events, "\n"))
 				}
 			}()
-			if *exploreCopies {
-				go newCopies(w, seed).play()
+			if *exploreRestores {
+				go newStoreRestores(sim, seed).run()
 			}
-			play(w, seed)
+			run(sim, seed)
 		})
 	})
 }
 
-// play lets the faults happen, ends them and sees that the site serves.
-func (w *world) play() {
+// runFaults injects faults for faultTime, ends them and checks that the site recovers.
+func (sim *simulation) runFaults() {
 	time.Sleep(time.Second)
-	for time.Since(w.row.started) < faultTime {
-		w.step()
-		time.Sleep(time.Duration(w.random.Int64N(int64(1500 * time.Millisecond))))
+	for time.Since(sim.leaseStore.started) < faultTime {
+		sim.randomStep()
+		time.Sleep(time.Duration(sim.random.Int64N(int64(1500 * time.Millisecond))))
 	}
-	w.heal()
-	time.Sleep(calmTime)
-	w.recover()
-	for _, n := range w.nodes {
+	sim.heal()
+	time.Sleep(settleTime)
+	sim.checkRecovery()
+	for _, n := range sim.nodes {
 		n.stop()
 	}
-	time.Sleep(5 * time.Second) // virtual; for what is under way to end
+	time.Sleep(5 * time.Second) // virtual; lets pending calls end
 }
 
-// step does one thing of the schedule: a wish, mostly, or a fault.
-func (w *world) step() {
-	n := w.nodes[w.random.IntN(len(w.nodes))]
-	switch w.random.IntN(16) {
+// randomStep performs one step of the schedule: usually a load request, otherwise a fault.
+func (sim *simulation) randomStep() {
+	n := sim.nodes[sim.random.IntN(len(sim.nodes))]
+	switch sim.random.IntN(16) {
 	case 0:
-		w.crash(n)
+		sim.crash(n)
 	case 1, 2:
-		n.freeze(time.Duration(w.random.Int64N(int64(6 * time.Second))))
+		n.freeze(time.Duration(sim.random.Int64N(int64(6 * time.Second))))
 	case 3:
-		n.cut(w.random.IntN(3), time.Duration(w.random.Int64N(int64(6*time.Second))))
+		n.disconnect(sim.random.IntN(3), time.Duration(sim.random.Int64N(int64(6*time.Second))))
 	case 4:
-		w.restartServer()
+		sim.restartServer()
 	case 5:
-		w.storeDown(time.Duration(w.random.Int64N(int64(5 * time.Second))))
+		sim.storeDown(time.Duration(sim.random.Int64N(int64(5 * time.Second))))
 	case 6, 7:
-		w.changeTrouble()
+		sim.changeFaultRates()
 	default:
-		w.wish(n, fmt.Sprintf("m%d", w.random.IntN(8)), w.random.IntN(3))
+		sim.startLoadRequest(n, fmt.Sprintf("m%d", sim.random.IntN(8)), sim.random.IntN(3))
 	}
 }
 
-// wish has a node wish a model, with an adapter more often than not.
-func (w *world) wish(n *worldNode, model string, adapter int) {
+// startLoadRequest makes a node request a model, two times out of three with an adapter.
+func (sim *simulation) startLoadRequest(n *simNode, model string, adapter int) {
 	need := model
 	if adapter > 0 {
-		need = fmt.Sprintf("%s/a%d", model, w.random.IntN(5))
+		need = fmt.Sprintf("%s/a%d", model, sim.random.IntN(5))
 	}
-	go n.wishFor(need)
+	go n.requestUntilLoaded(need)
 }
 
-// crash ends a life; the node comes back as another one.
-func (w *world) crash(n *worldNode) {
-	w.note("%s crashes", n.name)
-	for i := range w.nodes {
-		if w.nodes[i] != n {
+// crash ends an incarnation of a node and starts the next one.
+func (sim *simulation) crash(n *simNode) {
+	sim.logEvent("%s crashes", n.name)
+	for i := range sim.nodes {
+		if sim.nodes[i] != n {
 			continue
 		}
 		close(n.crashed)
 		n.stop()
-		w.startNode(i)
+		sim.startNode(i)
 		return
 	}
 }
 
-// freeze stops all that leaves or reaches a node.
-func (n *worldNode) freeze(d time.Duration) {
-	n.world.note("%s freezes for %v", n.name, d)
+// freeze stops all messages from and to a node for a while.
+func (n *simNode) freeze(d time.Duration) {
+	n.sim.logEvent("%s freezes for %v", n.name, d)
 	n.mu.Lock()
-	n.frozen = time.Now().Add(d)
-	n.storeBack = n.frozen
+	n.frozenUntil = time.Now().Add(d)
+	n.storeFaultsEnded = n.frozenUntil
 	n.mu.Unlock()
 }
 
-// cut takes a node from the store, from the servers or from the other nodes.
-func (n *worldNode) cut(from int, d time.Duration) {
-	n.world.note("%s is cut from %s for %v", n.name, []string{"the store", "the servers", "the nodes"}[from], d)
+// disconnect cuts a node off from the store, the servers or the other nodes for a while.
+func (n *simNode) disconnect(target int, d time.Duration) {
+	n.sim.logEvent("%s is cut off from %s for %v", n.name, []string{"the store", "the servers", "the nodes"}[target], d)
 	n.mu.Lock()
-	switch from {
+	switch target {
 	case 0:
-		n.noStore = true
+		n.cutFromStore = true
 	case 1:
-		for id := range n.world.serverIDs() {
-			n.noServers[id] = true
+		for id := range n.sim.serverIDs() {
+			n.cutFromServers[id] = true
 		}
 	case 2:
-		for i := range n.world.nodes {
-			n.cutFrom[fmt.Sprintf("node-%d", i)] = true
+		for i := range n.sim.nodes {
+			n.cutFromNodes[fmt.Sprintf("node-%d", i)] = true
 		}
 	}
 	n.mu.Unlock()
 	time.AfterFunc(d, n.heal)
 }
 
-func (n *worldNode) heal() {
+func (n *simNode) heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.noStore {
-		n.storeBack = latest(n.storeBack, time.Now()) // the node may be frozen for longer
+	if n.cutFromStore {
+		n.storeFaultsEnded = latest(n.storeFaultsEnded, time.Now()) // the node may stay frozen for longer
 	}
-	n.noStore = false
-	clear(n.noServers)
-	clear(n.cutFrom)
+	n.cutFromStore = false
+	clear(n.cutFromServers)
+	clear(n.cutFromNodes)
 }
 
-// restartServer replaces a server by another life of it, which holds nothing, and has its name
-// more often than not.
-func (w *world) restartServer() {
-	w.engines.mu.Lock()
-	defer w.engines.mu.Unlock()
-	for name := range w.engines.servers { // which one is the map's choice
-		w.startAgain(name)
+// restartServer restarts some server, which then holds nothing. It usually keeps its name.
+func (sim *simulation) restartServer() {
+	sim.engines.mu.Lock()
+	defer sim.engines.mu.Unlock()
+	for name := range sim.engines.servers { // the first of the map's random order
+		sim.replaceServer(name)
 		return
 	}
 }
 
-// startAgain ends a server and starts its next life. The caller holds the engines' mu.
-func (w *world) startAgain(name string) {
-	if w.namesStay || w.births.IntN(3) > 0 {
-		w.engines.reborn(name)
-		w.note("%s starts again under its name", name)
+// replaceServer ends a server and starts its next incarnation, under the same or a new name. The
+// caller holds the engines' mu.
+func (sim *simulation) replaceServer(name string) {
+	if sim.keepServerNames || sim.restartRandom.IntN(3) > 0 {
+		sim.engines.resetServer(name)
+		sim.logEvent("%s restarts under its name", name)
 		return
 	}
-	delete(w.engines.servers, name)
-	w.lives++
-	next := fmt.Sprintf("server-%d", 1000+w.lives)
-	w.engines.servers[next] = &engineState{models: make(map[string]map[string]bool)}
-	w.note("%s comes back as %s", name, next)
+	delete(sim.engines.servers, name)
+	sim.restarts++
+	next := fmt.Sprintf("server-%d", 1000+sim.restarts)
+	sim.engines.servers[next] = &engineState{models: make(map[string]map[string]bool)}
+	sim.logEvent("%s restarts as %s", name, next)
 }
 
-func (w *world) serverIDs() map[string]bool {
-	w.engines.mu.Lock()
-	defer w.engines.mu.Unlock()
+func (sim *simulation) serverIDs() map[string]bool {
+	sim.engines.mu.Lock()
+	defer sim.engines.mu.Unlock()
 	ids := make(map[string]bool)
-	for id := range w.engines.servers {
+	for id := range sim.engines.servers {
 		ids[id] = true
 	}
 	return ids
 }
 
-func (w *world) storeDown(d time.Duration) {
-	w.note("the store is down for %v", d)
-	w.mu.Lock()
-	w.trouble.storeDown = true
-	w.mu.Unlock()
+func (sim *simulation) storeDown(d time.Duration) {
+	sim.logEvent("the store is down for %v", d)
+	sim.mu.Lock()
+	sim.faults.storeDown = true
+	sim.mu.Unlock()
 	time.AfterFunc(d, func() {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		w.trouble.storeDown = false
-		w.calm = time.Now()
+		sim.mu.Lock()
+		defer sim.mu.Unlock()
+		sim.faults.storeDown = false
+		sim.storeFaultsEnded = time.Now()
 	})
 }
 
-// changeTrouble draws the shares of calls that go wrong from now on.
-func (w *world) changeTrouble() {
-	draw := func(most float64) float64 {
-		if w.random.IntN(2) == 0 {
+// changeFaultRates draws new fault rates of calls.
+func (sim *simulation) changeFaultRates() {
+	draw := func(maxRate float64) float64 {
+		if sim.random.IntN(2) == 0 {
 			return 0
 		}
-		return most * w.random.Float64()
+		return maxRate * sim.random.Float64()
 	}
-	w.mu.Lock()
-	if w.trouble.storeTroubled() {
-		w.calm = time.Now()
+	sim.mu.Lock()
+	if sim.faults.storeFaulty() {
+		sim.storeFaultsEnded = time.Now()
 	}
-	w.trouble = trouble{
+	sim.faults = faultRates{
 		loseOrder: draw(0.3), loseAnswer: draw(0.4), lateOrder: draw(0.4),
-		loseWrite: draw(0.2), loseWritten: draw(0.3), lateWrite: draw(0.3),
-		loseMessage: draw(0.3), slow: draw(0.3), storeDown: w.trouble.storeDown,
+		loseWrite: draw(0.2), loseWriteAnswer: draw(0.3), lateWrite: draw(0.3),
+		loseMessage: draw(0.3), slow: draw(0.3), storeDown: sim.faults.storeDown,
 	}
-	text := fmt.Sprintf("%+v", w.trouble)
-	w.mu.Unlock()
-	w.note("calls: %s", text)
+	text := fmt.Sprintf("%+v", sim.faults)
+	sim.mu.Unlock()
+	sim.logEvent("fault rates of calls: %s", text)
 }
 
 // heal ends all faults.
-func (w *world) heal() {
-	w.note("all faults end")
-	w.mu.Lock()
-	w.trouble, w.calm = trouble{}, time.Now()
-	w.mu.Unlock()
-	for _, n := range w.nodes {
+func (sim *simulation) heal() {
+	sim.logEvent("all faults end")
+	sim.mu.Lock()
+	sim.faults, sim.storeFaultsEnded = faultRates{}, time.Now()
+	sim.mu.Unlock()
+	for _, n := range sim.nodes {
 		n.heal()
 	}
 }
 
-// wishFor tells a wish as the relay does, until a server holds the model.
-func (n *worldNode) wishFor(need string) bool {
+// requestUntilLoaded repeats a load request as the relay does, until a server holds the model.
+func (n *simNode) requestUntilLoaded(need string) bool {
 	for began := time.Now(); time.Since(began) < recoverTime; time.Sleep(250 * time.Millisecond) {
-		if !n.awake() {
+		if !n.waitUntilRunning() {
 			return false
 		}
-		if n.serves(need) {
+		if n.requestLoad(need) {
 			return true
 		}
 	}
 	return false
 }
 
-// recover sees that each node gets a model that no server holds.
-func (w *world) recover() {
-	for i, n := range w.nodes {
+// checkRecovery checks that each node gets a model loaded that no server holds.
+func (sim *simulation) checkRecovery() {
+	for i, n := range sim.nodes {
 		need := fmt.Sprintf("m%d", 20+i)
-		if !n.wishFor(need) {
-			w.t.Errorf("%s got no server for %s within %v after the faults", n.name, need, recoverTime)
+		if !n.requestUntilLoaded(need) {
+			sim.t.Errorf("%s found no server with %s within %v after the faults", n.name, need, recoverTime)
 		}
 	}
 }
 
-// nodeOf returns the node of a holder, which is one of its lives: to the platform, all of
-// them are one holder.
+// nodeOf returns the node that an order's Holder belongs to. All incarnations of a node count as one
+// holder.
 func nodeOf(holder string) string {
 	node, _, _ := strings.Cut(holder, "/")
 	return node
 }
 
-// judge looks at all orders that reached servers in time: no two holders share a
-// fence or take turns too soon, and loads keep to the ceiling. The engines have
-// judged memory and adapters' places. Orders of holders that go on without the store,
-// whose servers refuse lower fences, take no turns and don't count for the ceiling, as in
-// the users' rules; that such a holder really was without it is judged as they are given.
-func (w *world) judge() {
+// checkOrders checks all orders that reached servers on time. Two holders must not use the same
+// fence, nor give orders to the same server within turnTime, and loads must keep to the ceiling. The
+// engines check memory and adapter places themselves. By the users' rules, orders that a holder
+// gives while it continues without the store are exempt from turnTime and the ceiling, since servers
+// refuse lower fences; Give checks that such a holder really has no contact with the store.
+func (sim *simulation) checkOrders() {
 	holders := make(map[uint64]string)
-	last := make(map[string]given)
+	lastOrders := make(map[string]receivedOrder)
 	var loads []time.Time
-	for _, g := range w.orders {
+	for _, g := range sim.orders {
 		if other, used := holders[g.order.Fence]; used && other != g.order.Holder {
-			w.t.Errorf("%s and %s gave orders with the fence %d", other, g.order.Holder, g.order.Fence)
+			sim.t.Errorf("%s and %s both gave orders with fence %d", other, g.order.Holder, g.order.Fence)
 		}
 		holders[g.order.Fence] = g.order.Holder
-		before, known := last[g.server]
-		if known && !g.order.Offline && !before.order.Offline && nodeOf(before.order.Holder) != nodeOf(g.order.Holder) && g.at.Sub(before.at) < turns {
-			w.t.Errorf("%s got orders of %s and, %v later, of %s", g.server, before.order.Holder, g.at.Sub(before.at), g.order.Holder)
+		before, known := lastOrders[g.server]
+		if known && !g.order.Offline && !before.order.Offline && nodeOf(before.order.Holder) != nodeOf(g.order.Holder) && g.at.Sub(before.at) < turnTime {
+			sim.t.Errorf("%s received an order of %s and, %v later, one of %s", g.server, before.order.Holder, g.at.Sub(before.at), g.order.Holder)
 		}
-		last[g.server] = g
+		lastOrders[g.server] = g
 		if g.result == Accepted && g.order.Load && g.order.Need.Adapter == "" && !g.order.Offline {
 			loads = append(loads, g.at)
 		}
 	}
-	most := int(w.loadRate*window.Seconds()*1.1) + 3
+	maxLoads := int(sim.loadRate*ceilingWindow.Seconds()*1.1) + 3
 	for i := range loads {
-		if i >= most && loads[i].Sub(loads[i-most]) < window {
-			w.t.Errorf("%d loads began within %v", most+1, loads[i].Sub(loads[i-most]))
+		if i >= maxLoads && loads[i].Sub(loads[i-maxLoads]) < ceilingWindow {
+			sim.t.Errorf("%d loads started within %v", maxLoads+1, loads[i].Sub(loads[i-maxLoads]))
 		}
 	}
 }
--- a/pkg/coordinator/fleet_test.go
+++ b/pkg/coordinator/fleet_test.go
@@ -8,14 +8,14 @@
 	"martenwheel.dev/pkg/api"
 )
 
-// TestFleetShrinksSlowly: nodes that are away for some seconds count, those that stay
-// away do not for ever.
+// TestFleetShrinksSlowly checks that nodes that are silent for some seconds still count, but not
+// those that stay away.
 func TestFleetShrinksSlowly(t *testing.T) {
 	var f fleet
 	now := time.Unix(1000, 0)
 	f.begin(now, 0, 0, false)
 	if f.known() != 0 {
-		t.Errorf("%d nodes before any told", f.known())
+		t.Errorf("%d nodes count before any heartbeat", f.known())
 	}
 	f.observe(now, 100)
 	steps := []struct {
@@ -26,7 +26,7 @@
 		{time.Second, 45, 100},
 		{10 * time.Second, 60, 100},
 		{fleetMemory - 12*time.Second, 50, 100},
-		{2 * time.Second, 50, 60}, // the most of the while
+		{2 * time.Second, 50, 60}, // the most within fleetMemory
 		{time.Second, 61, 61},
 	}
 	for i, s := range steps {
@@ -38,13 +38,13 @@
 	}
 }
 
-// TestNewHolderKnowsTheFleet: the holder of many nodes is killed with all others; the
-// next one counts them all before they told it of themselves.
+// TestNewHolderKnowsTheFleet checks that, when a holder is killed together with all other nodes, the
+// next holder counts them all before their first heartbeats.
 func TestNewHolderKnowsTheFleet(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		s := newSite(t)
 		const fleet = 30
-		beat := func(n *node, i int) BeatAnswer {
+		heartbeat := func(n *node, i int) BeatAnswer {
 			reply, err := n.holder.HandleMessage(t.Context(), api.NodeRef{}, Beat{Node: Node{Name: fmt.Sprint(i)}})
 			if err != nil {
 				t.Fatal(err)
@@ -52,29 +52,29 @@
 			return reply.(BeatAnswer)
 		}
 		first := s.start("first")
-		first.hold()
+		first.waitForLease()
 		for i := range fleet {
-			if told := beat(first, i).Fleet; told != i+1 {
-				t.Errorf("node %d is told of %d", i, told)
+			if reported := heartbeat(first, i).Fleet; reported != i+1 {
+				t.Errorf("the answer to node %d reports %d nodes", i, reported)
 			}
 		}
-		time.Sleep(2 * time.Second) // a renewal tells the record
+		time.Sleep(2 * time.Second) // until a renewal of the lease writes the fleet size to the record
 		first.stop()
 		second := s.start("second")
-		second.hold()
-		if told := beat(second, 0).Fleet; told != fleet {
-			t.Errorf("the new holder tells of %d nodes, want %d", told, fleet)
+		second.waitForLease()
+		if reported := heartbeat(second, 0).Fleet; reported != fleet {
+			t.Errorf("the new holder reports %d nodes, want %d", reported, fleet)
 		}
 	})
 }
 
-// TestHolderLendsRepeats: what is lent keeps to the slack, and a new holder has nothing
-// to lend at first.
+// TestHolderLendsRepeats checks that the retries lent stay within the slack, and that a new holder
+// lends none at first.
 func TestHolderLendsRepeats(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		s := newSite(t)
 		first := s.start("first")
-		first.hold()
+		first.waitForLease()
 		borrow := func(n *node) BorrowAnswer {
 			reply, err := n.holder.HandleMessage(t.Context(), api.NodeRef{}, Borrow{Service: "s"})
 			if err != nil {
@@ -82,34 +82,35 @@
 			}
 			return reply.(BorrowAnswer)
 		}
-		time.Sleep(s.budget().FillTime())
+		time.Sleep(s.retryBudget().FillTime())
 		lent := 0
 		for borrow(first).Lent {
 			lent++
 		}
-		if lent < 10 || float64(lent) > s.budget().Slack/2 {
-			t.Errorf("%d repeats were lent of a slack of %v", lent, s.budget().Slack)
+		if lent < 10 || float64(lent) > s.retryBudget().Slack/2 {
+			t.Errorf("%d retries were lent of a slack of %v", lent, s.retryBudget().Slack)
 		}
 		second := s.start("second")
 		if answer := borrow(second); answer.Term != 0 || answer.Lent {
-			t.Errorf("a node that is not the holder answers %+v", answer)
+			t.Errorf("a node without the lease answers %+v", answer)
 		}
 		first.stop()
-		second.hold()
+		second.waitForLease()
 		time.Sleep(tickInterval)
 		if answer := borrow(second); answer.Term == 0 || answer.Lent {
 			t.Errorf("a new holder answers %+v", answer)
 		}
-		time.Sleep(s.budget().Window)
+		time.Sleep(s.retryBudget().Window)
 		if !borrow(second).Lent {
-			t.Error("nothing is lent later")
+			t.Error("nothing is lent after the window")
 		}
 	})
 }
 
-// TestMostOfAFleetThatNoRecordTells: a holder that goes on without the store beside another one lets in what that one
-// does as well. One whose record was lost took itself for the whole fleet.
-func TestMostOfAFleetThatNoRecordTells(t *testing.T) {
+// TestFleetMajorityWithoutARecord checks when a holder counts as asked by most nodes if the record
+// does not tell the fleet size. A holder that continues without the store beside another one doubles
+// what is admitted. One whose record was lost took itself for the whole fleet.
+func TestFleetMajorityWithoutARecord(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, c := range []struct {
 		name                    string
@@ -120,38 +121,39 @@
 	}{
 		{"alone on a new site", 0, 1, 1, false, 0, true},
 		{"its list has others", 0, 4, 1, false, 0, false},
-		{"its list has others, and most beat", 0, 4, 3, false, 0, true},
-		{"a record that tells it", 4, 1, 1, true, 0, false},
-		{"most of what a record of a copy tells", 4, 1, 3, true, 0, true},
-		{"nothing tells it, and the record is of a copy", 0, 1, 1, true, 0, false},
-		{"the same, later than others are away", 0, 1, 1, true, fleetMemory + time.Second, true},
+		{"its list has others, and most send heartbeats", 0, 4, 3, false, 0, true},
+		{"the record has the fleet size", 4, 1, 1, true, 0, false},
+		{"most of what a restored record has", 4, 1, 3, true, 0, true},
+		{"nothing is known, and the record was restored", 0, 1, 1, true, 0, false},
+		{"the same, after others would have been forgotten", 0, 1, 1, true, fleetMemory + time.Second, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var f fleet
 			f.begin(now, c.recorded, c.listed, c.copied)
 			f.observe(now.Add(c.later), c.nodes)
-			if got := f.most(c.nodes); got != c.want {
-				t.Errorf("%d of %d recorded and %d listed are most: %t, want %t", c.nodes, c.recorded, c.listed, got, c.want)
+			if got := f.isMajority(c.nodes); got != c.want {
+				t.Errorf("majority by %d nodes with %d recorded and %d listed: %t, want %t", c.nodes, c.recorded, c.listed, got, c.want)
 			}
 		})
 	}
 }
 
-// TestHolderOfALostRecordGoesByItsList: a holder's record tells no fleet, its node lists four, and one beats.
-func TestHolderOfALostRecordGoesByItsList(t *testing.T) {
+// TestHolderWithALostRecordUsesItsNodeList has a holder whose record tells no fleet size, whose node
+// lists four nodes, and to which one sends heartbeats.
+func TestHolderWithALostRecordUsesItsNodeList(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		s := newSite(t, []string{"m0"})
 		s.fenced = true
 		for i := range 4 {
-			s.nodes = append(s.nodes, Node{Name: fmt.Sprint(i)})
+			s.knownNodes = append(s.knownNodes, Node{Name: fmt.Sprint(i)})
 		}
 		n := s.start("a")
 		defer n.stop()
-		n.hold()
-		defer beats(t, n, 1)()
+		n.waitForLease()
+		defer startHeartbeats(t, n, 1)()
 		time.Sleep(time.Second)
-		if n.holder.MayGoOn() {
-			t.Error("one of four nodes is taken for most")
+		if n.holder.MayContinueOffline() {
+			t.Error("one of four nodes counts as most")
 		}
 	})
 }
--- a/pkg/coordinator/handover.go
+++ b/pkg/coordinator/handover.go
@@ -10,112 +10,113 @@
 	"martenwheel.dev/pkg/route"
 )
 
-// Times of a change of holder.
+// Times of a handover between holders.
 const (
-	// handoverTimeout bounds the wait for the last holder's word. One that is cut off or
-	// gone does not answer.
+	// handoverTimeout bounds the wait for the last holder's answer. It does not answer if it is
+	// disconnected or gone.
 	handoverTimeout = 400 * time.Millisecond
-	// followTime is how old the holder's count of its followers may be, besides the time of a plan.
-	followTime = 500 * time.Millisecond
-	// followerTime is within which nodes count that beat, each second.
-	followerTime = beatInterval + 300*time.Millisecond
-	// askersJoin is within which the nodes that reach a new holder beat to it, as it announces itself.
-	askersJoin = 300 * time.Millisecond
-	// latestOrder is how late an order may still be carried out.
-	latestOrder = 5 * time.Second
+	// majorityTTL is how long a count that found most nodes here is valid, in addition to the time of a plan.
+	majorityTTL = 500 * time.Millisecond
+	// heartbeatWindow is how recent a node's heartbeat must be for the node to count; nodes send one per second.
+	heartbeatWindow = heartbeatInterval + 300*time.Millisecond
+	// joinGrace is the time for reachable nodes to send heartbeats to a new holder after it announced itself.
+	joinGrace = 300 * time.Millisecond
+	// maxOrderDelay is how late an order may still be carried out.
+	maxOrderDelay = 5 * time.Second
 )
 
-// everyServer stands in intents of orders that have servers see the holder's fence.
-const everyServer = ""
+// allServers is the server name in intents of orders that only show the holder's fence to servers.
+const allServers = ""
 
-// adapterMark stands in the names of adapters.
-const adapterMark = "/"
+// adapterSeparator separates the model and the adapter in a need.
+const adapterSeparator = "/"
 
-// countFollowers notes whether most nodes of the fleet beat to this holder a moment ago. Another one may have
-// the lease while the store does not answer this one. Servers refuse its orders by their fence, but nothing
-// refuses what it lets in by quotas and limits of servers: there is to be one at a time that most nodes ask.
-func (h *Holder) countFollowers(now time.Time) {
-	if now.Sub(h.counted) < tickInterval {
+// countHeartbeats records whether most nodes of the fleet sent a heartbeat to this holder recently. Another node may
+// have taken the lease while this one does not reach the store. Servers then refuse this holder's orders by their fence,
+// but nothing rejects what it admits by quotas and server limits: so at most one holder, the one that most nodes ask,
+// may admit by them.
+func (h *Holder) countHeartbeats(now time.Time) {
+	if now.Sub(h.heartbeatsCountedAt) < tickInterval {
 		return
 	}
-	h.counted = now
+	h.heartbeatsCountedAt = now
 	beating := 0
 	for _, n := range h.nodes {
-		if now.Sub(n.seen) <= followerTime {
+		if now.Sub(n.seen) <= heartbeatWindow {
 			beating++
 		}
 	}
-	if now.Sub(h.begunAt) > askersJoin {
+	if now.Sub(h.termBegan) > joinGrace {
 		asking := float64(max(beating, 1)) / float64(max(h.fleet.known(), 1))
-		h.asking.Store(&asking)
+		h.heartbeatShare.Store(&asking)
 	}
-	last := h.followers(now)
-	if h.fleet.most(beating) {
-		next := following{since: now, until: now.Add(followTime + min(h.planTook, mostTickPause))}
+	last := h.currentMajority(now)
+	if h.fleet.isMajority(beating) {
+		next := majority{since: now, until: now.Add(majorityTTL + min(h.planTook, maxTickPause))}
 		if last != nil {
 			next.since = last.since
 		}
-		h.followed.Store(&next)
+		h.majority.Store(&next)
 	}
-	if is := h.isFollowed(now); is != h.toldFollowed {
-		h.toldFollowed = is
+	if is := h.hasMajority(now); is != h.majorityLogged {
+		h.majorityLogged = is
 		h.Logger.Info("most nodes ask this holder", "is", is, "asked", beating, "fleet", h.fleet.known(), "term", h.term)
 	}
 }
 
-// askedPart returns which part of the nodes beat to this holder when they were counted last, all if they were not yet in
-// this term. Safe for concurrent use.
-func (h *Holder) askedPart() float64 {
-	if part := h.asking.Load(); part != nil {
+// recentHeartbeatShare returns the share of the nodes that sent heartbeats to this holder at the last count; 1
+// before the first count of the term. Safe for concurrent use.
+func (h *Holder) recentHeartbeatShare() float64 {
+	if part := h.heartbeatShare.Load(); part != nil {
 		return *part
 	}
 	return 1
 }
 
-// following is since when most nodes ask the holder, without a gap, and until when that counts.
-type following struct {
+// majority is the time since when most nodes have asked this holder without a gap, and until when that counts.
+type majority struct {
 	since, until time.Time
 }
 
-// MayGoOn tells whether this holder may give orders while the store does not answer:
-// servers judge by the fence, so that a later holder ends it, and most nodes ask this one.
-// Safe for concurrent use.
-func (h *Holder) MayGoOn() bool {
-	return h.Fenced && h.isFollowed(h.Time.Now())
+// MayContinueOffline tells whether this holder may give orders while the store does not answer: servers check fences
+// and so refuse its orders after those of a later holder, and most nodes ask this holder. Safe for concurrent use.
+func (h *Holder) MayContinueOffline() bool {
+	return h.Fenced && h.hasMajority(h.Time.Now())
 }
 
-// isFollowed tells whether most nodes asked this holder a moment ago. Safe for concurrent use.
-func (h *Holder) isFollowed(now time.Time) bool {
-	return h.followers(now) != nil
+// hasMajority tells whether most nodes asked this holder recently. Safe for concurrent use.
+func (h *Holder) hasMajority(now time.Time) bool {
+	return h.currentMajority(now) != nil
 }
 
-// followedFor returns for how long most nodes have asked this holder; zero: they don't. Safe for concurrent use.
-func (h *Holder) followedFor(now time.Time) time.Duration {
-	if f := h.followers(now); f != nil {
+// majorityFor returns for how long most nodes have asked this holder; zero: they don't. Safe for concurrent use.
+func (h *Holder) majorityFor(now time.Time) time.Duration {
+	if f := h.currentMajority(now); f != nil {
 		return now.Sub(f.since)
 	}
 	return 0
 }
 
-// followers returns since when most nodes have asked this holder, nil if they don't. Safe for concurrent use.
-func (h *Holder) followers(now time.Time) *following {
-	if f := h.followed.Load(); f != nil && now.Before(f.until) {
+// currentMajority returns since when most nodes have asked this holder, nil if they don't. Safe for concurrent
+// use.
+func (h *Holder) currentMajority(now time.Time) *majority {
+	if f := h.majority.Load(); f != nil && now.Before(f.until) {
 		return f
 	}
 	return nil
 }
 
-// inheritIntents takes in orders of an earlier holder. Servers rest after them: two holders
-// are not to take turns, and they may still be carried out. Those of an earlier life of this
-// node, which is no other holder, are waited for only where servers check no fences.
+// inheritIntents applies intents of an earlier holder. Their servers get no orders for a while: orders of two
+// holders must not alternate, and these may still be carried out. Intents of an earlier incarnation of this node,
+// which is not another holder, cause this wait only where servers check no fences.
 func (h *Holder) inheritIntents(now time.Time, storeNow int64, intents []lease.Intent) {
 	for _, i := range intents {
 		at := now.Add(-time.Duration(storeNow-i.At) * time.Millisecond)
-		quiet := at.Add(h.Turns + lease.PermitTime)
+		quiet := at.Add(h.HandoverPause + lease.PermitTime)
 		if h.Fenced && i.Term == h.Lease.OwnPreviousTerm() {
 			quiet = at
 		}
-		if i.Server == everyServer {
+		if i.Server == allServers {
 			h.quietUntil = latest(h.quietUntil, quiet)
 			for _, s := range h.servers {
 				s.quietUntil = latest(s.quietUntil, quiet)
@@ -125,100 +126,99 @@
 		h.instance(i.Server).inherit(i, at, quiet)
 		s := h.server(i.Server)
 		s.quietUntil, s.recheck = latest(s.quietUntil, quiet), true
-		s.mayCome = max(s.mayCome, i.After)
+		s.maxLateSequence = max(s.maxLateSequence, i.After)
 		if s.untouched {
-			s.ask(now)
+			s.requestReport(now)
 		}
-		if !strings.Contains(i.Need, adapterMark) {
+		if !strings.Contains(i.Need, adapterSeparator) {
 			s.inherited = i
 		}
 		if i.Fetch {
-			h.fetches = append(h.fetches, at)
+			h.fetchStarts = append(h.fetchStarts, at)
 		}
 	}
 }
 
-// takeOver asks the last holder for its orders that the record does not tell of, which it
-// gave while it could not write to the store. If it does not answer, each server is made
-// to refuse what may still come from it before it gets orders.
+// takeOver asks the last holder for the orders that it gave while it could not write to the store, which the
+// record lacks. If it does not answer, each server must refuse its late orders before it gets new ones.
 func (h *Holder) takeOver(term uint64) {
 	record, _ := h.Lease.Current()
 	before := h.Lease.Previous()
-	h.taking, h.guarding = false, false
+	h.awaitingHandover, h.fenceAll = false, false
 	if since, is := h.Lease.TookOverAfterRestore(); is {
 		h.takeOverCopy(since, before)
 		return
 	}
 	switch {
 	case before.Holder == h.Lease.Self && before.Epoch < record.Epoch:
-		return // this life went on in a new term after the store came back: the record tells of all its orders
+		return // this incarnation goes on in a new term after the store came back: the record has all its orders
 	case !h.Fenced || before.Holder == "":
-		return // it never goes on without the store, or it released the lease
+		return // the last holder never continues without the store, or it released the lease
 	case h.Lease.OwnPreviousTerm() > 0:
-		h.guard("an earlier life of this node") // which can't be asked any more
+		h.requireFences("an earlier life of this node") // which can't be asked any more
 		return
 	}
-	h.taking = true
+	h.awaitingHandover = true
 	go func() {
-		ctx, cancel := context.WithTimeout(h.life, handoverTimeout)
+		ctx, cancel := context.WithTimeout(h.runCtx, handoverTimeout)
 		defer cancel()
 		reply, err := h.Transport.Call(ctx, before.Address, Yield{Term: term, Holder: record.Holder, Address: record.Address})
 		h.post(func() {
 			if h.term != term {
 				return
 			}
-			h.taking = false
+			h.awaitingHandover = false
 			answer, ok := reply.(Handover)
 			if err != nil || !ok || answer.Holder != before.Holder || answer.Term != before.Term {
-				h.guard("the last holder does not answer")
+				h.requireFences("the last holder does not answer")
 				return
 			}
-			h.Logger.Info("handed over", "holder", before.Holder, "term", before.Term, "intents", len(answer.Intents))
+			h.Logger.Info("orders received from the last holder", "holder", before.Holder, "term", before.Term, "intents", len(answer.Intents))
 			h.inheritIntents(h.Time.Now(), h.Lease.Now(), answer.Intents)
 			h.planSoon = true
 		})
 	}()
 }
 
-// takeOverCopy begins a term whose record the store has from a copy: it tells neither of all orders of the last holder
-// nor who that was. It gave none later than PermitTime after the store was away, and servers rest after them; where
-// they check fences, each is made to refuse what may still come.
+// takeOverCopy begins a term whose record comes from a restored backup of the store: it lacks recent orders of the
+// last holder, and may lack that holder itself. That holder gave no order later than PermitTime after the store was
+// gone, and servers get no orders until then; where they check fences, each must also refuse late orders.
 func (h *Holder) takeOverCopy(since time.Time, before lease.Record) {
-	h.quietUntil = latest(h.quietUntil, since.Add(lease.PermitTime+h.Turns))
+	h.quietUntil = latest(h.quietUntil, since.Add(lease.PermitTime+h.HandoverPause))
 	for _, s := range h.servers {
 		s.quietUntil, s.recheck = latest(s.quietUntil, h.quietUntil), true
 	}
-	h.Logger.Info("store lost what was written last", "before", before.Holder, "term", before.Term,
+	h.Logger.Info("store lost its latest writes", "before", before.Holder, "term", before.Term,
 		"rest_ms", max(h.Time.Until(h.quietUntil), 0).Milliseconds())
 	if h.Fenced {
-		h.guard("the store lost what was written last")
+		h.requireFences("the store lost what was written last")
 	}
 }
 
-// guard has no server get orders before it refuses those of the last holder.
-func (h *Holder) guard(reason string) {
-	h.Logger.Info("servers are guarded", "reason", reason, "servers", len(h.servers))
-	h.guarding = true
+// requireFences withholds orders from all servers until they refuse those of the last holder.
+func (h *Holder) requireFences(reason string) {
+	h.Logger.Info("servers must see the fence before their next order", "reason", reason, "servers", len(h.servers))
+	h.fenceAll = true
 	for _, s := range h.servers {
-		s.guarded = true
+		s.needsFence = true
 	}
 }
 
-// raiseFences gives the servers that are guarded an order without effect, by which they
-// see this holder's fence. What they report after it can't be changed by late orders.
+// raiseFences sends servers that need it an order without effect, by which they see this holder's fence. Late
+// orders can't change what they report after it.
 func (h *Holder) raiseFences(now time.Time) {
 	var orders []fenceOrder
 	for _, s := range h.servers {
-		if !s.guarded || s.untouched || s.asking || s.unsure || s.busy != nil || s.member == nil || now.Before(latest(s.quietUntil, s.avoidUntil)) {
+		if !s.needsFence || s.untouched || s.asking || s.sequenceUnknown || s.busy != nil || s.member == nil || now.Before(latest(s.quietUntil, s.avoidUntil)) {
 			continue
 		}
 		e := h.engineOf(s)
 		if e == nil {
 			continue
 		}
-		need, found := s.lacks(e)
-		if !found { // it holds all there are: late orders are waited for
-			s.guarded, s.quietUntil = false, latest(s.quietUntil, now.Add(latestOrder))
+		need, found := s.missingModel(e)
+		if !found { // it holds all models, so no such order exists: wait until late orders are over
+			s.needsFence, s.quietUntil = false, latest(s.quietUntil, now.Add(maxOrderDelay))
 			continue
 		}
 		s.asking = true
@@ -231,16 +231,16 @@
 
 // fenceOrder is an order without effect.
 type fenceOrder struct {
-	server *serverState // for the holder's goroutine
+	server *serverState // for the holder's goroutine only
 	member *backend.Member
 	order  Order
 }
 
-// sendFences writes one intent for all and gives the orders.
+// sendFences writes one intent for all the orders and sends them.
 func (h *Holder) sendFences(term uint64, orders []fenceOrder) {
-	writing, done := context.WithTimeout(h.life, commitTimeout)
+	writing, done := context.WithTimeout(h.runCtx, commitTimeout)
 	defer done()
-	permit, err := h.Lease.Commit(writing, []lease.Intent{{Server: everyServer}})
+	permit, err := h.Lease.Commit(writing, []lease.Intent{{Server: allServers}})
 	if err == nil && (permit.Term != term || !permit.Valid()) {
 		err = errNotWritten
 	}
@@ -248,8 +248,8 @@
 		go func() {
 			result, err := Result(0), err
 			if err == nil {
-				o.order.Offline, o.order.May = permit.Offline, mayBy(permit, o.member)
-				ctx, cancel := context.WithTimeout(h.life, h.Time.Until(permit.Until))
+				o.order.Offline, o.order.May = permit.Offline, sendAllowed(permit, o.member)
+				ctx, cancel := context.WithTimeout(h.runCtx, h.Time.Until(permit.Until))
 				defer cancel()
 				result, err = h.Orders.Give(ctx, o.member, o.order)
 			}
@@ -262,8 +262,8 @@
 	}
 }
 
-// lacks returns a model that the server does not hold by its last word.
-func (s *serverState) lacks(e *route.Engine) (backend.Need, bool) {
+// missingModel returns a model that the server does not hold by its last report.
+func (s *serverState) missingModel(e *route.Engine) (backend.Need, bool) {
 	for name := range e.Models {
 		if s.holds[name] == nil {
 			return backend.Need{Model: name}, true
@@ -272,21 +272,21 @@
 	return backend.Need{}, false
 }
 
-// fenceRaised takes in what became of an order that has a server see the fence.
+// fenceRaised handles the outcome of an order that shows the fence.
 func (h *Holder) fenceRaised(now time.Time, s *serverState, result Result, err error) {
 	h.Logger.Info("fence raised", "server", s.id, "fence", h.term, "sequence", s.sequence, "result", result, "error", err)
 	s.asking = false
-	s.unsure, s.reportAt = true, now.Add(reportLag)
+	s.sequenceUnknown, s.reportAt = true, now.Add(reportLag)
 	switch {
 	case err != nil:
 		s.failures++
-		s.avoidUntil = now.Add(s.rest())
+		s.avoidUntil = now.Add(s.backoff())
 		s.reportAt = s.avoidUntil
 	case result == Fenced:
 		h.Lease.Resign(h.term)
-	case result == Conflict: // another order came, or is under way: once more after a report
+	case result == Conflict: // another order was accepted or is under way: try again after a report
 	default:
-		s.guarded, s.failures = false, 0
+		s.needsFence, s.failures = false, 0
 		s.acceptedAt = now // reports lag behind it
 	}
 }
--- a/pkg/coordinator/harness_test.go
+++ b/pkg/coordinator/harness_test.go
@@ -23,50 +23,50 @@
 	"martenwheel.dev/pkg/route"
 )
 
-// Sizes of the test's engines.
+// Sizes and times of the test engines.
 const (
 	engineBytes   = 200
 	modelBytes    = 80
 	adapterPlaces = 2
-	loadTime      = 4 * time.Second // unless the test says otherwise
-	diskTime      = 500 * time.Millisecond
-	models        = 40
+	loadTime      = 4 * time.Second // unless the test sets another one
+	diskLoadTime  = 500 * time.Millisecond
+	modelCount    = 40
 	loadRate      = 2
-	turns         = 3 * time.Second
-	window        = 5 * time.Second
+	turnTime      = 3 * time.Second
+	ceilingWindow = 5 * time.Second
 )
 
-// row is a lease in memory.
-type row struct {
-	mu      sync.Mutex
-	stored  lease.Stored
-	down    bool
-	slow    time.Duration // until a write is done
-	started time.Time
+// memoryStore is a lease store in memory.
+type memoryStore struct {
+	mu         sync.Mutex
+	stored     lease.Stored
+	down       bool
+	writeDelay time.Duration // duration of each write
+	started    time.Time
 }
 
-func (r *row) now() int64 { return time.Since(r.started).Milliseconds() }
+func (r *memoryStore) now() int64 { return time.Since(r.started).Milliseconds() }
 
-func (r *row) Read(context.Context) (lease.Stored, error) {
+func (r *memoryStore) Read(context.Context) (lease.Stored, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.down {
-		return lease.Stored{}, errDown
+		return lease.Stored{}, errStoreDown
 	}
 	s := r.stored
 	s.Now = r.now()
 	return s, nil
 }
 
-func (r *row) Write(_ context.Context, next lease.Record, over lease.Stored) (lease.Stored, error) {
+func (r *memoryStore) Write(_ context.Context, next lease.Record, over lease.Stored) (lease.Stored, error) {
 	r.mu.Lock()
-	slow := r.slow
+	slow := r.writeDelay
 	r.mu.Unlock()
 	time.Sleep(slow)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.down {
-		return lease.Stored{}, errDown
+		return lease.Stored{}, errStoreDown
 	}
 	if over.Version.Number() != r.stored.Version.Number() || over.Record.Mark != r.stored.Record.Mark {
 		s := r.stored
@@ -77,63 +77,62 @@
 	return r.stored, nil
 }
 
-func (r *row) setSlow(d time.Duration) {
+func (r *memoryStore) setWriteDelay(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.slow = d
+	r.writeDelay = d
 }
 
-func (r *row) setDown(down bool) {
+func (r *memoryStore) setDown(down bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.down = down
 }
 
-var errDown = fmt.Errorf("the store is down")
+var errStoreDown = fmt.Errorf("store is down")
 
-// given is an order as an engine got it.
-type given struct {
+// receivedOrder is an order that an engine received, with its result.
+type receivedOrder struct {
 	at     time.Time
 	server string
 	order  Order
 	result Result
 }
 
-// engines are model servers, by the names that they answer to, that judge orders as the
-// platform's do.
+// engines is a set of model servers by name. They check orders as real servers do.
 type engines struct {
 	t  testing.TB
 	mu sync.Mutex
 
-	servers map[string]*engineState
-	orders  []given
-	silent  int // orders that are taken and not answered
-	lost    int // orders that never come
-	load    time.Duration
-	delay   time.Duration // of an order's answer
-	late    []func()
+	servers       map[string]*engineState
+	orders        []receivedOrder
+	answersToLose int // how many of the next orders get no answer, and take effect later
+	ordersToLose  int // how many of the next orders never arrive
+	loadDuration  time.Duration
+	answerDelay   time.Duration // before an order takes effect and is answered
+	delayedOrders []func()
 }
 
-// engineState is one server.
+// engineState is the state of one server.
 type engineState struct {
-	born      int64 // of its life; zero: it has not started again under its name
-	models    map[string]map[string]bool
-	sequence  uint64
-	fence     uint64
-	busyUntil time.Time
-	loading   string
-	unloading string
-	disk      []string // models with a copy on its disk
+	incarnation int64 // increases with each restart under the same name
+	models      map[string]map[string]bool
+	sequence    uint64
+	fence       uint64
+	busyUntil   time.Time
+	loading     string
+	unloading   string
+	onDisk      []string // models whose weights are cached on the server's disk
 }
 
-// reborn has a server start again under its name: it holds nothing and counts anew. The caller
-// holds mu.
-func (e *engines) reborn(name string) {
-	e.servers[name] = &engineState{born: e.servers[name].born + 1, models: make(map[string]map[string]bool)}
+// resetServer restarts a server under its name: it holds nothing and counts orders from zero again.
+// The caller holds mu.
+func (e *engines) resetServer(name string) {
+	e.servers[name] = &engineState{incarnation: e.servers[name].incarnation + 1, models: make(map[string]map[string]bool)}
 }
 
-// settle ends what is done by now.
-func (e *engineState) settle() {
+// completeDue completes a load or unload whose time has passed.
+func (e *engineState) completeDue() {
 	if e.busyUntil.IsZero() || time.Now().Before(e.busyUntil) {
 		return
 	}
@@ -144,8 +143,8 @@
 	e.loading, e.unloading, e.busyUntil = "", "", time.Time{}
 }
 
-// bytes is what the server holds or is loading.
-func (e *engineState) bytes() int {
+// usedBytes returns the memory of the models that the server holds or is loading.
+func (e *engineState) usedBytes() int {
 	n := len(e.models)
 	if e.loading != "" {
 		n++
@@ -153,7 +152,7 @@
 	return n * modelBytes
 }
 
-func (e *engineState) adapters() int {
+func (e *engineState) adapterCount() int {
 	n := 0
 	for _, names := range e.models {
 		n += len(names)
@@ -163,74 +162,74 @@
 
 // Give implements Orders.
 func (e *engines) Give(ctx context.Context, s *backend.Member, o Order) (Result, error) {
-	time.Sleep(max(e.delay, 5*time.Millisecond))
+	time.Sleep(max(e.answerDelay, 5*time.Millisecond))
 	if ctx.Err() != nil {
 		return 0, ctx.Err()
 	}
 	e.mu.Lock()
-	if e.lost > 0 {
-		e.lost--
+	if e.ordersToLose > 0 {
+		e.ordersToLose--
 		e.mu.Unlock()
 		<-ctx.Done()
 		return 0, ctx.Err()
 	}
-	if e.silent > 0 {
-		e.silent--
-		e.late = append(e.late, func() { e.take(s.Instance(), o) })
+	if e.answersToLose > 0 {
+		e.answersToLose--
+		e.delayedOrders = append(e.delayedOrders, func() { e.receive(s.Instance(), o) })
 		e.mu.Unlock()
 		<-ctx.Done()
 		return 0, ctx.Err()
 	}
 	defer e.mu.Unlock()
-	return e.take(s.Instance(), o), nil
+	return e.receive(s.Instance(), o), nil
 }
 
-// someLate tells whether an order was not answered and is not carried out yet.
-func (e *engines) someLate() bool {
+// hasDelayedOrders reports whether some order was not answered and has not been applied yet.
+func (e *engines) hasDelayedOrders() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return len(e.late) > 0
+	return len(e.delayedOrders) > 0
 }
 
-// carryOutLate carries out the orders that were not answered.
-func (e *engines) carryOutLate() {
+// applyDelayedOrders applies the orders that were not answered.
+func (e *engines) applyDelayedOrders() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, f := range e.late {
+	for _, f := range e.delayedOrders {
 		f()
 	}
-	e.late = nil
+	e.delayedOrders = nil
 }
 
-// take judges an order. The caller holds mu.
-func (e *engines) take(id string, o Order) Result {
+// receive applies an order and records it. The caller holds mu.
+func (e *engines) receive(id string, o Order) Result {
 	s := e.servers[id]
-	s.settle()
-	result := e.judge(s, o)
-	e.orders = append(e.orders, given{time.Now(), id, o, result})
+	s.completeDue()
+	result := e.apply(s, o)
+	e.orders = append(e.orders, receivedOrder{time.Now(), id, o, result})
 	return result
 }
 
-func (e *engines) judge(s *engineState, o Order) Result {
+func (e *engines) apply(s *engineState, o Order) Result {
 	if o.Fence < s.fence {
 		return Fenced
 	}
 	s.fence = o.Fence
 	_, holds := s.models[o.Need.Model]
-	if o.Load && !holds && o.Need.Adapter == "" && s.loading != o.Need.Model && s.bytes()+modelBytes > engineBytes {
-		e.t.Errorf("the server was ordered to load %s beyond its memory", o.Need.Model)
+	if o.Load && !holds && o.Need.Adapter == "" && s.loading != o.Need.Model && s.usedBytes()+modelBytes > engineBytes {
+		e.t.Errorf("order to load %s exceeds the server's memory", o.Need.Model)
 	}
 	switch {
 	case o.Expected != s.sequence || !s.busyUntil.IsZero():
 		return Conflict
 	case o.Need.Adapter != "":
-		return e.judgeAdapter(s, o)
+		return e.applyAdapter(s, o)
 	case o.Load == holds:
 		return Already
 	case o.Load:
-		s.loading, s.busyUntil = o.Need.Model, time.Now().Add(e.load)
-		if slices.Contains(s.disk, o.Need.Model) {
-			s.busyUntil = time.Now().Add(diskTime)
+		s.loading, s.busyUntil = o.Need.Model, time.Now().Add(e.loadDuration)
+		if slices.Contains(s.onDisk, o.Need.Model) {
+			s.busyUntil = time.Now().Add(diskLoadTime)
 		}
 	default:
 		s.unloading, s.busyUntil = o.Need.Model, time.Now().Add(50*time.Millisecond)
@@ -239,7 +238,7 @@
 	return Accepted
 }
 
-func (e *engines) judgeAdapter(s *engineState, o Order) Result {
+func (e *engines) applyAdapter(s *engineState, o Order) Result {
 	names := s.models[o.Need.Model]
 	switch {
 	case names == nil:
@@ -248,8 +247,8 @@
 		return Already
 	case o.Load:
 		names[o.Need.Adapter] = true
-		if s.adapters() > adapterPlaces {
-			e.t.Errorf("the server was ordered to load %s beyond its places", o.Need)
+		if s.adapterCount() > adapterPlaces {
+			e.t.Errorf("order to load %s exceeds the server's adapter places", o.Need)
 		}
 		s.sequence++
 		return Accepted
@@ -266,11 +265,11 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	state := e.servers[s.Instance()]
-	if state.born != s.Life().Born {
-		return Report{}, ErrOtherLife
+	if state.incarnation != s.Life().Born {
+		return Report{}, ErrOtherIncarnation
 	}
-	state.settle()
-	return Report{Models: state.holdings(), Busy: !state.busyUntil.IsZero(), Sequence: state.sequence, OnDisk: slices.Clone(state.disk)}, nil
+	state.completeDue()
+	return Report{Models: state.holdings(), Busy: !state.busyUntil.IsZero(), Sequence: state.sequence, OnDisk: slices.Clone(state.onDisk)}, nil
 }
 
 func (e *engineState) holdings() []backend.Holding {
@@ -285,31 +284,32 @@
 	return list
 }
 
-// given returns all orders that came.
-func (e *engines) given() []given {
+// receivedOrders returns all orders received so far.
+func (e *engines) receivedOrders() []receivedOrder {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.orders)
 }
 
-// loseAnswers has so many orders not answered.
+// loseAnswers leaves the next n orders without an answer; they take effect when applyDelayedOrders
+// is called.
 func (e *engines) loseAnswers(n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.silent = n
+	e.answersToLose = n
 }
 
-// loseOrders loses so many orders.
+// loseOrders drops the next n orders.
 func (e *engines) loseOrders(n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.lost = n
+	e.ordersToLose = n
 }
 
-// loads returns the orders that began a load of a model.
-func (e *engines) loads() []given {
-	var list []given
-	for _, g := range e.given() {
+// loads returns the orders that started loading a model.
+func (e *engines) loads() []receivedOrder {
+	var list []receivedOrder
+	for _, g := range e.receivedOrders() {
 		if g.result == Accepted && g.order.Load && g.order.Need.Adapter == "" {
 			list = append(list, g)
 		}
@@ -317,22 +317,22 @@
 	return list
 }
 
-// noTransport loses all messages.
-type noTransport struct{ peer.Transport }
+// droppingTransport drops all messages.
+type droppingTransport struct{ peer.Transport }
 
-func (noTransport) Send(string, peer.Message) {}
+func (droppingTransport) Send(string, peer.Message) {}
 
-// directTransport brings messages to the nodes of a site, by name; those that don't run
-// are not reached.
+// directTransport delivers messages to the nodes of a site by name. Nodes that are not running can't
+// be reached.
 type directTransport struct {
-	noTransport
+	droppingTransport
 	site *site
 }
 
 // Call implements peer.Transport.
 func (d directTransport) Call(ctx context.Context, address string, message peer.Message) (peer.Message, error) {
 	d.site.mu.Lock()
-	to, other := d.site.running[address], d.site.members[address]
+	to, other := d.site.runningNodes[address], d.site.reachableMembers[address]
 	d.site.mu.Unlock()
 	if other != nil {
 		return other.HandleMessage(ctx, api.NodeRef{}, message)
@@ -345,34 +345,35 @@
 	return member.HandleMessage(ctx, api.NodeRef{}, message)
 }
 
-// site is engines, a store and holders.
+// site is a test site: engines, a lease store and the nodes that run.
 type site struct {
-	t       testing.TB
-	row     *row
-	engines *engines
-	table   *route.Table
-	list    []*backend.Server
-	nodes   []Node       // that a starting node knows of
-	logger  hclog.Logger // of nodes; none if nil
-	fenced  bool         // holders rely on the servers' fences
-
-	mu      sync.Mutex
-	running map[string]*node   // by name
-	members map[string]*Member // that are reached beside the nodes, by name
-}
-
-// newSite has servers that hold the models named, and models m0, m1 and so on.
-func newSite(t testing.TB, holds ...[]string) *site {
-	s := &site{t: t, running: make(map[string]*node), row: &row{started: time.Now()}, engines: &engines{t: t, load: loadTime, servers: make(map[string]*engineState)}}
+	t             testing.TB
+	leaseStore    *memoryStore
+	engines       *engines
+	table         *route.Table
+	serverRecords []*backend.Server
+	knownNodes    []Node       // that a starting node knows of
+	logger        hclog.Logger // of the nodes; nil discards everything
+	fenced        bool         // holders rely on the servers' fences
+
+	mu               sync.Mutex
+	runningNodes     map[string]*node   // by name
+	reachableMembers map[string]*Member // added by startMember, by name
+}
+
+// newSite returns a site with one server per argument, which holds the given models. The
+// configuration has the models m0, m1 and so on.
+func newSite(t testing.TB, held ...[]string) *site {
+	s := &site{t: t, runningNodes: make(map[string]*node), leaseStore: &memoryStore{started: time.Now()}, engines: &engines{t: t, loadDuration: loadTime, servers: make(map[string]*engineState)}}
 	e := &route.Engine{Slots: 8, WeightBytes: engineBytes, AdapterPlaces: adapterPlaces, LoadsPerSecond: loadRate,
 		CacheTokens: 250_000, EventTokens: 6,
 		Models: make(map[string]*route.Model)}
-	for i := range models {
+	for i := range modelCount {
 		name := fmt.Sprintf("m%d", i)
-		e.Models[name] = &route.Model{Name: name, Bytes: modelBytes, Adapters: 9, AdapterBytes: 1, LoadTime: loadTime, DiskTime: diskTime}
+		e.Models[name] = &route.Model{Name: name, Bytes: modelBytes, Adapters: 9, AdapterBytes: 1, LoadTime: loadTime, DiskTime: diskLoadTime}
 	}
 	s.table = route.NewTable(1, route.Limits{}, nil, []*route.Service{{Name: "s", Engine: e}})
-	for i, models := range holds {
+	for i, models := range held {
 		id := fmt.Sprintf("server-%d", i)
 		state := &engineState{models: make(map[string]map[string]bool)}
 		server := &backend.Server{ID: id, Service: "s", Zone: "z", Slots: 8, Version: 1}
@@ -381,34 +382,34 @@
 			server.Models = append(server.Models, backend.Holding{Model: m})
 		}
 		s.engines.servers[id] = state
-		s.list = append(s.list, server)
+		s.serverRecords = append(s.serverRecords, server)
 	}
 	return s
 }
 
-// nodeStore is the store as one node reaches it.
+// nodeStore is the lease store as seen by one node.
 type nodeStore struct {
-	*row
-	away atomic.Bool
+	*memoryStore
+	unreachable atomic.Bool
 }
 
 // Read implements lease.Store.
 func (s *nodeStore) Read(ctx context.Context) (lease.Stored, error) {
-	if s.away.Load() {
-		return lease.Stored{}, errDown
+	if s.unreachable.Load() {
+		return lease.Stored{}, errStoreDown
 	}
-	return s.row.Read(ctx)
+	return s.memoryStore.Read(ctx)
 }
 
 // Write implements lease.Store.
 func (s *nodeStore) Write(ctx context.Context, next lease.Record, over lease.Stored) (lease.Stored, error) {
-	if s.away.Load() {
-		return lease.Stored{}, errDown
+	if s.unreachable.Load() {
+		return lease.Stored{}, errStoreDown
 	}
-	return s.row.Write(ctx, next, over)
+	return s.memoryStore.Write(ctx, next, over)
 }
 
-// node is a node with its own holder and view of the servers.
+// node is a node with its own holder and its own view of the servers.
 type node struct {
 	store   *nodeStore
 	holder  *Holder
@@ -417,15 +418,15 @@
 	stop    func()
 }
 
-// budget is that of the site's repeats.
-func (s *site) budget() relay.BudgetConfig {
+// retryBudget returns the configuration of the site's retry budget.
+func (s *site) retryBudget() relay.BudgetConfig {
 	return relay.BudgetConfig{Ratio: 0.2, Window: 10 * time.Second, Slack: 50}
 }
 
-// start runs a node.
+// start starts a node.
 func (s *site) start(name string) *node {
-	n := &node{servers: &backend.Directory{}, store: &nodeStore{row: s.row}}
-	n.servers.Replace(s.list, 1)
+	n := &node{servers: &backend.Directory{}, store: &nodeStore{memoryStore: s.leaseStore}}
+	n.servers.Replace(s.serverRecords, 1)
 	n.lease = &lease.Lease{Store: n.store, Self: name, Address: name}
 	if machine, _, several := strings.Cut(name, "/"); several {
 		n.lease.IncarnationPrefix, n.lease.Address = machine+"/", machine
@@ -433,12 +434,12 @@
 	decider, _ := policy.ByName(policy.NameDemandFirst)
 	n.holder = &Holder{Quarantine: new(quarantine.Table),
 		Lease: n.lease, Routes: func() *route.Table { return s.table }, Servers: n.servers, Orders: s.engines,
-		Transport: directTransport{site: s}, Decider: decider, Turns: turns, Fenced: s.fenced,
-		Ceiling: Ceiling{Window: window}, Budget: s.budget(), Logger: s.logger, Nodes: func() []Node { return s.nodes },
+		Transport: directTransport{site: s}, Decider: decider, HandoverPause: turnTime, Fenced: s.fenced,
+		Ceiling: Ceiling{Window: ceilingWindow}, Budget: s.retryBudget(), Logger: s.logger, Nodes: func() []Node { return s.knownNodes },
 	}
-	n.lease.Fleet, n.lease.AllowOffline = n.holder.Fleet, n.holder.MayGoOn
+	n.lease.Fleet, n.lease.AllowOffline = n.holder.Fleet, n.holder.MayContinueOffline
 	s.mu.Lock()
-	s.running[name] = n
+	s.runningNodes[name] = n
 	s.mu.Unlock()
 	if s.logger == nil {
 		n.holder.Logger = hclog.NewNullLogger()
@@ -446,31 +447,32 @@
 	ctx, cancel := context.WithCancel(s.t.Context())
 	n.stop = func() {
 		s.mu.Lock()
-		delete(s.running, name)
+		delete(s.runningNodes, name)
 		s.mu.Unlock()
 		cancel()
-		time.Sleep(time.Second) // virtual; for what is under way to end
+		time.Sleep(time.Second) // virtual; lets pending calls end
 	}
 	go n.lease.Run(ctx)
 	go n.holder.Run(ctx)
 	return n
 }
 
-// hold waits until the node holds the lease.
-func (n *node) hold() {
+// waitForLease waits until the node holds the lease.
+func (n *node) waitForLease() {
 	for _, held := n.lease.Held(); !held; _, held = n.lease.Held() {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// wish asks the node's holder for a model.
-func (n *node) wish(t *testing.T, need string) WishAnswer {
+// requestLoad asks the node's holder to load a model.
+func (n *node) requestLoad(t *testing.T, need string) WishAnswer {
 	t.Helper()
-	return n.wishWith(t, need, 2)
+	return n.requestLoadWithPriority(t, need, 2)
 }
 
-// wishWith tells a wish of a priority, 0 being the most urgent.
-func (n *node) wishWith(t *testing.T, need string, priority int) WishAnswer {
+// requestLoadWithPriority asks the node's holder to load a model with a priority; 0 is the most
+// urgent.
+func (n *node) requestLoadWithPriority(t *testing.T, need string, priority int) WishAnswer {
 	t.Helper()
 	reply, err := n.holder.HandleMessage(t.Context(), api.NodeRef{}, WishMessage{Service: "s", Need: need, Priority: priority, Left: 20 * time.Second})
 	if err != nil {
@@ -483,7 +485,7 @@
 	return answer
 }
 
-// bubble runs a test under virtual time.
+// bubble runs a test in a synctest bubble, under virtual time.
 func bubble(t *testing.T, f func(t *testing.T)) {
 	t.Helper()
 	synctest.Test(t, f)
--- a/pkg/coordinator/holder.go
+++ b/pkg/coordinator/holder.go
@@ -25,93 +25,92 @@
 // Times of the holder.
 const (
 	tickInterval = 200 * time.Millisecond
-	planPause    = 40 * time.Millisecond // between plans that news cause, at least
-	// mostTickPause bounds the time that messages have after a plan: models wait for the next one.
-	mostTickPause = time.Second
-	planShare     = 4 // and so many times what one takes
-	nodeExpiry    = 3 * time.Second
-	wishTime      = 6 * time.Second         // how long a wish counts after it was last told
-	learnTime     = 1200 * time.Millisecond // in which a new holder hears what is in use
-	returnTime    = 1500 * time.Millisecond // in which a refused request is back after its model was ready
+	planPause    = 40 * time.Millisecond // minimum between plans triggered by messages
+	// maxTickPause bounds the time left for messages after a long plan: models wait for the next plan.
+	maxTickPause    = time.Second
+	planPauseFactor = 4 // the pause is also at least this many times the duration of the last plan
+	nodeExpiry      = 3 * time.Second
+	loadRequestTTL  = 6 * time.Second         // how long a load request counts after it was last received
+	learnPeriod     = 1200 * time.Millisecond // time for nodes to report what is in use to a new holder
+	retryGrace      = 1500 * time.Millisecond // time for a refused request to come back after its model is ready
 )
 
-// Holder decides for the site while this node holds the lease. All its state
-// belongs to the goroutine of Run. Set the fields before Run.
+// Holder decides for the site while this node holds the lease. Its state belongs to the goroutine of
+// Run, except where noted. Set the exported fields before Run.
 type Holder struct {
-	Lease     *lease.Lease
-	Routes    func() *route.Table
-	Servers   *backend.Directory
-	Orders    Orders
-	Transport peer.Transport
-	Clock     *storeclock.Clock // of the store; nil: not told
-	Decider   policy.Decider
-	Turns     time.Duration // between orders of two holders to one server
-	Fenced    bool          // servers refuse orders of lower terms than they have seen
-	Ceiling   Ceiling
-	Budget    relay.BudgetConfig                // of repeats, part of which the holder lends
-	Tolerance quota.Tolerance                   // of what runs beyond tenants' quotas
-	Nodes     func() []Node                     // that this node knows of
-	Unheard   func(now time.Time) time.Duration // since this node heard of a holder; none if nil
-	// ScarceTold returns the tenants that were scarce by the last holder's word to this node; none
-	// if nil.
-	ScarceTold func() []string
-	// Complete tells whether this node knows of all servers; it does if nil.
+	Lease         *lease.Lease
+	Routes        func() *route.Table
+	Servers       *backend.Directory
+	Orders        Orders
+	Transport     peer.Transport
+	Clock         *storeclock.Clock // of the store; nil: no store clock is known
+	Decider       policy.Decider
+	HandoverPause time.Duration // pause between orders of two holders to one server
+	Fenced        bool          // servers refuse orders of terms lower than the highest they have seen
+	Ceiling       Ceiling
+	Budget        relay.BudgetConfig                // for retries, part of which the holder lends
+	Tolerance     quota.Tolerance                   // for usage beyond tenants' quotas
+	Nodes         func() []Node                     // nodes that this node knows of
+	HolderSilence func(now time.Time) time.Duration // time since this node last had an answer from a holder; zero if nil
+	// KnownScarce returns the tenants that the last holder reported to this node as scarce; none if nil.
+	KnownScarce func() []string
+	// Complete tells whether this node knows all servers; if nil, it does.
 	Complete func() bool
-	// Quarantine is what this node knows of requests that end servers.
+	// Quarantine is this node's evidence against requests that crash servers.
 	Quarantine *quarantine.Table
 	Time       clock.Clock
 	Logger     hclog.Logger
 
 	once     sync.Once
-	life     context.Context // of Run; orders outlive the messages that cause them
-	requests chan func()
+	runCtx   context.Context // context of Run; orders outlive the messages that cause them
+	tasks    chan func()
 	planSoon bool
 
-	term        uint64 // of the state below
-	nodes       map[string]*nodeState
-	fleet       fleet
-	slack       relay.SlackPool
-	turns       quarantine.Trials // of suspected requests
-	doubts      doubtLimit        // that are passed on
-	paces       paces             // of servers
-	said        changeLog[noted]  // by servers, by their lives
-	quotas      quota.Pool        // safe for other goroutines than the holder's
-	places      holderPlaces
-	slots       backpressure.Slots // at servers with a limit; safe for other goroutines than the holder's
-	scarceTold  []string           // tenants for which the nodes were told to ask
-	spentBefore []report           // that wait for the configuration
-	// scarceRecorded is when the lease's record was last written for tenants that became scarce.
-	scarceRecorded time.Time
-	roomsTold      time.Time // when the log was last told how their quotas are shared
-	roster         roster    // of the nodes
-	expiredAt      time.Time // when nodes' silence was last looked at, in this term
-	begunAt        time.Time // when the term began here
-	demands        map[demandKey]*demand
-	servers        map[string]*serverState
-	indices        map[string]*index        // of the last plan, by service
-	learned        int                      // servers that this term learned of
-	interest       interest                 // of nodes in what they were asked for
-	instances      map[string]*instance     // what all lives of a server share, by its name
-	fatal          map[demandKey]*fatalLoad // models during whose loads servers ended
-	fetches        []time.Time              // starts of loads from the weight store
-	store          storeLimit               // how many of them go at full speed at once
-
-	taking     bool                      // the last holder is asked what it did without the store
-	quietUntil time.Time                 // the last holder had all servers see its fence
-	guarding   bool                      // servers may get late orders of the last holder that no intent tells of
-	followed   atomic.Pointer[following] // read by other goroutines
-	counted    time.Time                 // when nodes that follow were counted
-	asking     atomic.Pointer[float64]   // part of the nodes that beat lately; read by other goroutines
-	// toldFollowed is whether most nodes ask, as the log was told.
-	toldFollowed bool
-	learnUntil   time.Time     // when the nodes should have told what is in use
-	resumeAt     time.Time     // when orders are given again after the store failed
-	scarceUntil  time.Time     // models wait for servers
-	failing      time.Time     // since when no order could be written; zero: the last one was
-	planned      time.Time     // the end of the last plan
-	nextPlan     chan struct{} // closed when the next plan is done
-	planTook     time.Duration
-	expected     map[string]map[string]time.Time // when queued models will be ready, by service
+	term            uint64 // term of the state below
+	nodes           map[string]*nodeState
+	fleet           fleet
+	retryPool       relay.SlackPool
+	trials          quarantine.Trials          // of suspected requests
+	suspicions      suspicionLimit             // limits the suspicions that are forwarded
+	speeds          serverSpeeds               // as sent to the nodes
+	beliefs         changeLog[announcedBelief] // from servers' announcements, by incarnation
+	quotas          quota.Pool                 // safe for concurrent use
+	places          holderPlaces
+	slots           backpressure.Slots // at servers with a request limit; safe for concurrent use
+	announcedScarce []string           // tenants that nodes were told to ask the holder about
+	pendingSpend    []spendReport      // reports that wait until the configuration is read
+	// scarceRecordedAt is when the lease's record was last written because tenants became scarce.
+	scarceRecordedAt time.Time
+	sharesLoggedAt   time.Time // when the division of scarce tenants' quotas was last logged
+	roster           roster    // list of nodes and its changes
+	lastExpiry       time.Time // when silent nodes were last looked for, in this term
+	termBegan        time.Time // when the term began at this node
+	demands          map[demandKey]*demand
+	servers          map[string]*serverState
+	indices          map[string]*index           // of the last plan, by service
+	learned          int                         // number of servers learned of in this term
+	interest         interest                    // which nodes were asked for which models
+	instances        map[string]*instance        // state that outlives a server's incarnations, by server name
+	crashingLoads    map[demandKey]*crashingLoad // models during whose loads servers crashed
+	fetchStarts      []time.Time                 // start times of loads from the weight store
+	store            storeLimit                  // how many loads from the weight store run at full speed at once
+
+	awaitingHandover    bool                     // the last holder was asked for the orders it gave without the store
+	quietUntil          time.Time                // end of the pause after the last holder raised its fence at all servers
+	fenceAll            bool                     // servers may get late orders of the last holder that no intent records
+	majority            atomic.Pointer[majority] // since when most nodes send heartbeats here; safe for concurrent use
+	heartbeatsCountedAt time.Time                // when the nodes' heartbeats were last counted
+	heartbeatShare      atomic.Pointer[float64]  // share of the nodes that sent a heartbeat recently; safe for concurrent use
+	// majorityLogged is whether most nodes ask this holder, as last logged.
+	majorityLogged bool
+	learnUntil     time.Time     // when the nodes should have reported what is in use
+	resumeAt       time.Time     // when orders are given again after the store failed
+	scarceUntil    time.Time     // models waited for servers recently, until this time
+	failingSince   time.Time     // since when no order's intent could be written; zero: the last write succeeded
+	lastPlanned    time.Time     // end of the last plan
+	nextPlan       chan struct{} // closed when the next plan is done
+	planTook       time.Duration
+	expectedReady  map[string]map[string]time.Time // when queued models will be ready, by service
 }
 
 // Ceiling bounds the loads from the weight store in any window.
@@ -125,32 +124,32 @@
 	need    string
 }
 
-// demand is what is asked of a model.
+// demand is the demand for one model or adapter.
 type demand struct {
-	rate      rates
-	last      time.Time // arrival
-	since     time.Time // of the first wish that counts
-	logged    bool      // the log told of the wish
-	waitTold  bool      // the log told that it waits for long
-	waitsTill time.Time // until when a wish without a server counts
-	deadline  time.Time
-	priority  int // 0 is the most urgent
-	request   string
+	rate         rates
+	last         time.Time // last arrival
+	waitingSince time.Time // when the first load request that still counts arrived
+	logged       bool      // the load request was logged
+	waitLogged   bool      // the long wait was logged
+	waitsUntil   time.Time // when the load request expires if no server holds the model
+	deadline     time.Time
+	priority     int // 0 is the most urgent
+	request      string
 }
 
 func (h *Holder) init() {
 	h.once.Do(func() {
-		h.requests = make(chan func(), 256)
-		h.quotas.Tolerance, h.quotas.MajorityAsksFor = h.Tolerance, h.followedFor
-		h.quotas.AskingFraction, h.quotas.ReportedFraction = h.askedPart, h.heardPart
+		h.tasks = make(chan func(), 256)
+		h.quotas.Tolerance, h.quotas.MajorityAsksFor = h.Tolerance, h.majorityFor
+		h.quotas.AskingFraction, h.quotas.ReportedFraction = h.recentHeartbeatShare, h.termHeartbeatShare
 		h.nextPlan = make(chan struct{})
 	})
 }
 
-// Run acts whenever the lease is held, until ctx ends.
+// Run coordinates the site whenever this node holds the lease, until ctx ends.
 func (h *Holder) Run(ctx context.Context) {
 	h.init()
-	h.life = ctx
+	h.runCtx = ctx
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
@@ -161,7 +160,7 @@
 			if h.mayTick(h.Time.Now()) {
 				h.tick()
 			}
-		case f := <-h.requests:
+		case f := <-h.tasks:
 			f()
 			if h.planSoon && h.mayPlan(h.Time.Now()) {
 				h.tick()
@@ -170,37 +169,37 @@
 	}
 }
 
-// mayTick tells whether a tick may plan: messages have as long as the last plan took, in any case. With
-// plans longer than the pause between ticks, messages and ticks that both waited had the same chance:
-// one beat or so was answered for each plan, 62 of 1,510 of 302 nodes in time; all are so
-// (TestBeatsAreAnsweredBesideLongPlans). A plan during which the process stood still counts as one of
-// mostTickPause.
+// mayTick tells whether a tick may plan. After each plan, messages have at least as long as the plan took,
+// at most maxTickPause (a plan may seem long because the process was suspended). Otherwise, with plans
+// longer than the tick interval, waiting ticks and messages are chosen equally often, about one heartbeat
+// is answered per plan, and 302 nodes get 62 of 1,510 heartbeats answered in time instead of all
+// (TestHeartbeatsAreAnsweredDuringLongPlans).
 func (h *Holder) mayTick(now time.Time) bool {
-	return now.Sub(h.planned) >= min(h.planTook, mostTickPause)
+	return now.Sub(h.lastPlanned) >= min(h.planTook, maxTickPause)
 }
 
-// tick takes in what changed and plans.
+// tick updates the state and plans, if this node holds the lease.
 func (h *Holder) tick() {
 	h.planSoon = false
 	term, held := h.Lease.Held()
 	if !held {
-		h.tellPlanned()
+		h.signalPlanned()
 		return
 	}
 	if term != h.term {
-		h.begin(term)
+		h.beginTerm(term)
 	}
 	now := h.Time.Now()
 	h.expire(now)
-	h.watchCrowds(now)
-	h.countFollowers(now)
-	h.learn(now)
-	h.noteShort(now)
+	h.updateOverloaded(now)
+	h.countHeartbeats(now)
+	h.learnRecords(now)
+	h.noteOverloaded(now)
 	h.plan(now)
 }
 
-// begin starts a term with nothing but what the record tells.
-func (h *Holder) begin(term uint64) {
+// beginTerm resets the state at the start of a term to what the lease's record tells.
+func (h *Holder) beginTerm(term uint64) {
 	h.term = term
 	h.nodes = make(map[string]*nodeState)
 	h.interest = interest{}
@@ -208,28 +207,28 @@
 	h.demands = make(map[demandKey]*demand)
 	h.servers, h.indices, h.learned = make(map[string]*serverState), nil, 0
 	h.instances = make(map[string]*instance)
-	h.fetches = nil
-	h.fatal = make(map[demandKey]*fatalLoad)
-	h.failing = time.Time{}
-	h.store = storeLimit{} // another node may have held the lease since: the nodes tell what it learned
-	h.expected = make(map[string]map[string]time.Time)
+	h.fetchStarts = nil
+	h.crashingLoads = make(map[demandKey]*crashingLoad)
+	h.failingSince = time.Time{}
+	h.store = storeLimit{} // outdated if another node held the lease since; nodes report what was learned
+	h.expectedReady = make(map[string]map[string]time.Time)
 	record, _ := h.Lease.Current()
 	now, storeNow := h.Time.Now(), h.Lease.Now()
-	h.expiredAt, h.begunAt = now, now
-	h.followed.Store(nil)
-	h.asking.Store(nil)
+	h.lastExpiry, h.termBegan = now, now
+	h.majority.Store(nil)
+	h.heartbeatShare.Store(nil)
 	_, copied := h.Lease.TookOverAfterRestore()
 	h.fleet.begin(now, record.Fleet, len(h.Nodes()), copied)
-	h.slack.Budget = h.Budget
-	h.slack.Begin(now)
-	h.turns = quarantine.Trials{}
-	h.paces = paces{}
+	h.retryPool.Budget = h.Budget
+	h.retryPool.Begin(now)
+	h.trials = quarantine.Trials{}
+	h.speeds = serverSpeeds{}
 	h.beginSaid(now)
 	h.Quarantine.MergeStored(now, record.Aged(storeNow))
-	h.scarceTold, h.spentBefore = nil, nil
+	h.announcedScarce, h.pendingSpend = nil, nil
 	h.beginPlaces(now, term)
 	h.slots.Begin(now, term)
-	h.learnUntil = now.Add(learnTime)
+	h.learnUntil = now.Add(learnPeriod)
 	h.quietUntil = time.Time{}
 	h.inheritIntents(now, storeNow, record.Intents)
 	h.takeOver(term)
@@ -241,18 +240,18 @@
 	}
 }
 
-// learning tells whether what is in use is not known yet: all nodes but one, the
-// last holder, are to have told it.
+// learning tells whether the models in use are not known yet: nodes still have to report them, all but
+// one, which is the last holder and may be gone.
 func (h *Holder) learning(now time.Time) bool {
 	return now.Before(h.learnUntil) && len(h.nodes) < len(h.Nodes())-1
 }
 
-// do runs f on the holder's goroutine and waits for it.
-func (h *Holder) do(ctx context.Context, f func()) error {
+// runOnLoop runs f on the goroutine of Run and waits for it.
+func (h *Holder) runOnLoop(ctx context.Context, f func()) error {
 	h.init()
 	done := make(chan struct{})
 	select {
-	case h.requests <- func() { defer close(done); f() }:
+	case h.tasks <- func() { defer close(done); f() }:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -264,108 +263,109 @@
 	}
 }
 
-// decide returns what f decides on the holder's goroutine, nothing if ctx ends before: f may then run later.
-func decide[A any](ctx context.Context, h *Holder, f func() A) (A, error) {
+// callOnLoop runs f on the goroutine of Run and returns its result. It returns an error if ctx ends
+// first: f may then still run later.
+func callOnLoop[A any](ctx context.Context, h *Holder, f func() A) (A, error) {
 	var answer, none A
-	if err := h.do(ctx, func() { answer = f() }); err != nil {
+	if err := h.runOnLoop(ctx, func() { answer = f() }); err != nil {
 		return none, err
 	}
 	return answer, nil
 }
 
-// planAt has a plan made at a time, sooner than the next tick.
+// planAt schedules a plan for a time before the next tick.
 func (h *Holder) planAt(at time.Time) {
 	time.AfterFunc(h.Time.Until(at), func() { h.post(func() { h.planSoon = true }) })
 }
 
-// post runs f on the holder's goroutine some time.
+// post queues f for the goroutine of Run and does not wait for it.
 func (h *Holder) post(f func()) {
 	select {
-	case h.requests <- f:
-	case <-h.life.Done():
+	case h.tasks <- f:
+	case <-h.runCtx.Done():
 	}
 }
 
-// Fleet returns how many nodes the site has, the most of the last while; zero if no
-// holder of this process knew any. Safe for concurrent use.
+// Fleet returns the number of nodes of the site, the maximum of recent times; zero if no holder in this
+// process knew any. Safe for concurrent use.
 func (h *Holder) Fleet() int { return h.fleet.known() }
 
 // HandleMessage implements peer.Handler.
 func (h *Holder) HandleMessage(ctx context.Context, from api.NodeRef, message peer.Message) (peer.Message, error) {
 	switch m := message.(type) {
 	case Beat:
-		return decide(ctx, h, func() BeatAnswer { return h.beat(h.Time.Now(), m) })
+		return callOnLoop(ctx, h, func() BeatAnswer { return h.takeHeartbeat(h.Time.Now(), m) })
 	case WishMessage:
-		return h.answerWish(ctx, m, string(from.ID))
+		return h.answerLoadRequest(ctx, m, string(from.ID))
 	case Draw:
 		return h.draw(h.Time.Now(), m), nil
 	case AskPlace:
 		return h.decidePlace(h.Time.Now(), m), nil
 	case AskSlot:
-		return h.giveSlot(h.Time.Now(), m), nil
+		return h.grantSlot(h.Time.Now(), m), nil
 	case PlaceNews:
 		h.takePlaceNews(h.Time.Now(), m)
 		return nil, nil
 	case TakeTurn:
-		return decide(ctx, h, func() TurnAnswer { return h.takeTurn(h.Time.Now(), m) })
+		return callOnLoop(ctx, h, func() TurnAnswer { return h.grantTrial(h.Time.Now(), m) })
 	case DoubtNotice:
-		return h.answerDoubt(ctx, m)
+		return h.answerSuspicion(ctx, m)
 	case ReleaseTurn:
-		return nil, h.do(ctx, func() { h.releaseTurn(h.Time.Now(), m) })
+		return nil, h.runOnLoop(ctx, func() { h.releaseTrial(h.Time.Now(), m) })
 	case Borrow:
-		return decide(ctx, h, func() BorrowAnswer { return h.lend(h.Time.Now(), m) })
+		return callOnLoop(ctx, h, func() BorrowAnswer { return h.lend(h.Time.Now(), m) })
 	default:
 		return nil, errMessage
 	}
 }
 
-// answerWish takes in a wish and answers after the next plan, which tells when the
-// model will be ready.
-func (h *Holder) answerWish(ctx context.Context, w WishMessage, node string) (WishAnswer, error) {
-	type wished struct {
+// answerLoadRequest handles a load request. It answers after the next plan, which tells when the model
+// will be ready.
+func (h *Holder) answerLoadRequest(ctx context.Context, w WishMessage, node string) (WishAnswer, error) {
+	type taken struct {
 		answer  WishAnswer
 		planned <-chan struct{}
 	}
-	told, err := decide(ctx, h, func() wished {
-		answer, planned := h.wish(h.Time.Now(), w, node)
-		return wished{answer, planned}
+	result, err := callOnLoop(ctx, h, func() taken {
+		answer, planned := h.takeLoadRequest(h.Time.Now(), w, node)
+		return taken{answer, planned}
 	})
-	if err != nil || told.planned == nil {
-		return told.answer, err
+	if err != nil || result.planned == nil {
+		return result.answer, err
 	}
 	select {
-	case <-told.planned:
+	case <-result.planned:
 	case <-ctx.Done():
-		return told.answer, ctx.Err()
+		return result.answer, ctx.Err()
 	}
-	return decide(ctx, h, func() WishAnswer {
-		answer := told.answer
-		h.outlook(h.Time.Now(), w, &answer)
+	return callOnLoop(ctx, h, func() WishAnswer {
+		answer := result.answer
+		h.estimateReady(h.Time.Now(), w, &answer)
 		return answer
 	})
 }
 
-// holds tells whether the state is that of a term that is held now.
-func (h *Holder) holds() bool {
+// ensureTerm tells whether this node holds the lease, and resets the state if it is of an earlier term.
+func (h *Holder) ensureTerm() bool {
 	term, held := h.Lease.Held()
 	if held && term != h.term {
-		h.begin(term)
+		h.beginTerm(term)
 	}
 	return held
 }
 
-// mayPlan tells whether news may cause a plan: plans are to leave most of the
-// processor to the rest.
+// mayPlan tells whether a message may trigger a plan now. Plans must leave most of the processor time to
+// other work.
 func (h *Holder) mayPlan(now time.Time) bool {
 	return !now.Before(h.mayPlanAt())
 }
 
-// mayPlanAt returns from when news may cause a plan.
+// mayPlanAt returns when a message may next trigger a plan.
 func (h *Holder) mayPlanAt() time.Time {
-	return h.planned.Add(max(planPause, planShare*h.planTook))
+	return h.lastPlanned.Add(max(planPause, planPauseFactor*h.planTook))
 }
 
-func (h *Holder) demand(key demandKey) *demand {
+func (h *Holder) demandFor(key demandKey) *demand {
 	d := h.demands[key]
 	if d == nil {
 		d = &demand{}
@@ -375,34 +375,34 @@
 }
 
 // waits tells whether a request waits for the model.
-func (d *demand) waits(now time.Time) bool { return now.Before(d.waitsTill) }
+func (d *demand) waits(now time.Time) bool { return now.Before(d.waitsUntil) }
 
-// wish takes in that a node of a name lacks a model. If no server holds it, what is known of it
-// can be told after the next plan; the channel is closed then.
-func (h *Holder) wish(now time.Time, w WishMessage, node string) (WishAnswer, <-chan struct{}) {
-	if !h.holds() {
+// takeLoadRequest handles a load request of the named node. If no server holds the model, it also
+// returns a channel that is closed after the next plan, when the time to ready can be estimated.
+func (h *Holder) takeLoadRequest(now time.Time, w WishMessage, node string) (WishAnswer, <-chan struct{}) {
+	if !h.ensureTerm() {
 		return WishAnswer{}, nil
 	}
 	need := backend.ParseNeed(w.Need)
 	key := demandKey{w.Service, w.Need}
-	d := h.demand(key)
+	d := h.demandFor(key)
 	h.interest.note(now, key, node)
 	if !d.waits(now) {
-		d.since, d.waitTold, d.logged = now, false, false
+		d.waitingSince, d.waitLogged, d.logged = now, false, false
 	}
-	d.waitsTill, d.last = latest(d.waitsTill, now.Add(wishTime)), now
+	d.waitsUntil, d.last = latest(d.waitsUntil, now.Add(loadRequestTTL)), now
 	d.priority, d.deadline, d.request = w.Priority, now.Add(w.Left), w.RequestID
 	answer := WishAnswer{Term: h.term}
 	if w.Gone {
-		h.lose(now, w.Missing)
+		h.noteConnectionRefused(now, w.Missing)
 	} else {
-		h.doubtHolding(now, w.Missing, need)
+		h.recheckHolding(now, w.Missing, need)
 	}
-	h.shorten(now, w.Short, w.ShortFor)
-	if server := h.heldBy(now, w.Service, need); server != "" && !h.servers[server].short(now) {
+	h.markOverloaded(now, w.Short, w.ShortFor)
+	if server := h.heldBy(now, w.Service, need); server != "" && !h.servers[server].overloaded(now) {
 		answer.Server = server
-		h.tell(Notice{Server: server, Need: w.Need, Holds: true})
-		d.waitsTill = time.Time{}
+		h.sendNotice(Notice{Server: server, Need: w.Need, Holds: true})
+		d.waitsUntil = time.Time{}
 		return answer, nil
 	}
 	planned := h.nextPlan
@@ -413,36 +413,36 @@
 	return answer, planned
 }
 
-// tellPlanned lets go those who wait for a plan.
-func (h *Holder) tellPlanned() {
+// signalPlanned wakes those that wait for a plan.
+func (h *Holder) signalPlanned() {
 	close(h.nextPlan)
 	h.nextPlan = make(chan struct{})
 }
 
-// outlook tells when a model that was wished for will be ready.
-func (h *Holder) outlook(now time.Time, w WishMessage, answer *WishAnswer) {
-	if !h.holds() || answer.Term != h.term {
+// estimateReady fills in when the model of a load request will be ready.
+func (h *Holder) estimateReady(now time.Time, w WishMessage, answer *WishAnswer) {
+	if !h.ensureTerm() || answer.Term != h.term {
 		return
 	}
-	answer.ReadyIn = h.readyIn(now, w.Service, backend.ParseNeed(w.Need)) + h.failsFor(now)
-	d := h.demand(demandKey{w.Service, w.Need})
-	// Who is refused for now comes back about then.
-	d.waitsTill = latest(d.waitsTill, now.Add(answer.ReadyIn+returnTime))
+	answer.ReadyIn = h.readyIn(now, w.Service, backend.ParseNeed(w.Need)) + h.expectedOutage(now)
+	d := h.demandFor(demandKey{w.Service, w.Need})
+	// A caller that is refused now retries at about that time.
+	d.waitsUntil = latest(d.waitsUntil, now.Add(answer.ReadyIn+retryGrace))
 	if !d.logged {
 		d.logged = true
-		h.Logger.Info("wish", "request_id", w.RequestID, "service", w.Service, "model", w.Need,
+		h.Logger.Info("model load requested", "request_id", w.RequestID, "service", w.Service, "model", w.Need,
 			"priority", w.Priority, "ready_in_ms", answer.ReadyIn.Milliseconds())
 	}
 }
 
-// tell sends a notice to the nodes whom it concerns and takes it in here.
-func (h *Holder) tell(n Notice) {
+// sendNotice applies a notice here and sends it to the nodes that are interested in it.
+func (h *Holder) sendNotice(n Notice) {
 	h.Servers.Believe(n.Server, backend.ParseNeed(n.Need), n.Holds, h.Time.Now().Add(noticeTime))
 	sendAll(h.Transport, h.interested(h.Time.Now(), n), n)
 }
 
-// others returns where the nodes but this one are reached that beat to the holder.
-func (h *Holder) others() []string {
+// otherNodes returns the addresses of the nodes that send heartbeats, without this one.
+func (h *Holder) otherNodes() []string {
 	record, _ := h.Lease.Current()
 	var list []string
 	for _, n := range h.nodes {
@@ -453,7 +453,7 @@
 	return list
 }
 
-// sendAll sends a message to nodes; it may get lost on the way to each.
+// sendAll sends a message to several nodes, without confirmation.
 func sendAll(t peer.Transport, addresses []string, message peer.Message) {
 	for _, address := range addresses {
 		t.Send(address, message)
--- a/pkg/coordinator/index.go
+++ b/pkg/coordinator/index.go
@@ -5,31 +5,30 @@
 	"slices"
 )
 
-// index lists the servers of a service, and by model those that hold it or carry out an order about
-// it. It is made anew for each plan, so that a plan's work grows with the servers and the replicas and
-// not with the servers times the models and adapters that are asked for: with 10,000 servers, 574
-// models and 1,072 adapters that were 16 million looks a plan.
+// index lists the servers of a service and, by model, those that hold it or carry out an order about it. It is rebuilt
+// for each plan, so that a plan's work grows with the servers and replicas, not with servers times models and adapters:
+// with 10,000 servers, 574 models and 1,072 adapters, that would be 16 million lookups per plan.
 type index struct {
 	servers []*serverState // by ID
-	holders map[string][]*serverState
+	byModel map[string][]*serverState
 }
 
-// indexOf returns the index of a service as of the last plan, or of now if there is none.
+// indexOf returns the index of a service as of the last plan, built now if there is none.
 func (h *Holder) indexOf(service string) *index {
 	if known := h.indices[service]; known != nil {
 		return known
 	}
-	x := &index{holders: make(map[string][]*serverState)}
+	x := &index{byModel: make(map[string][]*serverState)}
 	for s := range h.serversOf(service) {
 		x.servers = append(x.servers, s)
 	}
 	slices.SortFunc(x.servers, func(a, b *serverState) int { return cmp.Compare(a.id, b.id) })
 	for _, s := range x.servers {
 		for model := range s.holds {
-			x.holders[model] = append(x.holders[model], s)
+			x.byModel[model] = append(x.byModel[model], s)
 		}
 		if s.busy != nil && s.holds[s.busy.need.Model] == nil {
-			x.holders[s.busy.need.Model] = append(x.holders[s.busy.need.Model], s)
+			x.byModel[s.busy.need.Model] = append(x.byModel[s.busy.need.Model], s)
 		}
 	}
 	if h.indices == nil {
@@ -39,18 +38,18 @@
 	return x
 }
 
-// holdersOf returns the servers of a service that hold a model or carry out an order about it. Those
-// that the index of the last plan lacks by now are not among them: what they hold shows with the next.
-func (h *Holder) holdersOf(service, model string) []*serverState {
-	return h.indexOf(service).holders[model]
+// serversWith returns the servers of a service that hold a model or carry out an order about it, as of the last plan.
+// Other servers that hold the model now are included after the next plan.
+func (h *Holder) serversWith(service, model string) []*serverState {
+	return h.indexOf(service).byModel[model]
 }
 
-// about notes that a server carries out an order about a model from now on.
-func (h *Holder) about(s *serverState, model string) {
+// indexOrder adds a server that carries out an order about a model to the index.
+func (h *Holder) indexOrder(s *serverState, model string) {
 	if s.member == nil {
 		return
 	}
-	if x := h.indices[s.member.Service]; x != nil && !slices.Contains(x.holders[model], s) {
-		x.holders[model] = append(x.holders[model], s)
+	if x := h.indices[s.member.Service]; x != nil && !slices.Contains(x.byModel[model], s) {
+		x.byModel[model] = append(x.byModel[model], s)
 	}
 }
--- a/pkg/coordinator/interest.go
+++ b/pkg/coordinator/interest.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// interestTime is how long a node counts as interested in what it was asked for: well beyond the time
-// that a record of a server lags behind, by which the others learn.
+// interestTime is how long a node counts as interested in a model that it was asked for: much longer than the lag of
+// servers' records, by which the other nodes learn.
 const interestTime = time.Minute
 
-// interest is which nodes were asked for what lately. They alone are told at once when a server holds
-// it, or not any more: orders grow with the fleet, and with each of them told to all nodes the
-// messages grew with its square. It belongs to the holder's goroutine.
+// interest records which nodes were recently asked for which models. Only they are notified at once when a server holds
+// the model, or no longer does: the number of orders grows with the fleet, and if all nodes were notified of each, the
+// messages would grow with its square. It belongs to the goroutine of Run.
 type interest struct {
 	until map[demandKey]map[string]time.Time // by name of the node
 	swept time.Time
 }
 
-// note notes that a node was asked for something.
+// note records that a node was asked for a model or adapter.
 func (i *interest) note(now time.Time, key demandKey, node string) {
 	if node == "" {
 		return
@@ -28,12 +28,12 @@
 	i.until[key][node] = now.Add(interestTime)
 }
 
-// in tells whether a node is interested.
-func (i *interest) in(now time.Time, key demandKey, node string) bool {
+// includes tells whether a node is interested.
+func (i *interest) includes(now time.Time, key demandKey, node string) bool {
 	return now.Before(i.until[key][node])
 }
 
-// sweep forgets what is over, now and then.
+// sweep drops expired entries from time to time.
 func (i *interest) sweep(now time.Time) {
 	if now.Sub(i.swept) < interestTime {
 		return
@@ -51,17 +51,17 @@
 	}
 }
 
-// interested returns where the nodes but this one are reached that were asked for what a server holds.
+// interested returns the addresses of the other nodes that were asked for what a notice is about.
 func (h *Holder) interested(now time.Time, n Notice) []string {
 	s := h.servers[n.Server]
 	if s == nil || s.member == nil {
-		return h.others()
+		return h.otherNodes()
 	}
 	key := demandKey{s.member.Service, n.Need}
 	record, _ := h.Lease.Current()
 	var list []string
 	for name, node := range h.nodes {
-		if node.node.Peers != record.Address && h.interest.in(now, key, name) {
+		if node.node.Peers != record.Address && h.interest.includes(now, key, name) {
 			list = append(list, node.node.Peers)
 		}
 	}
--- /dev/null
+++ b/pkg/coordinator/loadrequests.go
@@ -0,0 +1,98 @@
+package coordinator
+
+import (
+	"context"
+	"time"
+
+	"martenwheel.dev/pkg/relay"
+)
+
+// outlookTTL is how long the answer to a load request is reused for all requests of this node that need the same:
+// notices tell earlier when the model is ready.
+const outlookTTL = 800 * time.Millisecond
+
+// sentLoadRequest is a load request that was sent, and its answer.
+type sentLoadRequest struct {
+	at      time.Time
+	done    chan struct{} // closed when the answer has arrived
+	short   bool          // the request named a server that rejects requests
+	outlook relay.LoadStatus
+	err     error
+}
+
+// Wake implements relay.Waker.
+func (m *Member) Wake(ctx context.Context, w relay.LoadRequest) (relay.LoadStatus, error) {
+	key := demandKey{w.Service, w.Need.String()}
+	m.mu.Lock()
+	known := m.loadRequests[key]
+	fresh := known == nil || m.Time.Since(known.at) > outlookTTL || w.Missing != "" || w.Short != "" && !known.short
+	if fresh {
+		known = &sentLoadRequest{at: m.Time.Now(), done: make(chan struct{}), short: w.Short != ""}
+		if m.loadRequests == nil || len(m.loadRequests) > maxLoadRequests {
+			m.loadRequests = make(map[demandKey]*sentLoadRequest)
+		}
+		m.loadRequests[key] = known
+	}
+	m.mu.Unlock()
+	if fresh {
+		known.outlook, known.err = m.sendLoadRequest(ctx, w)
+		close(known.done)
+	}
+	select {
+	case <-known.done:
+	case <-ctx.Done():
+		return relay.LoadStatus{}, ctx.Err()
+	}
+	o := known.outlook
+	o.Age = m.Time.Since(known.at)
+	if o.ReadyIn > 0 {
+		o.ReadyIn = max(o.ReadyIn-o.Age, time.Millisecond)
+	}
+	return o, known.err
+}
+
+// Borrow implements relay.Lender.
+func (m *Member) Borrow(ctx context.Context, service string) (bool, error) {
+	answer, err := callHolder[BorrowAnswer](ctx, m, Borrow{Service: service})
+	if err == nil && answer.Term == 0 {
+		err = ErrNoHolder
+	}
+	return answer.Lent, err
+}
+
+// maxLoadRequests bounds the load requests that are kept.
+const maxLoadRequests = 1024
+
+// sendLoadRequest looks for a server that this node does not know, and asks the holder if there is none.
+func (m *Member) sendLoadRequest(ctx context.Context, w relay.LoadRequest) (relay.LoadStatus, error) {
+	if server := m.locateServer(ctx, w); server != "" {
+		return relay.LoadStatus{Server: server}, nil
+	}
+	outlook, err := m.askHolder(ctx, w)
+	if err == nil && outlook.Server != "" && m.EnsureServers != nil {
+		if outlook.Server = m.learnServers(ctx, []string{outlook.Server}); outlook.Server == "" {
+			outlook.ReadyIn = learnRetry
+		}
+	}
+	return outlook, err
+}
+
+// learnRetry is how long a request waits before another attempt to load the details of the server that can serve it.
+const learnRetry = 250 * time.Millisecond
+
+// askHolder sends a load request to the holder.
+func (m *Member) askHolder(ctx context.Context, w relay.LoadRequest) (relay.LoadStatus, error) {
+	answer, err := callHolder[WishAnswer](ctx, m, WishMessage{
+		Service: w.Service, Need: w.Need.String(), Priority: w.Priority,
+		Left: m.Time.Until(w.Deadline), RequestID: w.RequestID, Missing: w.Missing, Gone: w.Gone,
+		Short: w.Short, ShortFor: w.ShortFor,
+	})
+	if err == nil && answer.Term == 0 {
+		err = ErrNoHolder
+	}
+	if err != nil {
+		m.holderLost(err)
+		return relay.LoadStatus{}, err
+	}
+	return relay.LoadStatus{Server: answer.Server, ReadyIn: answer.ReadyIn}, nil
+}
--- a/pkg/coordinator/locate.go
+++ b/pkg/coordinator/locate.go
@@ -10,31 +10,31 @@
 	"martenwheel.dev/pkg/relay"
 )
 
-// Locate asks a node that knows all servers for some that hold what a request needs. Nodes of a large
-// site know a part of the servers only.
+// Locate asks a node that knows all servers for some that hold what a request needs. Nodes of a large site know only
+// part of the servers.
 type Locate struct {
 	Service string
 	Need    string
-	Zone    string // servers there are told before others
+	Zone    string // servers in this zone are preferred
 }
 
 // Located answers Locate.
 type Located struct {
-	Servers []string // their lives; none: no server holds it
+	Servers []string // IDs of incarnations; none: no server holds it
 }
 
-// Bounds of a question for servers.
+// Limits of a search for servers.
 const (
-	// locateTimeout bounds the wait for the answer, and for what is known of the servers: the next
-	// one asked is the holder.
+	// locateTimeout bounds the wait for the answer, and for the details of the servers; after it the holder is
+	// asked.
 	locateTimeout = 200 * time.Millisecond
-	// mostLocated is how many servers are told: with more than one, callers of a node are spread and
-	// the loss of one is borne.
-	mostLocated = 3
+	// maxLocated is how many servers an answer lists: several, so that the requests of a node are spread and the
+	// loss of one server is tolerated.
+	maxLocated = 3
 )
 
-// locate answers for this node.
-func (m *Member) locate(l Locate) Located {
+// answerLocate answers Locate from the servers that this node knows.
+func (m *Member) answerLocate(l Locate) Located {
 	now := m.Time.Now()
 	need := backend.ParseNeed(l.Need)
 	servers := m.Servers.Snapshot().Service(l.Service)
@@ -49,21 +49,21 @@
 		} else {
 			far = append(far, s.ID)
 		}
-		if len(near) == mostLocated {
+		if len(near) == maxLocated {
 			break
 		}
 	}
 	found := append(near, far...)
-	return Located{Servers: found[:min(len(found), mostLocated)]}
+	return Located{Servers: found[:min(len(found), maxLocated)]}
 }
 
-// find looks for servers that hold what a request needs among those that this node does not know, and
-// gets to know them. It returns one, "" if there is none or nobody can tell.
-func (m *Member) find(ctx context.Context, w relay.LoadRequest) string {
-	if m.Nearest == nil || w.Missing != "" {
+// locateServer searches for servers that hold what a request needs among those that this node does not know, and loads
+// their details. It returns one of them, "" if there is none or no answer.
+func (m *Member) locateServer(ctx context.Context, w relay.LoadRequest) string {
+	if m.NearestFullNode == nil || w.Missing != "" {
 		return ""
 	}
-	address := m.Nearest()
+	address := m.NearestFullNode()
 	if address == "" {
 		return "" // this node knows all servers
 	}
@@ -79,16 +79,16 @@
 		return ""
 	}
 	m.Logger.Info("servers located", "request_id", w.RequestID, "model", w.Need.String(), "servers", answer.Servers, "asked", address)
-	return m.meet(ctx, answer.Servers)
+	return m.learnServers(ctx, answer.Servers)
 }
 
-// meet gets to know servers. It returns the first one that is known then.
-func (m *Member) meet(ctx context.Context, servers []string) string {
-	if m.Cover == nil {
+// learnServers loads the details of servers. It returns the first one that is then known.
+func (m *Member) learnServers(ctx context.Context, servers []string) string {
+	if m.EnsureServers == nil {
 		return servers[0]
 	}
-	if err := m.Cover(ctx, servers); err != nil {
-		m.Logger.Info("servers not known", "servers", servers, "error", err)
+	if err := m.EnsureServers(ctx, servers); err != nil {
+		m.Logger.Info("server details not available", "servers", servers, "error", err)
 	}
 	snapshot := m.Servers.Snapshot()
 	for _, id := range servers {
@@ -99,21 +99,21 @@
 	return ""
 }
 
-// believe takes in that a server holds something, or not any more. One that this node does not know
-// and whose model its requests wait for is got to know.
-func (m *Member) believe(n Notice) {
-	take := func() {
+// applyNotice applies a notice that a server holds something, or no longer does. If this node does not know the server,
+// and requests here wait for its model, the server's details are loaded first.
+func (m *Member) applyNotice(n Notice) {
+	apply := func() {
 		m.Servers.Believe(n.Server, backend.ParseNeed(n.Need), n.Holds, m.Time.Now().Add(noticeTime))
 	}
-	if !n.Holds || m.Cover == nil || m.Servers.Snapshot().Member(n.Server) != nil {
-		take()
+	if !n.Holds || m.EnsureServers == nil || m.Servers.Snapshot().Member(n.Server) != nil {
+		apply()
 		return
 	}
-	go func() { // messages that come meanwhile are not to wait
+	go func() { // other messages must not wait meanwhile
 		ctx, cancel := context.WithTimeout(context.Background(), locateTimeout)
 		defer cancel()
-		m.meet(ctx, []string{n.Server})
-		take()
+		m.learnServers(ctx, []string{n.Server})
+		apply()
 	}()
 }
 
--- a/pkg/coordinator/member.go
+++ b/pkg/coordinator/member.go
@@ -21,11 +21,11 @@
 
 // Times of a member.
 const (
-	beatInterval = time.Second
-	beatRetry    = 300 * time.Millisecond
-	beatTimeout  = 700 * time.Millisecond
-	idleLook     = 250 * time.Millisecond // between looks at what went idle while servers are scarce
-	noticeTime   = 5 * time.Second
+	heartbeatInterval = time.Second
+	heartbeatRetry    = 300 * time.Millisecond
+	heartbeatTimeout  = 700 * time.Millisecond
+	idleCheckInterval = 250 * time.Millisecond // between checks for idle replicas while servers are scarce
+	noticeTime        = 5 * time.Second
 )
 
 // Errors of a member.
@@ -34,72 +34,73 @@
 	errMessage  = errors.New("coordinator: unexpected message")
 )
 
-// Member is a node's part in the site. Set the fields before Run.
+// Member is each node's side of the coordination. Set the exported fields before Run.
 type Member struct {
 	Self      Node
 	Lease     *lease.Lease
-	Holder    *Holder // of this node; acts while the lease is held here
+	Holder    *Holder // of this node; active while the lease is held here
 	Transport peer.Transport
 	Servers   *backend.Directory
 	Clock     *storeclock.Clock // of the store; nil: not needed
-	// Configured is told the version of the configuration at the holder; may be nil.
+	// Configured is called with the configuration version in force at the holder; may be nil.
 	Configured func(version uint64)
-	Candidate  func() bool // whether this node is among the first to take the lease
-	// Nearest returns where a node is reached that knows all servers; empty, or nil: this node does.
-	Nearest func() string
-	// Cover gets to know lives of servers, which this node then is told of; nil: it knows all.
-	Cover func(ctx context.Context, servers []string) error
-	// Quarantine is what this node knows of requests that end servers; the holder's as well.
+	Candidate  func() bool // whether this node is among the first to take the lease; nil: it is
+	// NearestFullNode returns the address of a node that knows all servers; empty, or nil: this node knows them.
+	NearestFullNode func() string
+	// EnsureServers loads the details of the given server incarnations and keeps them up to date; nil: this
+	// node knows all servers.
+	EnsureServers func(ctx context.Context, servers []string) error
+	// Quarantine is this node's evidence against requests that crash servers, shared with Holder.
 	Quarantine *quarantine.Table
 	Time       clock.Clock
 	Logger     hclog.Logger
 
-	nodes      atomic.Pointer[[]Node]
-	fleet      atomic.Int64
-	version    NodesVersion    // of nodes; for Run alone
-	listing    []Node          // as far as they were told; nil: they are told as a whole; for Run alone
-	more       bool            // the last answer told of the first nodes only; for Run alone
-	beatAt     time.Time       // when the next beat is due at the latest; for Run alone
-	scarce     bool            // by the last answer; for Run alone
-	told       map[replica]int // running requests by the last beat; for Run alone
-	store      StoreLimit      // as the last holder learned it; for Run alone
-	storeTold  uint64          // term of the holder that was told of it; for Run alone
-	stopping   atomic.Bool
-	ledger     quota.Ledger
-	deputized  quota.Ledger // what this node lets in for all while there is no holder
-	notices    notices
-	apart      apart
-	doubts     doubtLimit // that this node tells
-	places     memberPlaces
-	slotRests  slotRests
-	hearings   hearings     // of this node, from servers
-	saidKnown  SaidVersion  // of what servers said, as last told; for Run alone
-	pacesKnown PacesVersion // of servers, as last told; for Run alone
-	evidence   uint64       // sum of the holder's evidence, as last told; for Run alone
-	beatNow    chan struct{}
-	started    sync.Once
+	nodes           atomic.Pointer[[]Node]
+	fleet           atomic.Int64
+	version         NodesVersion    // of nodes; for Run alone
+	partialNodes    []Node          // list received so far; nil: the list is complete; for Run alone
+	moreNodes       bool            // the last answer held only part of the list; for Run alone
+	nextHeartbeat   time.Time       // latest time of the next heartbeat; for Run alone
+	serversScarce   bool            // as of the last answer; for Run alone
+	reportedRunning map[replica]int // running requests in the last heartbeat; for Run alone
+	storeLimit      StoreLimit      // learned by the last holder; for Run alone
+	storeLimitTerm  uint64          // term of the holder that was sent storeLimit; for Run alone
+	stopping        atomic.Bool
+	ledger          quota.Ledger
+	deputyLedger    quota.Ledger // what this node admits as the deputy while no holder answers
+	pendingEvidence evidenceQueue
+	isolated        isolatedRuns
+	suspicions      suspicionLimit // limits the suspicions that this node sends
+	places          memberPlaces
+	slotBackoffs    slotBackoffs
+	pendingSaid     pendingSaid  // announcements of servers that the holder was not sent yet
+	saidKnown       SaidVersion  // last change of servers' announcements received; for Run alone
+	speedsKnown     PacesVersion // last change of servers' speeds received; for Run alone
+	evidence        uint64       // checksum of the holder's evidence, as last received; for Run alone
+	heartbeatNow    chan struct{}
+	started         sync.Once
 
-	mu       sync.Mutex
-	arrivals map[demandKey]arrivals
-	rates    map[demandKey]*rates // arrivals that a holder was told of
-	toldTerm uint64               // term of the holder that knows the rates
-	heard    heard                // of a holder
-	wishes   map[demandKey]*asked
-	answered bool      // the last beat was
-	since    time.Time // of the first beat without an answer
+	mu              sync.Mutex
+	arrivals        map[demandKey]arrivals
+	rates           map[demandKey]*rates // arrivals that were reported to a holder
+	ratesTerm       uint64               // term of the holder that was sent the rates
+	firstContact    holderContact        // with the current holder
+	loadRequests    map[demandKey]*sentLoadRequest
+	connected       bool      // the last heartbeat was answered
+	unansweredSince time.Time // first heartbeat without an answer
 }
 
-// heard is since when a node has heard of the holder of a term.
-type heard struct {
+// holderContact is when the holder of a term first answered this node.
+type holderContact struct {
 	term  uint64
 	since time.Time
 }
 
 func (m *Member) init() {
-	m.started.Do(func() { m.beatNow = make(chan struct{}, 1) })
+	m.started.Do(func() { m.heartbeatNow = make(chan struct{}, 1) })
 }
 
-// Nodes returns the nodes of the site as last told, this one among them.
+// Nodes returns the nodes of the site as last received from a holder, including this one.
 func (m *Member) Nodes() []Node {
 	if nodes := m.nodes.Load(); nodes != nil {
 		return *nodes
@@ -107,31 +108,30 @@
 	return []Node{m.self()}
 }
 
-// Fleet returns among how many nodes this one shares what all may use together: no
-// fewer than there are, zero while no holder told. It stays as last told while no holder
-// answers.
+// Fleet returns the number of nodes that divide shared budgets: no fewer than there are, zero before a
+// holder answered. It keeps its value while no holder answers.
 func (m *Member) Fleet() int { return int(m.fleet.Load()) }
 
-// Known tells whether the nodes of the site are as a holder told.
+// Known tells whether a holder has sent the list of nodes.
 func (m *Member) Known() bool { return m.nodes.Load() != nil }
 
 // Stop tells the others that this node is leaving.
 func (m *Member) Stop() {
 	m.stopping.Store(true)
-	m.beatSoon()
+	m.heartbeatSoon()
 }
 
-// Woke has the node find out at once, after its machine was suspended, who holds the lease.
-func (m *Member) Woke() {
+// MachineResumed makes the node check at once who holds the lease, after its machine was suspended.
+func (m *Member) MachineResumed() {
 	m.Lease.Suspect()
-	m.beatSoon()
+	m.heartbeatSoon()
 }
 
-// beatSoon has the next beat go out at once.
-func (m *Member) beatSoon() {
+// heartbeatSoon sends the next heartbeat at once.
+func (m *Member) heartbeatSoon() {
 	m.init()
 	select {
-	case m.beatNow <- struct{}{}:
+	case m.heartbeatNow <- struct{}{}:
 	default:
 	}
 }
@@ -142,7 +142,7 @@
 	return n
 }
 
-// Run beats until ctx ends.
+// Run sends heartbeats until ctx ends.
 func (m *Member) Run(ctx context.Context) {
 	m.init()
 	timer := time.NewTimer(0)
@@ -151,45 +151,45 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-m.beatNow:
-			m.beatAt = time.Time{}
+		case <-m.heartbeatNow:
+			m.nextHeartbeat = time.Time{}
 		case <-timer.C:
 		}
-		timer.Reset(m.beatOrLook(ctx))
+		timer.Reset(m.heartbeatIfDue(ctx))
 	}
 }
 
-// beatOrLook beats if it is time to, or if requests ended that keep replicas from making
-// way for models that wait. It returns when to look again.
-func (m *Member) beatOrLook(ctx context.Context) time.Duration {
+// heartbeatIfDue sends a heartbeat if one is due, or if replicas became idle that can be replaced by
+// models that wait. It returns the time until the next check.
+func (m *Member) heartbeatIfDue(ctx context.Context) time.Duration {
 	now := m.Time.Now()
-	if left := m.beatAt.Sub(now); left > 0 && !m.stopping.Load() && !m.wentIdle() {
-		return min(left, idleLook)
+	if left := m.nextHeartbeat.Sub(now); left > 0 && !m.stopping.Load() && !m.replicaWentIdle() {
+		return min(left, idleCheckInterval)
 	}
-	m.beatAt = now.Add(beatInterval)
-	if err := m.beat(ctx); err != nil {
-		m.lost(err)
-		m.scarce = false
-		m.beatAt = now.Add(beatRetry)
-		return beatRetry
+	m.nextHeartbeat = now.Add(heartbeatInterval)
+	if err := m.heartbeat(ctx); err != nil {
+		m.holderLost(err)
+		m.serversScarce = false
+		m.nextHeartbeat = now.Add(heartbeatRetry)
+		return heartbeatRetry
 	}
-	if m.more {
-		m.beatAt = now
+	if m.moreNodes {
+		m.nextHeartbeat = now
 		return 0
 	}
-	if m.scarce {
-		return idleLook
+	if m.serversScarce {
+		return idleCheckInterval
 	}
-	return beatInterval
+	return heartbeatInterval
 }
 
-// wentIdle tells whether a replica that the holder was told to be in use is idle by now.
-func (m *Member) wentIdle() bool {
-	if !m.scarce {
+// replicaWentIdle tells whether a replica that was last reported in use is idle now.
+func (m *Member) replicaWentIdle() bool {
+	if !m.serversScarce {
 		return false
 	}
 	running := m.running()
-	for r := range m.told {
+	for r := range m.reportedRunning {
 		if running[r] == 0 {
 			return true
 		}
@@ -210,70 +210,71 @@
 	return running
 }
 
-// patience is how long nodes that are not candidates leave it to the others to
-// find a new holder, who then announces itself.
-const patience = 4 * time.Second
+// suspectDelay is how long nodes that are not candidates wait for the candidates to elect a new holder,
+// which then announces itself.
+const suspectDelay = 4 * time.Second
 
-// lost notes that the holder does not answer.
-func (m *Member) lost(err error) {
+// holderLost records that the holder does not answer.
+func (m *Member) holderLost(err error) {
 	m.mu.Lock()
-	if m.answered || m.since.IsZero() {
-		m.since = m.Time.Now()
+	if m.connected || m.unansweredSince.IsZero() {
+		m.unansweredSince = m.Time.Now()
 		m.Logger.Warn("coordinator lost", "error", err)
 	}
-	m.answered = false
-	waited := m.Time.Since(m.since)
+	m.connected = false
+	waited := m.Time.Since(m.unansweredSince)
 	m.mu.Unlock()
-	if !m.Known() || m.Candidate == nil || m.Candidate() || waited > patience {
+	if !m.Known() || m.Candidate == nil || m.Candidate() || waited > suspectDelay {
 		m.Lease.Suspect()
 	}
 }
 
-// beat tells the holder of this node and takes in what it tells of the others.
-func (m *Member) beat(ctx context.Context) error {
-	told := m.running()
-	beat := m.newBeat()
+// heartbeat sends a heartbeat to the holder and processes the answer.
+func (m *Member) heartbeat(ctx context.Context) error {
+	running := m.running()
+	beat := m.newHeartbeat()
 	sent := m.Time.Now()
-	answer, err := ask[BeatAnswer](ctx, m, beat)
+	answer, err := callHolder[BeatAnswer](ctx, m, beat)
 	if err == nil && answer.Version.Term == 0 {
 		err = ErrNoHolder
 	}
 	if err != nil {
 		m.ledger.Return(beat.Spent)
 		m.places.ledger.Return(sent, beat.Places)
-		m.hearings.giveBack(sent, beat.Said)
+		m.pendingSaid.restore(sent, beat.Said)
 		return err
 	}
-	m.told = told
+	m.reportedRunning = running
 	m.takeAnswer(sent, &answer)
 	return nil
 }
 
-// newBeat returns what this node tells now. What it tells once is taken from where it is kept.
-func (m *Member) newBeat() Beat {
+// newHeartbeat returns the heartbeat to send now. Reports that are sent only once are removed from where
+// they are kept.
+func (m *Member) newHeartbeat() Beat {
 	var store StoreLimit
-	var left []quota.Balance
-	if record, _ := m.Lease.Current(); record.Term != m.storeTold {
-		store = m.store
-		left = m.Holder.quotas.FormerBalances(m.Time.Now(), record.Term)
+	var quotasLeft []quota.Balance
+	if record, _ := m.Lease.Current(); record.Term != m.storeLimitTerm {
+		store = m.storeLimit
+		quotasLeft = m.Holder.quotas.FormerBalances(m.Time.Now(), record.Term)
 	}
 	return Beat{
-		Node: m.self(), Uses: m.uses(m.Time.Now()), Knows: m.version, Partial: true, Paged: true, Store: store, Spent: m.ledger.Report(), QuotasLeft: left,
+		Node: m.self(), Uses: m.uses(m.Time.Now()), Knows: m.version, Partial: true, Paged: true, Store: store, Spent: m.ledger.Report(), QuotasLeft: quotasLeft,
 		Evidence: knownEvidence(m.Quarantine, m.Time.Now(), m.evidence),
-		Paces:    m.Servers.TakeReports(pacesShare(m.Fleet())), KnowsPaces: m.pacesKnown,
+		Paces:    m.Servers.TakeReports(speedReportShare(m.Fleet())), KnowsPaces: m.speedsKnown,
 		Places: m.places.ledger.AllReports(m.Time.Now()),
-		Said:   m.hearings.take(m.Time.Now()), KnowsSaid: m.saidKnown,
+		Said:   m.pendingSaid.take(m.Time.Now()), KnowsSaid: m.saidKnown,
 	}
 }
 
-// takeAnswer takes in what the holder told in answer to a beat that was sent at a time.
+// takeAnswer processes the answer to a heartbeat that was sent at the given time.
 func (m *Member) takeAnswer(sent time.Time, answer *BeatAnswer) {
-	m.heardTerm(m.Time.Now(), answer.Version.Term)
-	m.tellLedgers(answer.ScarceTenants)
+	m.noteTerm(m.Time.Now(), answer.Version.Term)
+	m.setScarce(answer.ScarceTenants)
 	m.places.ledger.UpdateOverloaded(m.Time.Now(), answer.Crowded)
 	m.takeEvidence(answer.Evidence.Parts)
 	m.evidence = answer.Evidence.Sum
-	m.takePaces(sent, answer)
+	m.takeSpeeds(sent, answer)
 	m.takeSaid(sent, answer)
 	if m.Clock != nil && answer.StoreClock > 0 {
 		m.Clock.ObserveLatest(sent, answer.StoreClock)
@@ -281,31 +282,31 @@
 	if m.Configured != nil && answer.Configuration > 0 {
 		m.Configured(answer.Configuration)
 	}
-	m.scarce = answer.Scarce
-	m.storeTold = answer.Version.Term
+	m.serversScarce = answer.Scarce
+	m.storeLimitTerm = answer.Version.Term
 	if answer.Store.Loads > 0 {
-		m.store = answer.Store
+		m.storeLimit = answer.Store
 	}
 	m.fleet.Store(int64(answer.Fleet))
 	m.takeNodes(answer)
-	m.more = answer.More
+	m.moreNodes = answer.More
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.answered {
+	if !m.connected {
 		m.Logger.Info("coordinator answers", "term", answer.Version.Term, "nodes", len(m.Nodes()))
 	}
-	m.answered = true
-	m.toldTerm = answer.Version.Term
+	m.connected = true
+	m.ratesTerm = answer.Version.Term
 }
 
-// ask sends a message to the holder, which may be this node.
-func ask[A any](ctx context.Context, m *Member, message peer.Message) (A, error) {
+// callHolder sends a message to the holder, which may be this node, and returns its answer.
+func callHolder[A any](ctx context.Context, m *Member, message peer.Message) (A, error) {
 	var none A
 	record, known := m.Lease.Current()
 	if !known || record.Holder == "" {
 		return none, ErrNoHolder
 	}
-	ctx, cancel := context.WithTimeout(ctx, beatTimeout)
+	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
 	var reply peer.Message
 	var err error
@@ -328,13 +329,13 @@
 func (m *Member) HandleMessage(ctx context.Context, from api.NodeRef, message peer.Message) (peer.Message, error) {
 	switch n := message.(type) {
 	case Notice:
-		m.believe(n)
+		m.applyNotice(n)
 		return nil, nil
 	case Locate:
-		return m.locate(n), nil
+		return m.answerLocate(n), nil
 	case Announcement:
 		m.Lease.Announced(lease.Record{Term: n.Term, Holder: n.Holder, Address: n.Address})
-		m.beatSoon()
+		m.heartbeatSoon()
 		return nil, nil
 	case EvidenceNotice:
 		m.takeEvidence(n.Evidence)
@@ -346,7 +347,7 @@
 		return m.drawAsDeputy(ctx, n)
 	case QuotaNotice:
 		if record, known := m.Lease.Current(); known && record.Term == n.Term {
-			m.tellLedgers(n.Scarce)
+			m.setScarce(n.Scarce)
 		}
 		return nil, nil
 	case CrowdNotice:
@@ -357,7 +358,7 @@
 	case Yield:
 		next := lease.Record{Term: n.Term, Holder: n.Holder, Address: n.Address}
 		handover := Handover{m.Lease.Yield(next)}
-		m.beatSoon()
+		m.heartbeatSoon()
 		return handover, nil
 	}
 	return m.Holder.HandleMessage(ctx, from, message)
--- a/pkg/coordinator/messages.go
+++ b/pkg/coordinator/messages.go
@@ -1,18 +1,31 @@
-// Package coordinator makes the nodes of a site act together. Each node beats to
-// the one that holds the lease; the holder tells them of each other, collects
-// which models are asked for, and has the servers load them.
+// Package coordinator decides which models are loaded on which servers. Every node sends heartbeats to
+// the node that holds the lease, the coordinator, which is called the holder in this package. The holder
+// tells the nodes of each other, collects which models are asked for, and orders servers to load and
+// unload them.
 //
-// Begin with member.go, the part of every node, with uses.go, what it tells of its
-// requests, and wishes.go, what it asks for; and with holder.go, the loop of the
-// node that holds the lease. plan.go asks package policy what to load where;
-// beats.go takes in what nodes tell, roster.go tells them of each other by changes, and quotas.go
-// keeps the quotas of tenants by what they tell;
-// adapters.go places adapters; orders.go gives orders, one at a time to each
-// server, and reports.go finds out what became of them; lives.go is about servers that start
-// again under the name that they had; handover.go takes over from a
-// holder that went on without the store; paces.go tells which servers are slow; places.go has
-// nodes take turns at crowded servers; quarantine.go spreads what is known of requests that end
-// servers; outlook.go tells when a model will be ready.
+// Files of every node (Member):
+//
+//   - member.go: heartbeats to the holder
+//   - uses.go: the requests that a node reports with its heartbeats
+//   - loadrequests.go: requests to the holder to load a model (load requests)
+//   - locate.go: finding servers that this node does not know
+//
+// Files of the lease holder (Holder):
+//
+//   - holder.go: the loop to which the holder's state belongs
+//   - plan.go: asks package policy what to load where; adapters.go places adapters
+//   - orders.go: gives orders, one at a time to each server; reports.go finds out their outcome
+//   - server.go: the state of one server; incarnations.go handles servers that restart under the same name
+//   - handover.go: takes over from an earlier holder that went on without the store
+//   - outlook.go: estimates when a model will be ready
+//
+// Files of both sides, each about one kind of exchange:
+//
+//   - heartbeats.go, roster.go: heartbeats, and the list of nodes that is sent as changes
+//   - quotas.go: quotas of tenants
+//   - places.go, slots.go: admission to overloaded servers and to servers with a request limit
+//   - speeds.go, announcements.go: speeds of servers, and what servers announce (limits, leaving)
+//   - quarantine.go, suspicions.go, crashingload.go: evidence against requests and models that crash servers
 package coordinator
 
 import (
@@ -28,25 +41,26 @@
 // Node is a node of the site.
 type Node struct {
 	Name     string
-	Life     int64 // larger for a later life
+	Life     int64 // increases with each incarnation of the node
 	Zone     string
 	Callers  string  // IP:port for callers
 	Peers    string  // IP:port for other nodes
-	Power    float64 // processor that it has, in cores
+	Power    float64 // processor capacity in cores
 	Stopping bool
-	// Follows tells that the node follows others, see package watch. Earlier builds don't tell it.
+	// Follows tells that the node subscribes to changes at other nodes, see package watch. Earlier builds
+	// don't send it.
 	Follows bool
 }
 
-// Use is what a node sees of one model of a service.
+// Use reports the requests that a node serves for one model of a service.
 type Use struct {
 	Service      string
 	Model        string    // or "model/adapter"
 	Running      []Running // where its requests run
-	Arrivals     int       // since the last beat
-	Weight       float64   // of the arrivals, each by its policy.UrgencyWeight
-	Rate         float64   // arrivals a second lately; told to a holder once, at its first beat
-	WeightedRate float64   // the same by weight; told with Rate
+	Arrivals     int       // requests since the last heartbeat
+	Weight       float64   // sum of the arrivals' policy.UrgencyWeight
+	Rate         float64   // recent arrivals per second; sent only with the first heartbeat to a holder
+	WeightedRate float64   // the same, weighted by urgency; sent with Rate
 }
 
 // Running counts the requests of a node for a model that run at one server.
@@ -55,100 +69,100 @@
 	InFlight int
 }
 
-// Beat tells the holder that a node is alive and what it serves.
+// Beat is a node's heartbeat to the holder. It reports what the node serves.
 type Beat struct {
 	Node  Node
 	Uses  []Use
-	Knows NodesVersion // of the nodes that it was told of
-	// Partial tells that the answer may tell of the nodes that changed since alone.
+	Knows NodesVersion // version of the list of nodes that the node has
+	// Partial allows an answer with only the nodes that changed after Knows.
 	Partial bool
-	// Paged tells that the answer may tell of the first of them only, and that there are more.
+	// Paged allows an answer with only the first of these nodes, and More set.
 	Paged bool
-	Store StoreLimit    // as an earlier holder learned it; told to a holder once, at its first beat
-	Spent []quota.Spent // of tenants' quotas since the last beat
-	// QuotasLeft is what the node's own term as the holder left of tenants' quotas; told to a holder once.
+	Store StoreLimit    // learned by an earlier holder; sent only with the first heartbeat to a holder
+	Spent []quota.Spent // used of tenants' quotas since the last heartbeat
+	// QuotasLeft is the balance of tenants' quotas at the end of this node's own term as the holder; sent once.
 	QuotasLeft []quota.Balance
-	// Evidence is against requests that end servers.
+	// Evidence is the node's evidence against requests that crash servers.
 	Evidence KnownEvidence
-	Places   []admission.Report // all that the node has at servers whose memory is told
-	Paces    []backend.Pace     // that streams told since the last beat, see paces
-	// KnowsPaces is up to which change of servers' paces the node was told.
+	Places   []admission.Report // all requests of the node at servers whose memory is configured
+	Paces    []backend.Pace     // speeds seen in streams since the last heartbeat, see serverSpeeds
+	// KnowsPaces is the last change of servers' speeds that the node was sent.
 	KnowsPaces PacesVersion
-	Said       []Said // by servers to this node since the last beat
-	// KnowsSaid is up to which change of what servers said the node was told.
+	Said       []Said // announced by servers to this node since the last heartbeat
+	// KnowsSaid is the last change of servers' announcements that the node was sent.
 	KnowsSaid SaidVersion
 }
 
-// NodesVersion tells lists of nodes apart.
+// NodesVersion identifies a state of the list of nodes.
 type NodesVersion struct {
 	Term   uint64
 	Number uint64
 }
 
-// BeatAnswer tells a node of all nodes, unless it knows this version of them.
-// The term is zero if the node that was asked does not hold the lease.
+// BeatAnswer answers a heartbeat. It lists the nodes of the site, unless the node has this version of the
+// list. The term is zero if the node that was asked does not hold the lease.
 type BeatAnswer struct {
 	Version NodesVersion
-	Nodes   []Node // empty: as known
-	// Partial tells that Nodes are those that came or changed since the version that the beat told;
-	// Gone are those that went.
+	Nodes   []Node // empty: unchanged
+	// Partial tells that Nodes holds only those that joined or changed after the version in the heartbeat;
+	// Gone are the names of those that left.
 	Partial bool
 	Gone    []string
-	More    bool       // nodes changed after Version, of which the next answer tells
-	Scarce  bool       // models waited for a server lately: what goes idle is to be told soon
-	Store   StoreLimit // what was learned of the weight store, for the next holder
-	Fleet   int        // nodes that share what all may use together, the most of the last while
-	// StoreClock is what the store's clock showed at most; zero: not known. Nodes that can't
-	// reach the store tell by it how old their tables are.
+	More    bool       // further nodes changed after Version; the next answer lists them
+	Scarce  bool       // models waited for a server recently: report replicas that become idle at once
+	Store   StoreLimit // what was learned of the weight store, kept by the nodes for the next holder
+	Fleet   int        // number of nodes that divide shared budgets; the recent maximum
+	// StoreClock is the latest reading of the store's clock; zero: not known. Nodes that can't reach the
+	// store tell by it how old their tables are.
 	StoreClock time.Duration
-	// ScarceTenants are those for which the holder is to be asked before a request.
+	// ScarceTenants are the tenants whose requests need the holder's permission.
 	ScarceTenants []string
-	// Evidence is against requests that end servers.
+	// Evidence is the holder's evidence against requests that crash servers.
 	Evidence KnownEvidence
-	// Crowded are the models for which the holder is to be asked before a request is sent.
+	// Crowded are the overloaded models, whose requests need the holder's permission.
 	Crowded []admission.Key
-	Paces   []backend.Slowness // of servers whose pace moved
-	// PacesVersion is up to which change the paces are told.
+	Paces   []backend.Slowness // of servers whose speed changed
+	// PacesVersion is the last change that Paces include.
 	PacesVersion PacesVersion
-	Said         []Said // by servers, that changed
-	// SaidVersion is up to which change it is told.
+	Said         []Said // announcements of servers that changed
+	// SaidVersion is the last change that Said includes.
 	SaidVersion SaidVersion
-	// Configuration is the version that is in force at the holder; zero: none, or not told.
+	// Configuration is the configuration version in force at the holder; zero: none, or not reported.
 	Configuration uint64
 }
 
-// WishMessage asks the holder to have a model loaded.
+// WishMessage asks the holder to load a model. It is called a load request in this package.
 type WishMessage struct {
 	Service   string
 	Need      string // "model" or "model/adapter"
 	Priority  int
-	Left      time.Duration // of the request that waits
-	Missing   string        // server that said that it does not hold it
-	Gone      bool          // that server refused the connection
-	Short     string        // server that holds it and turns requests away; empty: none is known
-	ShortFor  time.Duration // for which it does so
+	Left      time.Duration // until the deadline of the waiting request
+	Missing   string        // server that answered that it does not hold the model
+	Gone      bool          // Missing refused the connection
+	Short     string        // server that holds the model and rejects requests; empty: none is known
+	ShortFor  time.Duration // how long Short will reject requests
 	RequestID string
 }
 
-// WishAnswer tells what is known of a wish.
+// WishAnswer tells when, or where, the model of a load request is ready.
 type WishAnswer struct {
 	Term    uint64 // zero: not the holder
 	Server  string
 	ReadyIn time.Duration
 }
 
-// Borrow asks the holder for a repeat of a request to the service.
+// Borrow asks the holder for permission to retry a request to the service.
 type Borrow struct {
 	Service string
 }
 
-// BorrowAnswer tells whether it was lent.
+// BorrowAnswer tells whether the retry is permitted.
 type BorrowAnswer struct {
 	Term uint64 // zero: not the holder
 	Lent bool
 }
 
-// Notice tells all nodes that a server holds a model by now, or not any more.
+// Notice tells nodes that a server now holds a model, or no longer does.
 type Notice struct {
 	Server string
 	Need   string
@@ -162,15 +176,14 @@
 	Address string
 }
 
-// Yield tells an earlier holder that the lease was taken by another node. It is answered
-// by a Handover.
+// Yield tells an earlier holder that another node took the lease. It is answered by a Handover.
 type Yield struct {
 	Term    uint64
 	Holder  string
 	Address string
 }
 
-// Handover is what an earlier holder tells the next one.
+// Handover holds the orders that an earlier holder hands to the next one.
 type Handover struct {
 	lease.Handover
 }
--- a/pkg/coordinator/orders.go
+++ b/pkg/coordinator/orders.go
@@ -12,104 +12,104 @@
 	"martenwheel.dev/pkg/route"
 )
 
-// Order is a fenced order to a server.
+// Order is a load or unload order to a server, with a fence.
 type Order struct {
-	Load     bool // or unload
+	Load     bool // false: unload
 	Need     backend.Need
 	Holder   string
 	Fence    uint64
-	Expected uint64 // orders that the server has taken before it
-	Offline  bool   // given while the store does not answer; not told to the server
-	// May is asked right before the order goes out: its error keeps it from being sent. The
-	// machine may have been suspended since the order was decided. Nil: nothing does.
+	Expected uint64 // sequence that the server must have: the number of orders accepted before this one
+	Offline  bool   // given while the store does not answer; not sent to the server
+	// May is called right before the order is sent; an error prevents it, as the machine may have been
+	// suspended after the order was decided. Nil: nothing is checked.
 	May func() error
 }
 
-// Result is a server's verdict on an order.
+// Result is a server's answer to an order.
 type Result uint8
 
-// The verdicts.
+// Results of orders.
 const (
 	Accepted  Result = iota + 1
-	Already          // it holds as asked
-	Conflict         // another is under way, or the number of orders differs
-	Fenced           // a higher fence was seen
-	Elsewhere        // another server has the address, or the next life of this one
-	Refused          // there is no such order
+	Already          // the server already holds, or lacks, what was ordered
+	Conflict         // another order is under way, or the sequence differs
+	Fenced           // the server has seen a higher fence
+	Elsewhere        // another server, or a later incarnation of this one, has the address
+	Refused          // the order is not valid for the server
 )
 
-// Report is a server's own word on its state.
+// Report is the state of a server as reported by the server itself.
 type Report struct {
 	Models   []backend.Holding
 	Busy     bool
 	Sequence uint64
-	Arriving []backend.Need // adapters on their way
+	Arriving []backend.Need // adapters being loaded
 	InMemory []string
 	OnDisk   []string
 }
 
-// Orders carries orders and reports. An error leaves open whether an order was
-// taken, or will be.
+// Orders sends orders to servers and fetches their reports. An error leaves open whether an order was
+// accepted, or will be.
 type Orders interface {
 	Give(ctx context.Context, m *backend.Member, o Order) (Result, error)
 	Report(ctx context.Context, m *backend.Member) (Report, error)
 }
 
-// order is what the holder wants of a server.
+// order is a change that the holder orders from a server.
 type order struct {
 	load  bool
 	need  backend.Need
-	after uint64 // orders that the server has taken once this one is
+	after uint64 // the server's sequence after this order
 }
 
 // Times of orders.
 const (
-	commitTimeout = 700 * time.Millisecond
-	orderTimeout  = 500 * time.Millisecond
-	reportTimeout = 400 * time.Millisecond
-	reportPause   = 250 * time.Millisecond
-	duePause      = 100 * time.Millisecond // between reports on what should be done by now
-	dueTime       = time.Second            // after which it is late
-	reportLag     = 300 * time.Millisecond // how far a report mostly lies behind
-	reportSettles = time.Second            // after an order, for reports to show it
-	adapterTime   = 25 * time.Millisecond  // for an adapter to arrive
-	arriveTime    = 3 * time.Second        // for the record to show it
-	refusedPause  = 2 * time.Second
-	unloadTime    = 300 * time.Millisecond
+	commitTimeout     = 700 * time.Millisecond
+	orderTimeout      = 500 * time.Millisecond
+	reportTimeout     = 400 * time.Millisecond
+	reportPause       = 250 * time.Millisecond
+	duePollInterval   = 100 * time.Millisecond // between reports on operations that should be done by now
+	overdueAfter      = time.Second            // after which an operation counts as overdue
+	reportLag         = 300 * time.Millisecond // usual delay of a report behind the server's state
+	reportSettleTime  = time.Second            // after an order, until reports surely show it
+	adapterTime       = 25 * time.Millisecond  // expected load time of an adapter
+	adapterRecordTime = 3 * time.Second        // until a server's record shows a loaded adapter
+	refusedPause      = 2 * time.Second
+	unloadTime        = 300 * time.Millisecond
 )
 
-// give writes the intent of an order and sends it, in a goroutine of its own.
-func (h *Holder) give(s *serverState, o order, fetch bool, expected time.Duration, reason string) {
+// sendOrder records the intent of an order in the lease and sends the order, in its own goroutine.
+func (h *Holder) sendOrder(s *serverState, o order, fetch bool, expected time.Duration, reason string) {
 	now := h.Time.Now()
 	s.asking = true
 	o.after = s.sequence + 1
 	if o.need.Adapter == "" {
-		s.busy = &operation{order: o, since: now, readyAt: now.Add(expected), fetch: fetch, told: expected}
-		h.about(s, o.need.Model)
-		if fetch && s.doubt == nil {
-			s.busy.beside, _ = h.fetching(now)
+		s.busy = &operation{order: o, since: now, readyAt: now.Add(expected), fetch: fetch, nominal: expected}
+		h.indexOrder(s, o.need.Model)
+		if fetch && s.unresolved == nil {
+			s.busy.concurrentFetches, _ = h.activeFetches(now)
 		}
 	}
 	if fetch {
-		h.fetches = append(h.fetches, now)
+		h.fetchStarts = append(h.fetchStarts, now)
 	}
 	h.Logger.Info("order", "server", s.id, "load", o.load, "model", o.need.String(), "reason", reason,
 		"sequence", s.sequence, "fence", h.term, "fetch", fetch, "expected_ms", expected.Milliseconds(),
 		"record", s.version, "rate", h.rateOf(now, s, o.need))
-	h.instance(s.id).open(s.id, o.after, now.Add(lateOrder))
+	h.instance(s.id).addOrder(s.id, o.after, now.Add(orderLifetime))
 	server, term := s.member, h.term
 	wire := Order{Load: o.load, Need: o.need, Holder: h.Lease.Self, Fence: term, Expected: s.sequence}
 	go func() {
-		result, err := h.send(server, wire, fetch)
+		result, err := h.commitAndSend(server, wire, fetch)
 		h.post(func() {
 			if h.term == term {
-				h.answered(s, o, result, err)
+				h.handleOrderResult(s, o, result, err)
 			}
 		})
 	}()
 }
 
-// rateOf returns the arrivals a second for what an order is about.
+// rateOf returns the arrivals per second for what an order is about.
 func (h *Holder) rateOf(now time.Time, s *serverState, need backend.Need) float64 {
 	if s.member == nil {
 		return 0
@@ -121,40 +121,40 @@
 	return math.Round(100*d.rate.count.at(now)) / 100
 }
 
-// ErrNotGiven means that an order was surely not sent.
+// ErrNotGiven means that an order was certainly not sent.
 var ErrNotGiven = errors.New("coordinator: the order was not sent")
 
-// ErrOtherLife means that another life of the server answers than the one believed to run. The
-// server's record tells of it soon.
-var ErrOtherLife = errors.New("coordinator: another life of the server answers")
+// ErrOtherIncarnation means that a different incarnation of the server answers than the one assumed to run. The server's
+// record will show it soon.
+var ErrOtherIncarnation = errors.New("coordinator: another incarnation of the server answers")
 
-// errLifeOver keeps an order from the next life of the server that it was decided for.
-var errLifeOver = errors.New("coordinator: the life of the server is over")
+// errIncarnationOver prevents an order from reaching a later incarnation of the server than the one it was
+// decided for.
+var errIncarnationOver = errors.New("coordinator: the server's incarnation has ended")
 
-// errNotWritten means that an order's intent was not written in time, so that it
-// was not sent.
+// errNotWritten means that an order was not sent because its intent was not written in time.
 var errNotWritten = errors.New("coordinator: the intent was not written")
 
-// errPermitOver keeps an order from being sent whose permit is over.
-var errPermitOver = errors.New("coordinator: the permit of the order is over")
+// errPermitOver prevents an order from being sent after its permit expired.
+var errPermitOver = errors.New("coordinator: the order's permit has expired")
 
-// mayBy lets orders to a server out as long as a permit is valid.
-func mayBy(permit lease.Permit, server *backend.Member) func() error {
+// sendAllowed returns a check that allows orders to a server while a permit is valid.
+func sendAllowed(permit lease.Permit, server *backend.Member) func() error {
 	return func() error {
 		switch {
 		case !permit.Valid():
 			return errPermitOver
 		case server.Left():
-			return errLifeOver
+			return errIncarnationOver
 		}
 		return nil
 	}
 }
 
-// send writes the intent and gives the order within the permit's time.
-func (h *Holder) send(server *backend.Member, o Order, fetch bool) (Result, error) {
+// commitAndSend writes the order's intent and sends the order while the permit is valid.
+func (h *Holder) commitAndSend(server *backend.Member, o Order, fetch bool) (Result, error) {
 	intent := lease.Intent{Server: server.ID, Load: o.Load, Need: o.Need.String(), Fetch: fetch, After: o.Expected + 1}
-	writing, done := context.WithTimeout(h.life, commitTimeout)
+	writing, done := context.WithTimeout(h.runCtx, commitTimeout)
 	defer done()
 	permit, err := h.Lease.Commit(writing, []lease.Intent{intent})
 	if err != nil {
@@ -163,112 +163,112 @@
 	if permit.Term != o.Fence || !permit.Valid() {
 		return 0, errNotWritten
 	}
-	o.Offline, o.May = permit.Offline, mayBy(permit, server)
+	o.Offline, o.May = permit.Offline, sendAllowed(permit, server)
 	end := h.Time.Now().Add(orderTimeout)
 	if permit.Until.Before(end) {
-		end = permit.Until // the next holder counts on it
+		end = permit.Until // the next holder relies on it
 	}
-	ctx, cancel := context.WithTimeout(h.life, h.Time.Until(end))
+	ctx, cancel := context.WithTimeout(h.runCtx, h.Time.Until(end))
 	defer cancel()
 	return h.Orders.Give(ctx, server, o)
 }
 
-// answered takes in what became of an order.
-func (h *Holder) answered(s *serverState, o order, result Result, err error) {
+// handleOrderResult handles the outcome of an order.
+func (h *Holder) handleOrderResult(s *serverState, o order, result Result, err error) {
 	now := h.Time.Now()
 	s.asking = false
 	h.planSoon = true
-	if surelyOver(err) {
+	if isFinal(err) {
 		h.instance(s.id).closeOrder(s.id, o.after)
 	}
 	if err != nil || result != Accepted {
 		h.Logger.Info("order answered", "server", s.id, "model", o.need.String(), "load", o.load, "result", result, "error", err)
 	}
 	if !errors.Is(err, errNotWritten) {
-		h.failing = time.Time{}
+		h.failingSince = time.Time{}
 	}
-	// The one before may still take effect, whatever became of its repeat.
-	repeated := s.doubt != nil
+	// The first order may still take effect, whatever the result of its repetition.
+	repeated := s.unresolved != nil
 	switch {
 	case errors.Is(err, errNotWritten), errors.Is(err, ErrNotGiven):
 		if !repeated {
-			h.undo(s, o)
+			h.undoOrder(s, o)
 		}
-		h.notGiven(now, s, err)
+		h.backOffUnsent(now, s, err)
 	case err != nil:
-		s.doubt = &o
+		s.unresolved = &o
 		if s.busy != nil {
-			s.busy.beside = 0 // it may be carried out late: its time tells nothing of the store
+			s.busy.concurrentFetches = 0 // the order may be carried out late: its duration tells nothing of the store
 		}
 		s.failures++
 		s.reportAt = now
 		s.avoidUntil = now.Add(reportPause)
 	case repeated && result == Conflict:
-		s.failures, s.reportAt = 0, now // which tells whether the one before was taken
+		s.failures, s.reportAt = 0, now // the report tells whether the first order was accepted
 	default:
-		s.failures, s.doubt = 0, nil
-		h.judged(now, s, o, result)
+		s.failures, s.unresolved = 0, nil
+		h.applyResult(now, s, o, result)
 	}
 }
 
-// surelyOver tells whether an order can't be carried out any more: it was judged, or it never
-// went out.
-func surelyOver(err error) bool {
+// isFinal tells whether an order can't be carried out any more: the server answered it, or it was never
+// sent.
+func isFinal(err error) bool {
 	return err == nil || errors.Is(err, errNotWritten) || errors.Is(err, ErrNotGiven)
 }
 
-// notGiven rests after an order that was surely not sent: all orders if the store
-// failed, those to the server if that did.
-func (h *Holder) notGiven(now time.Time, s *serverState, err error) {
+// backOffUnsent pauses after an order that was certainly not sent: all orders if the store failed, or those
+// to the server if its connection failed.
+func (h *Holder) backOffUnsent(now time.Time, s *serverState, err error) {
 	if errors.Is(err, errNotWritten) {
 		h.resumeAt = now.Add(reportPause)
-		if h.failing.IsZero() {
-			h.failing = now
+		if h.failingSince.IsZero() {
+			h.failingSince = now
 		}
 		return
 	}
 	s.failures++
-	s.avoidUntil = now.Add(s.rest())
+	s.avoidUntil = now.Add(s.backoff())
 }
 
-// judged takes in a server's verdict on an order.
-func (h *Holder) judged(now time.Time, s *serverState, o order, result Result) {
+// applyResult handles a server's answer to an order.
+func (h *Holder) applyResult(now time.Time, s *serverState, o order, result Result) {
 	if result == Accepted {
 		s.acceptedAt = now
 		s.sequence = max(s.sequence, o.after)
 		s.reportAt = now.Add(reportPause)
 		if s.busy != nil {
-			s.reportAt = s.busy.readyAt.Add(duePause)
+			s.reportAt = s.busy.readyAt.Add(duePollInterval)
 			h.planAt(s.reportAt)
 		}
-		h.accepted(now, s, o)
+		h.noteAccepted(now, s, o)
 		return
 	}
-	h.undo(s, o)
+	h.undoOrder(s, o)
 	switch result {
 	case Already:
 		s.acceptedAt = now
 		if !o.load && o.need.Adapter != "" {
-			s.sequence = max(s.sequence, o.after) // done at once
+			s.sequence = max(s.sequence, o.after) // the unload is done at once
 		}
-		h.holdsNow(now, s, o)
+		h.noteEffect(now, s, o)
 	case Fenced:
 		h.Lease.Resign(h.term)
 	case Conflict:
-		s.reportAt, s.unsure = now, true
+		s.reportAt, s.sequenceUnknown = now, true
 		if lag := reportLag - now.Sub(s.acceptedAt); lag > 0 {
 			s.reportAt = now.Add(lag)
 		}
 	case Elsewhere: // another server has the address, or it lacks the model
 		s.avoidUntil = now.Add(refusedPause)
-		s.unsure, s.reportAt = true, s.avoidUntil
+		s.sequenceUnknown, s.reportAt = true, s.avoidUntil
 	default:
 		s.avoidUntil = now.Add(refusedPause)
 	}
 }
 
-// undo forgets an order that had no effect.
-func (h *Holder) undo(s *serverState, o order) {
+// undoOrder removes an order that had no effect from the state.
+func (h *Holder) undoOrder(s *serverState, o order) {
 	if s.busy != nil && o.need.Adapter == "" && s.busy.need == o.need && s.busy.load == o.load {
 		s.busy = nil
 	}
@@ -277,26 +277,26 @@
 	}
 }
 
-// accepted notes an order that the server took.
-func (h *Holder) accepted(now time.Time, s *serverState, o order) {
+// noteAccepted records an order that the server accepted.
+func (h *Holder) noteAccepted(now time.Time, s *serverState, o order) {
 	if o.need.Adapter == "" {
 		return
 	}
 	if !o.load {
-		// Requests still use it: its place is taken until a report shows it free.
-		s.unsure, s.reportAt = true, now.Add(reportLag)
+		// Requests may still use the adapter: its place counts as taken until a report shows it free.
+		s.sequenceUnknown, s.reportAt = true, now.Add(reportLag)
 		return
 	}
 	if known := s.holds[o.need.Model]; known != nil {
-		known.arriving[o.need.Adapter] = now.Add(arriveTime) // it may have been ordered long ago
+		known.arriving[o.need.Adapter] = now.Add(adapterRecordTime) // counted from now: the order may be much older
 	}
 	time.AfterFunc(adapterTime, func() {
-		h.post(func() { h.holdsNow(h.Time.Now(), s, o) })
+		h.post(func() { h.noteEffect(h.Time.Now(), s, o) })
 	})
 }
 
-// holdsNow notes that what an order asks for is so, and tells the nodes.
-func (h *Holder) holdsNow(now time.Time, s *serverState, o order) {
+// noteEffect records that an order has taken effect, and notifies the nodes.
+func (h *Holder) noteEffect(now time.Time, s *serverState, o order) {
 	known := s.holds[o.need.Model]
 	switch {
 	case o.need.Adapter == "":
@@ -304,12 +304,12 @@
 		return
 	case o.load:
 		known.adapters[o.need.Adapter] = now
-		known.arriving[o.need.Adapter] = now.Add(arriveTime)
+		known.arriving[o.need.Adapter] = now.Add(adapterRecordTime)
 	default:
 		delete(known.adapters, o.need.Adapter)
 		delete(known.arriving, o.need.Adapter)
 	}
-	h.tell(Notice{Server: s.id, Need: o.need.String(), Holds: o.load})
+	h.sendNotice(Notice{Server: s.id, Need: o.need.String(), Holds: o.load})
 	h.planSoon = true
 }
 
@@ -330,8 +330,7 @@
 	return table.Service(service).Engine
 }
 
-// loadTime returns how long a load is expected to take, and whether it comes
-// from the weight store.
+// loadTime returns how long a load is expected to take, and whether the weights come from the weight store.
 func (s *serverState) loadTime(m *route.Model) (time.Duration, bool) {
 	switch s.cached[m.Name] {
 	case inMemory:
--- a/pkg/coordinator/outlook.go
+++ b/pkg/coordinator/outlook.go
@@ -10,46 +10,44 @@
 	"martenwheel.dev/pkg/route"
 )
 
-// queued is a model that requests wait for and that no server holds, loads or is
-// kept for.
+// queued is a model that requests wait for and that no server holds, loads or is reserved for.
 type queued struct {
-	model *route.Model
-	gain  float64 // for each second of its load
+	model    *route.Model
+	gainRate float64 // gain per second of load time
 }
 
-// before orders models as the decider does.
+// before compares two models in the order in which the decider loads them.
 func (q queued) before(other queued) int {
-	return cmp.Or(cmp.Compare(other.gain, q.gain), cmp.Compare(q.model.Name, other.model.Name))
+	return cmp.Or(cmp.Compare(other.gainRate, q.gainRate), cmp.Compare(q.model.Name, other.model.Name))
 }
 
-// lane is a server as the queue sees it: from when it may take the next load, and how
-// long a load takes there and whether it comes from the weight store.
+// lane is a server in the queue estimate: when it may start its next load, how long a load takes there, and
+// whether the weights come from the weight store.
 type lane struct {
 	free time.Time
 	load func(m *route.Model) (took time.Duration, fetch bool)
 }
 
-// storeSlots are when each of the loads that the weight store serves at once may begin,
-// the first one first.
+// storeSlots are the times when each of the concurrent loads from the weight store may start, in order.
 type storeSlots []time.Time
 
-// begin returns when a load begins that its server may take from a time on.
-func (s storeSlots) begin(free time.Time, fetch bool) time.Time {
+// startAt returns when a load starts at a server that is free from the given time.
+func (s storeSlots) startAt(free time.Time, fetch bool) time.Time {
 	if !fetch || len(s) == 0 {
 		return free
 	}
 	return latest(free, s[0])
 }
 
-// fill notes a load from the store until it is done.
-func (s storeSlots) fill(done time.Time) {
+// occupy gives the first slot to a load from the store, until it is done.
+func (s storeSlots) occupy(done time.Time) {
 	if len(s) > 0 {
 		s[0] = done
 		slices.SortFunc(s, time.Time.Compare)
 	}
 }
 
-// storeSlotsFrom returns the slots of the weight store as the loads under way leave them.
+// storeSlotsFrom returns the slots of the weight store, given the loads under way.
 func (h *Holder) storeSlotsFrom(now time.Time) storeSlots {
 	var busy storeSlots
 	for _, s := range h.servers {
@@ -58,22 +56,22 @@
 		}
 	}
 	slices.SortFunc(busy, time.Time.Compare)
-	most := max(h.storeSlots(now), 1)
-	if len(busy) > most {
-		return busy[len(busy)-most:]
+	limit := max(h.storeSlots(now), 1)
+	if len(busy) > limit {
+		return busy[len(busy)-limit:]
 	}
-	slots := make(storeSlots, most-len(busy), most)
+	slots := make(storeSlots, limit-len(busy), limit)
 	for i := range slots {
 		slots[i] = now
 	}
 	return append(slots, busy...)
 }
 
-// lanes returns the servers of a service that may take loads.
+// lanes returns the servers of a service that can take loads.
 func (h *Holder) lanes(now time.Time, service string) []lane {
 	var list []lane
 	for s := range h.serversOf(service) {
-		if s.spared(now) || s.gone(now) {
+		if s.excluded(now) || s.gone(now) {
 			continue
 		}
 		free := latest(now, s.quietUntil)
@@ -81,7 +79,7 @@
 			free = latest(free, s.busy.readyAt)
 		}
 		if name := s.reservedFor(now); name != "" {
-			if at, kept := h.expected[service][name]; kept {
+			if at, known := h.expectedReady[service][name]; known {
 				free = latest(free, at)
 			}
 		}
@@ -90,69 +88,67 @@
 	return list
 }
 
-// promised works out when the models will be ready that servers are kept for, and
-// returns how many servers hold, load or are kept for each model.
-func (h *Holder) promised(now time.Time, service string, e *route.Engine, slots storeSlots) map[string]int {
-	present := h.presence(now, service)
+// planReservations estimates when the models that servers are reserved for will be ready. It returns how
+// many servers hold, load or are reserved for each model.
+func (h *Holder) planReservations(now time.Time, service string, e *route.Engine, slots storeSlots) map[string]int {
+	counts := h.replicaCounts(now, service)
 	for s := range h.serversOf(service) {
 		name := s.reservedFor(now)
 		m := e.Models[name]
 		if m == nil {
 			continue
 		}
-		present[name]++
+		counts[name]++
 		took, fetch := s.loadTime(m)
-		ready := slots.begin(s.reservedFree(now), fetch).Add(took)
+		ready := slots.startAt(s.reservedFreeAt(now), fetch).Add(took)
 		if fetch {
-			slots.fill(ready)
+			slots.occupy(ready)
 		}
-		if at, known := h.expected[service][name]; !known || ready.Before(at) {
-			h.expected[service][name] = ready
+		if at, known := h.expectedReady[service][name]; !known || ready.Before(at) {
+			h.expectedReady[service][name] = ready
 		}
 	}
-	return present
+	return counts
 }
 
-// queue returns the models of a service that wait for a server, in the order in which
-// the decider has them loaded.
-func (h *Holder) queue(e *route.Engine, w *wanted, input *policy.Input, present map[string]int) []queued {
+// queue returns the models of a service that wait for a server, in the order in which the decider loads them.
+func (h *Holder) queue(e *route.Engine, w *serviceDemand, input *policy.Input, counts map[string]int) []queued {
 	var list []queued
 	for i := range input.Models {
-		wish := &input.Models[i]
-		m := e.Models[string(wish.Name)]
-		if m == nil || present[m.Name] > 0 || len(w.wishes[m.Name]) == 0 {
+		candidate := &input.Models[i]
+		m := e.Models[string(candidate.Name)]
+		if m == nil || counts[m.Name] > 0 || len(w.waiting[m.Name]) == 0 {
 			continue
 		}
-		list = append(list, queued{model: m, gain: policy.GainRate(wish, m.LoadTime)})
+		list = append(list, queued{model: m, gainRate: policy.GainRate(candidate, m.LoadTime)})
 	}
 	slices.SortFunc(list, queued.before)
 	return list
 }
 
-// longWait is how long a wish waits for an order before the log tells.
-const longWait = time.Second
+// longWaitThreshold is how long a load request waits for an order until that is logged.
+const longWaitThreshold = time.Second
 
-// tellWaits logs, once for each wish, which models wait for long without an
-// order, and for how many others.
-func (h *Holder) tellWaits(now time.Time, service string, queue []queued, w *wanted) {
+// logWaits logs, once per load request, which models have waited long without an order, and how many others
+// go before them.
+func (h *Holder) logWaits(now time.Time, service string, queue []queued, w *serviceDemand) {
 	for i, q := range queue {
-		for _, d := range w.wishes[q.model.Name] {
-			if d.waitTold || now.Sub(d.since) < longWait {
+		for _, d := range w.waiting[q.model.Name] {
+			if d.waitLogged || now.Sub(d.waitingSince) < longWaitThreshold {
 				continue
 			}
-			d.waitTold = true
+			d.waitLogged = true
 			h.Logger.Info("load waits", "model", q.model.Name, "service", service, "request_id", d.request,
-				"waited_ms", now.Sub(d.since).Milliseconds(), "before_it", i,
-				"expected_ms", h.expected[service][q.model.Name].Sub(now).Milliseconds())
+				"waited_ms", now.Sub(d.waitingSince).Milliseconds(), "before_it", i,
+				"expected_ms", h.expectedReady[service][q.model.Name].Sub(now).Milliseconds())
 		}
 	}
 }
 
-// expect works out when each queued model will be ready: each goes, in its turn, to
-// the server that has it ready first, and waits for the weight store if it has to come
-// from there. It changes the lanes and the slots.
-func expect(now time.Time, queue []queued, lanes []lane, slots storeSlots, ready map[string]time.Time) {
-	// What the decider did not place at once waits for replicas to go idle.
+// estimateQueue estimates when each queued model will be ready: each goes in order to the server that has it
+// ready first, and waits for the weight store if its weights come from there. It changes lanes and slots.
+func estimateQueue(now time.Time, queue []queued, lanes []lane, slots storeSlots, ready map[string]time.Time) {
+	// Models that the decider did not place at once wait for replicas to become idle.
 	for i := range lanes {
 		lanes[i].free = latest(lanes[i].free, now.Add(policy.IdleWait))
 	}
@@ -160,7 +156,7 @@
 		first, at, fetched := -1, time.Time{}, false
 		for i := range lanes {
 			took, fetch := lanes[i].load(q.model)
-			if done := slots.begin(lanes[i].free, fetch).Add(unloadTime + took); first < 0 || done.Before(at) {
+			if done := slots.startAt(lanes[i].free, fetch).Add(unloadTime + took); first < 0 || done.Before(at) {
 				first, at, fetched = i, done, fetch
 			}
 		}
@@ -168,48 +164,46 @@
 			return
 		}
 		if fetched {
-			slots.fill(at)
+			slots.occupy(at)
 		}
 		lanes[first].free = at
 		ready[q.model.Name] = at
 	}
 }
 
-// readyIn returns when a model is expected to be ready, zero if its service has
-// no engine for it.
+// readyIn returns the time until a model is expected to be ready, zero if its service has no engine for it.
 func (h *Holder) readyIn(now time.Time, service string, need backend.Need) time.Duration {
-	if left, loading := h.loadingLeft(now, service, need.Model); loading {
+	if left, loading := h.remainingLoadTime(now, service, need.Model); loading {
 		return left
 	}
 	if need.Adapter != "" && h.heldBy(now, service, backend.Need{Model: need.Model}) != "" {
 		return 2 * adapterTime
 	}
-	pause := h.loadsPause(now, service, need.Model)
-	if at, known := h.expected[service][need.Model]; known && at.After(now) {
+	pause := h.loadPause(now, service, need.Model)
+	if at, known := h.expectedReady[service][need.Model]; known && at.After(now) {
 		return max(at.Sub(now), pause)
 	}
 	return pause + h.readyAlone(now, service, need.Model)
 }
 
-// readyAlone returns when a model that is not queued yet would be ready if it
-// were the only one.
+// readyAlone returns the time until a model that is not queued yet would be ready if nothing else was queued.
 func (h *Holder) readyAlone(now time.Time, service, model string) time.Duration {
 	e := h.engine(service)
 	if e == nil || e.Models[model] == nil {
 		return 0
 	}
 	ready := make(map[string]time.Time)
-	expect(now, []queued{{model: e.Models[model]}}, h.lanes(now, service), h.storeSlotsFrom(now), ready)
+	estimateQueue(now, []queued{{model: e.Models[model]}}, h.lanes(now, service), h.storeSlotsFrom(now), ready)
 	if at, found := ready[model]; found {
 		return at.Sub(now)
 	}
 	return 0
 }
 
-// loadingLeft returns how long the load of a model still takes that is under way.
-func (h *Holder) loadingLeft(now time.Time, service, model string) (time.Duration, bool) {
+// remainingLoadTime returns the expected remaining time of the model's load under way, false if there is none.
+func (h *Holder) remainingLoadTime(now time.Time, service, model string) (time.Duration, bool) {
 	left, loading := time.Duration(0), false
-	for _, s := range h.holdersOf(service, model) {
+	for _, s := range h.serversWith(service, model) {
 		if s.removed || s.busy == nil || !s.busy.load || s.busy.need.Model != model || s.gone(now) {
 			continue
 		}
@@ -228,14 +222,14 @@
 	return b
 }
 
-// leastFailing is how long the store is expected to fail on at least.
-const leastFailing = 500 * time.Millisecond
+// minStoreOutage is how long the store is expected to fail further, at least.
+const minStoreOutage = 500 * time.Millisecond
 
-// failsFor returns how long no order can be written yet: a failure of the store is
-// taken to last as long again as it has lasted.
-func (h *Holder) failsFor(now time.Time) time.Duration {
-	if h.failing.IsZero() {
+// expectedOutage returns how long no order's intent can be written: an outage of the store is expected to
+// last as long again as it has lasted.
+func (h *Holder) expectedOutage(now time.Time) time.Duration {
+	if h.failingSince.IsZero() {
 		return 0
 	}
-	return max(now.Sub(h.failing), leastFailing)
+	return max(now.Sub(h.failingSince), minStoreOutage)
 }
