--- a/pkg/coordinator/outlook_test.go
+++ b/pkg/coordinator/outlook_test.go
@@ -15,9 +15,9 @@
 	"martenwheel.dev/pkg/route"
 )
 
-// TestExpectTakesTurns: models go in the order of their gain, each to the server that
-// has it ready first.
-func TestExpectTakesTurns(t *testing.T) {
+// TestExpectOrdersLoadsByGain checks that models are loaded in the order of their gain, each on the
+// server that has it ready first.
+func TestExpectOrdersLoadsByGain(t *testing.T) {
 	now := time.Now()
 	after := func(d time.Duration) time.Time { return now.Add(d) }
 	model := func(name string) *route.Model { return &route.Model{Name: name} }
@@ -32,32 +32,32 @@
 			{free: now, load: func(*route.Model) (time.Duration, bool) { return 4 * time.Second, true }},
 		}
 	}
-	first := queued{model: model("first"), gain: 3}
-	copied := queued{model: model("copied"), gain: 2}
-	last := queued{model: model("last"), gain: 1}
-	if last.before(copied) < 0 || copied.before(first) < 0 {
+	first := queued{model: model("first"), gainRate: 3}
+	onDisk := queued{model: model("copied"), gainRate: 2}
+	last := queued{model: model("last"), gainRate: 1}
+	if last.before(onDisk) < 0 || onDisk.before(first) < 0 {
 		t.Error("the queue is out of order")
 	}
 	got := make(map[string]time.Time)
-	expect(now, []queued{first, copied, last}, lanes(), nil, got)
+	estimateQueue(now, []queued{first, onDisk, last}, lanes(), nil, got)
 	want := map[string]time.Time{
-		"first":  after(policy.IdleWait + unloadTime + 4*time.Second), // at the second, which is free
-		"copied": after(2*time.Second + unloadTime + time.Second),     // at the first, near its copy
-		"last":   after(3*time.Second + 2*unloadTime + 4*time.Second), // at the first again
+		"first":  after(policy.IdleWait + unloadTime + 4*time.Second), // at the second server, which is free
+		"copied": after(2*time.Second + unloadTime + time.Second),     // at the first server, which has it on disk
+		"last":   after(3*time.Second + 2*unloadTime + 4*time.Second), // at the first server again
 	}
 	for name, at := range want {
 		if got[name] != at {
-			t.Errorf("%s is expected after %v, want %v", name, got[name].Sub(now), at.Sub(now))
+			t.Errorf("%s is predicted to be ready after %v, want %v", name, got[name].Sub(now), at.Sub(now))
 		}
 	}
 	none := make(map[string]time.Time)
-	if expect(now, []queued{first}, nil, nil, none); len(none) != 0 {
-		t.Errorf("without servers %v is expected", none)
+	if estimateQueue(now, []queued{first}, nil, nil, none); len(none) != 0 {
+		t.Errorf("without servers the prediction is %v, want none", none)
 	}
 }
 
-// TestExpectWaitsForTheStore: servers are free, but the weight store serves one load at a
-// time, and one is under way; what lies on a disk does not wait for it.
+// TestExpectWaitsForTheStore checks the prediction where servers are free, but the weight store
+// serves one load at a time and one is in progress. Loads from a server's disk do not wait for it.
 func TestExpectWaitsForTheStore(t *testing.T) {
 	now := time.Now()
 	var lanes []lane
@@ -74,7 +74,7 @@
 		queue = append(queue, queued{model: &route.Model{Name: name}})
 	}
 	got := make(map[string]time.Time)
-	expect(now, queue, lanes, storeSlots{now.Add(3 * time.Second)}, got)
+	estimateQueue(now, queue, lanes, storeSlots{now.Add(3 * time.Second)}, got)
 	want := map[string]time.Duration{
 		"first":  3*time.Second + unloadTime + 4*time.Second,
 		"copied": policy.IdleWait + unloadTime + time.Second,
@@ -82,67 +82,67 @@
 	}
 	for name, after := range want {
 		if took := got[name].Sub(now); took != after {
-			t.Errorf("%s is expected after %v, want %v", name, took, after)
+			t.Errorf("%s is predicted to be ready after %v, want %v", name, took, after)
 		}
 	}
 }
 
-// TestOutlookCountsTheQueue wishes many models of two servers at once. What is
-// told to the last is about what it takes.
+// TestOutlookCountsTheQueue requests many models at once from two servers. The longest predicted
+// wait must be near the real one.
 func TestOutlookCountsTheQueue(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		const wishes = 6
+		const loadRequests = 6
 		s := newSite(t, []string{"m0", "m1"}, []string{"m2", "m3"})
 		n := s.start("a")
 		time.Sleep(time.Second)
-		for i := range wishes {
-			n.wish(t, fmt.Sprintf("m%d", 10+i))
+		for i := range loadRequests {
+			n.requestLoad(t, fmt.Sprintf("m%d", 10+i))
 		}
 		time.Sleep(200 * time.Millisecond)
-		last, told := "", time.Duration(0)
-		for i := range wishes {
+		last, longestWait := "", time.Duration(0)
+		for i := range loadRequests {
 			name := fmt.Sprintf("m%d", 10+i)
-			if answer := n.wish(t, name); answer.ReadyIn > told {
-				last, told = name, answer.ReadyIn
+			if answer := n.requestLoad(t, name); answer.ReadyIn > longestWait {
+				last, longestWait = name, answer.ReadyIn
 			}
 		}
 		began := time.Now()
-		wishUntil(t, n, last, 30*time.Second)
+		requestUntilLoaded(t, n, last, 30*time.Second)
 		took := time.Since(began)
-		if told < took/2 || told > 3*took/2 {
-			t.Errorf("the last was told %v and took %v", told, took)
+		if longestWait < took/2 || longestWait > 3*took/2 {
+			t.Errorf("the longest predicted wait is %v, the real one %v", longestWait, took)
 		}
 		n.stop()
 	})
 }
 
-// TestRefusedWishesAreKept: who was told when to come back finds the model then,
-// though nobody waited for it meanwhile.
-func TestRefusedWishesAreKept(t *testing.T) {
+// TestRefusedLoadRequestsAreKept checks that a model is ready at the predicted time even if nobody
+// repeated the load request meanwhile.
+func TestRefusedLoadRequestsAreKept(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		s := newSite(t, []string{"m0", "m1"})
 		n := s.start("a")
 		time.Sleep(time.Second)
-		longest := time.Duration(0)
+		longestWait := time.Duration(0)
 		for _, name := range []string{"m10", "m11", "m12"} {
-			n.wish(t, name)
+			n.requestLoad(t, name)
 			time.Sleep(200 * time.Millisecond)
-			longest = max(longest, n.wish(t, name).ReadyIn)
+			longestWait = max(longestWait, n.requestLoad(t, name).ReadyIn)
 		}
-		if longest < 2*loadTime {
-			t.Fatalf("the longest wait is told as %v", longest)
+		if longestWait < 2*loadTime {
+			t.Fatalf("the longest predicted wait is %v", longestWait)
 		}
-		time.Sleep(longest + 2*time.Second)
+		time.Sleep(longestWait + 2*time.Second)
 		if loads := len(s.engines.loads()); loads != 3 {
-			t.Errorf("%d models were loaded of 3 that were wished", loads)
+			t.Errorf("%d of 3 requested models were loaded", loads)
 		}
 		n.stop()
 	})
 }
 
-// TestLongWaitsAreToldOnce: a wish without an order for a second has a line in the
-// log, one only.
-func TestLongWaitsAreToldOnce(t *testing.T) {
+// TestLongWaitsAreLoggedOnce checks that a load request without an order for a second is logged
+// exactly once.
+func TestLongWaitsAreLoggedOnce(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		s := newSite(t, []string{"m0", "m1"})
 		var log bytes.Buffer
@@ -150,19 +150,19 @@
 		n := s.start("a")
 		time.Sleep(time.Second)
 		for range 20 {
-			n.wish(t, "m10")
-			n.wish(t, "m11")
+			n.requestLoad(t, "m10")
+			n.requestLoad(t, "m11")
 			time.Sleep(200 * time.Millisecond)
 		}
 		n.stop()
 		if lines := strings.Count(log.String(), "load waits"); lines != 1 {
-			t.Errorf("%d lines of one load that waits for another one:\n%s", lines, log.String())
+			t.Errorf("%d log lines for one load that waits for another one, want 1:\n%s", lines, log.String())
 		}
 	})
 }
 
-// TestReplicasFollowTheSlots: a model whose requests fill its share of a server
-// gets another replica, whatever the servers' size.
+// TestReplicasFollowTheSlots checks that a model whose requests fill its slots on a server gets
+// another replica, whatever the server's size.
 func TestReplicasFollowTheSlots(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		s := newSite(t, []string{"m0"}, []string{"m1"})
@@ -177,15 +177,15 @@
 			time.Sleep(time.Second)
 		}
 		if loads := s.engines.loads(); len(loads) != 1 || loads[0].order.Need.Model != "m0" {
-			t.Errorf("%d loads while all slots of the only replica are taken", len(loads))
+			t.Errorf("%d loads, want 1 of m0: all slots of its only replica are taken", len(loads))
 		}
 		n.stop()
 	})
 }
 
-// TestStoreSlotsFollowTheLoads: loads from the weight store take its slots until they are
-// done, those from copies and unloads don't; with more under way than it serves at once,
-// as after a slow one, the next begins when that is true again.
+// TestStoreSlotsFollowTheLoads checks that loads from the weight store take one of its slots until
+// they are done, and that unloads and loads from disk don't. If more loads are in progress than the
+// store serves at once, as after a slow one, the next starts only when enough of them are done.
 func TestStoreSlotsFollowTheLoads(t *testing.T) {
 	now := time.Now()
 	after := func(seconds int) time.Time { return now.Add(time.Duration(seconds) * time.Second) }
--- a/pkg/coordinator/crowds_test.go
+++ b/pkg/coordinator/overload_bench_test.go
@@ -9,9 +9,9 @@
 	"martenwheel.dev/pkg/backend"
 )
 
-// BenchmarkCrowdsOfManyModels is a look for crowds among 150 models of each of which one request waits,
-// at 140 servers that hold three models each.
-func BenchmarkCrowdsOfManyModels(b *testing.B) {
+// BenchmarkOverloadOfManyModels measures the search for overloaded models among 150 models with one
+// waiting request each, at 140 servers that hold three models each.
+func BenchmarkOverloadOfManyModels(b *testing.B) {
 	directory := &backend.Directory{}
 	var servers []*backend.Server
 	for i := range 140 {
--- a/pkg/coordinator/places.go
+++ b/pkg/coordinator/places.go
@@ -15,10 +15,10 @@
 	"martenwheel.dev/pkg/peer"
 )
 
-// AskPlace asks the holder where and when a request goes to crowded servers.
+// AskPlace asks the holder when, and to which overloaded server, a request may be sent.
 type AskPlace struct {
 	Request admission.Request
-	News    []admission.Report // of the node's requests, not told yet
+	News    []admission.Report // changes of the node's requests that were not reported yet
 }
 
 // PlaceAnswer answers AskPlace.
@@ -27,29 +27,29 @@
 	Verdict admission.Verdict
 }
 
-// PlaceNews tells the holder of a node's requests to crowded servers.
+// PlaceNews reports changes of a node's requests at overloaded servers to the holder.
 type PlaceNews struct {
-	Node string // see placeNode
+	Node string // see placeNodeID
 	News []admission.Report
 }
 
-// CrowdNotice tells all nodes for which models the holder is to be asked from now on.
+// CrowdNotice tells all nodes for which models they must ask the holder from now on, as these are overloaded.
 type CrowdNotice struct {
 	Term    uint64
 	Crowded []admission.Key
 }
 
-// newsPause is how long a node gathers news of its requests to crowded servers: little beside
-// the times that are predicted from them.
-const newsPause = 40 * time.Millisecond
+// newsDelay is how long a node collects changes of its requests at overloaded servers: short compared to the times
+// that are predicted from them.
+const newsDelay = 40 * time.Millisecond
 
-// placeNode names one life of a node among those that have places.
-func placeNode(n Node) string { return n.Name + "/" + strconv.FormatInt(n.Life, 36) }
+// placeNodeID identifies an incarnation of a node in the admission model.
+func placeNodeID(n Node) string { return n.Name + "/" + strconv.FormatInt(n.Life, 36) }
 
-// memberPlaces is a node's part in the turns at crowded servers.
+// memberPlaces is a node's side of the admission to overloaded servers.
 type memberPlaces struct {
-	ledger  admission.Ledger
-	telling atomic.Bool // news go out soon
+	ledger        admission.Ledger
+	sendScheduled atomic.Bool // sendPlaceNews is scheduled
 }
 
 // NextPlace implements relay.Places.
@@ -58,40 +58,40 @@
 // SentToPlace implements relay.Places.
 func (m *Member) SentToPlace(r admission.Report) {
 	if m.places.ledger.Sent(m.Time.Now(), r) {
-		m.tellPlacesSoon()
+		m.schedulePlaceNews()
 	}
 }
 
 // AnsweredInPlace implements relay.Places.
 func (m *Member) AnsweredInPlace(id uint64) {
 	if m.places.ledger.Answered(m.Time.Now(), id) {
-		m.tellPlacesSoon()
+		m.schedulePlaceNews()
 	}
 }
 
 // LeftPlace implements relay.Places.
 func (m *Member) LeftPlace(id uint64, key admission.Key) {
 	if m.places.ledger.Ended(m.Time.Now(), id, key) {
-		m.tellPlacesSoon()
+		m.schedulePlaceNews()
 	}
 }
 
-// TakePlace implements relay.Places. It asks only for models that the holder told to be crowded.
+// TakePlace implements relay.Places. It asks the holder only for models that the holder announced as overloaded.
 func (m *Member) TakePlace(ctx context.Context, r *admission.Request) (admission.Verdict, error) {
 	now := m.Time.Now()
 	switch m.places.ledger.Check(now, r) {
 	case admission.Free:
 		return admission.Verdict{}, nil
 	case admission.Refused:
-		return admission.Verdict{Kind: admission.Refuse, After: admission.RetryAfter}, errPlaceSilent
+		return admission.Verdict{Kind: admission.Refuse, After: admission.RetryAfter}, errHolderSilent
 	case admission.Silent:
-		return admission.Verdict{}, errPlaceSilent
+		return admission.Verdict{}, errHolderSilent
 	}
-	r.Place.Node = placeNode(m.Self)
+	r.Place.Node = placeNodeID(m.Self)
 	news := m.places.ledger.NewReports(now)
 	ctx, cancel := context.WithTimeout(ctx, drawTimeout)
 	defer cancel()
-	answer, err := ask[PlaceAnswer](ctx, m, AskPlace{Request: *r, News: news})
+	answer, err := callHolder[PlaceAnswer](ctx, m, AskPlace{Request: *r, News: news})
 	if err == nil && answer.Term == 0 {
 		err = ErrNoHolder
 	}
@@ -104,25 +104,25 @@
 	return answer.Verdict, nil
 }
 
-// tellPlacesSoon tells the holder of what changed, together with what comes within a moment.
-func (m *Member) tellPlacesSoon() {
-	if m.places.telling.CompareAndSwap(false, true) {
-		time.AfterFunc(newsPause, m.tellPlaces)
+// schedulePlaceNews sends changes to the holder after newsDelay, together with other changes of that time.
+func (m *Member) schedulePlaceNews() {
+	if m.places.sendScheduled.CompareAndSwap(false, true) {
+		time.AfterFunc(newsDelay, m.sendPlaceNews)
 	}
 }
 
-// tellPlaces tells the holder what it was not told yet.
-func (m *Member) tellPlaces() {
-	m.places.telling.Store(false)
+// sendPlaceNews sends the holder the changes that were not reported yet.
+func (m *Member) sendPlaceNews() {
+	m.places.sendScheduled.Store(false)
 	record, known := m.Lease.Current()
 	if !known || record.Address == "" {
-		return // the next beat tells it
+		return // the next heartbeat reports it
 	}
 	list := m.places.ledger.NewReports(m.Time.Now())
 	if len(list) == 0 {
 		return
 	}
-	news := PlaceNews{Node: placeNode(m.Self), News: list}
+	news := PlaceNews{Node: placeNodeID(m.Self), News: list}
 	if record.Address == m.Self.Peers {
 		m.Holder.takePlaceNews(m.Time.Now(), news)
 		return
@@ -130,24 +130,25 @@
 	m.Transport.Send(record.Address, news)
 }
 
-// holderPlaces is the holder's part. All but told is safe for other goroutines than the holder's.
+// holderPlaces is the holder's side of the admission to overloaded servers. All but announced is safe for concurrent
+// use.
 type holderPlaces struct {
-	model   admission.Model
-	term    atomic.Uint64   // in which the model began
-	told    []admission.Key // models that nodes were told to be crowded
-	once    sync.Once       // sets the model up
-	faultAt atomic.Int64    // when an absurd message was logged last, in Unix nanoseconds of the holder's clock
+	model         admission.Model
+	term          atomic.Uint64   // term in which the model began
+	announced     []admission.Key // models announced as overloaded
+	once          sync.Once       // initializes model
+	faultLoggedAt atomic.Int64    // when an implausible report was last logged, in Unix nanoseconds of the holder's clock
 }
 
-// beginPlaces has the holder start anew.
+// beginPlaces resets the admission model at the start of a term.
 func (h *Holder) beginPlaces(now time.Time, term uint64) {
 	h.places.once.Do(func() { h.places.model.Engine = h.placeEngine })
 	h.places.model.Begin(now)
-	h.places.told = nil
+	h.places.announced = nil
 	h.places.term.Store(term)
 }
 
-// placeEngine returns what a server can hold, false if it is gone or its memory is not told.
+// placeEngine returns the capacity of a server, false if the server is gone or its memory is not configured.
 func (h *Holder) placeEngine(server string) (admission.Engine, bool) {
 	m, table := h.Servers.Snapshot().Member(server), h.Routes()
 	if m == nil || table == nil {
@@ -176,8 +177,7 @@
 	return list
 }
 
-// decidePlace decides on a request. It does not wait for the holder's goroutine, which may be
-// planning.
+// decidePlace decides on a request. It does not wait for the goroutine of Run, which may be planning.
 func (h *Holder) decidePlace(now time.Time, a AskPlace) PlaceAnswer {
 	term, held := h.Lease.Held()
 	if !held {
@@ -185,7 +185,7 @@
 	}
 	answer := PlaceAnswer{Term: term}
 	if h.places.term.Load() != term {
-		return answer // it has hardly begun and knows nothing
+		return answer // the term has just begun and nothing is known
 	}
 	h.logPlaceFaults(now, a.Request.Place.Node, h.places.model.AddReports(now, a.Request.Place.Node, a.News, false)...)
 	verdict, err := h.places.model.Decide(now, &a.Request)
@@ -196,46 +196,45 @@
 	return answer
 }
 
-// takePlaceNews takes in what a node tells between its beats.
+// takePlaceNews applies the changes that a node reports between its heartbeats.
 func (h *Holder) takePlaceNews(now time.Time, n PlaceNews) {
 	if term, held := h.Lease.Held(); held && h.places.term.Load() == term {
 		h.logPlaceFaults(now, n.Node, h.places.model.AddReports(now, n.Node, n.News, false)...)
 	}
 }
 
-// faultPause is the least time between two log lines on absurd messages.
-const faultPause = time.Second
+// faultLogInterval is the minimum between two log lines on implausible reports.
+const faultLogInterval = time.Second
 
-// logPlaceFaults logs that some of what a node told was not believed.
+// logPlaceFaults logs that some of a node's reports were rejected as implausible.
 func (h *Holder) logPlaceFaults(now time.Time, node string, faults ...error) {
 	if len(faults) == 0 {
 		return
 	}
-	last := h.places.faultAt.Load()
-	if now.UnixNano()-last < int64(faultPause) || !h.places.faultAt.CompareAndSwap(last, now.UnixNano()) {
+	last := h.places.faultLoggedAt.Load()
+	if now.UnixNano()-last < int64(faultLogInterval) || !h.places.faultLoggedAt.CompareAndSwap(last, now.UnixNano()) {
 		return
 	}
 	h.Logger.Warn("place not believed", "node", node, "error", faults[0], "count", len(faults))
 }
 
-// takePlaces takes in all places of a node with its beat and returns the models that are
-// crowded.
+// takePlaces applies the list of all requests of a node, sent with its heartbeat, and returns the overloaded models.
 func (h *Holder) takePlaces(now time.Time, b Beat) []admission.Key {
-	node := placeNode(b.Node)
-	whole := len(b.Places) < admission.MaxReports // else the list may be cut off
+	node := placeNodeID(b.Node)
+	whole := len(b.Places) < admission.MaxReports // otherwise the list may be truncated
 	h.logPlaceFaults(now, node, h.places.model.AddReports(now, node, b.Places, whole)...)
-	return h.places.told
+	return h.places.announced
 }
 
-// watchCrowds finds out which models are crowded and tells all nodes at once if one became so.
-func (h *Holder) watchCrowds(now time.Time) {
+// updateOverloaded determines which models are overloaded, and notifies all nodes at once if a model was added.
+func (h *Holder) updateOverloaded(now time.Time) {
 	h.places.model.Expire(now)
 	crowded := h.places.model.Overloaded(now, h.replicas)
-	added := slices.ContainsFunc(crowded, func(k admission.Key) bool { return !slices.Contains(h.places.told, k) })
-	if added || len(crowded) != len(h.places.told) {
-		h.Logger.Info("crowded models", "models", crowded, "before", h.places.told, "term", h.term)
+	added := slices.ContainsFunc(crowded, func(k admission.Key) bool { return !slices.Contains(h.places.announced, k) })
+	if added || len(crowded) != len(h.places.announced) {
+		h.Logger.Info("crowded models", "models", crowded, "before", h.places.announced, "term", h.term)
 	}
-	h.places.told = crowded
+	h.places.announced = crowded
 	if added {
 		for _, n := range h.nodes {
 			h.Transport.Send(n.node.Peers, CrowdNotice{Term: h.term, Crowded: crowded})
@@ -243,12 +242,12 @@
 	}
 }
 
-// crowded tells whether a model is crowded, as nodes were told last.
-func (h *Holder) crowded(service, model string) bool {
-	return slices.Contains(h.places.told, admission.Key{Service: service, Model: model})
+// modelOverloaded tells whether a model was last announced as overloaded.
+func (h *Holder) modelOverloaded(service, model string) bool {
+	return slices.Contains(h.places.announced, admission.Key{Service: service, Model: model})
 }
 
-// errPlaceSilent means that the holder was not asked, as it did not answer a moment ago.
-var errPlaceSilent = errors.New("coordinator: the holder did not answer about a place a moment ago")
+// errHolderSilent means that the holder was not asked because it recently failed to answer.
+var errHolderSilent = errors.New("coordinator: the holder did not answer about a place a moment ago")
 
 func init() { peer.RegisterRecent(AskPlace{}, PlaceAnswer{}, PlaceNews{}, CrowdNotice{}) }
--- a/pkg/coordinator/places_test.go
+++ b/pkg/coordinator/places_test.go
@@ -19,23 +19,23 @@
 	"martenwheel.dev/pkg/prompt"
 )
 
-// crowdKey is the model that two servers of the test's world hold.
-var crowdKey = admission.Key{Service: "s", Model: "m0"}
+// overloadedKey is the model that two servers of the simulation hold.
+var overloadedKey = admission.Key{Service: "s", Model: "m0"}
 
-// crowdWorld runs three nodes and f.
-func crowdWorld(t *testing.T, f func(w *world)) {
+// withSimulation runs f on a simulation with three nodes.
+func withSimulation(t *testing.T, f func(sim *simulation)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 1)
-		defer w.stopNodes()
+		sim := newSimulation(t, 1)
+		defer sim.stopNodes()
 		time.Sleep(5 * time.Second)
-		f(w)
+		f(sim)
 	})
 }
 
-// holderAndOther returns the node that holds the lease, and another one.
-func (w *world) holderAndOther() (holder, other *worldNode) {
-	for _, n := range w.nodes {
+// holderAndOther returns the node that holds the lease and another node.
+func (sim *simulation) holderAndOther() (holder, other *simNode) {
+	for _, n := range sim.nodes {
 		if _, held := n.lease.Held(); held {
 			holder = n
 		} else {
@@ -45,39 +45,39 @@
 	return holder, other
 }
 
-// crowdRequest is one of a crowd, with a prompt of 6,000 tokens.
-func crowdRequest(m *Member) *admission.Request {
-	return &admission.Request{Place: admission.Place{ID: m.NextPlace()}, Key: crowdKey, Need: "m0", Work: admission.Work{Tokens: 6000, Out: 54},
+// newOverloadedRequest returns a request to the overloaded model, with a prompt of 6,000 tokens.
+func newOverloadedRequest(m *Member) *admission.Request {
+	return &admission.Request{Place: admission.Place{ID: m.NextPlace()}, Key: overloadedKey, Need: "m0", Work: admission.Work{Tokens: 6000, Out: 54},
 		Rank: 1, Target: 800 * time.Millisecond, Patience: 3200 * time.Millisecond, Left: 5 * time.Second, Servers: []string{"server-0", "server-1"}}
 }
 
-// sendToCrowd has a node send a request to a server and returns its ID.
-func sendToCrowd(m *Member, server string) uint64 {
-	r := crowdRequest(m)
+// sendToOverloaded has a node send a request to a server and returns the request's ID.
+func sendToOverloaded(m *Member, server string) uint64 {
+	r := newOverloadedRequest(m)
 	m.SentToPlace(admission.Report{ID: r.Place.ID, Key: r.Key, Need: r.Need, Server: server, Work: r.Work, Rank: r.Rank, Target: r.Target, Left: 30 * time.Second})
 	return r.Place.ID
 }
 
-// crowd has all nodes send requests until the model counts as crowded.
-func (w *world) crowd() {
-	w.t.Helper()
+// overload has all nodes send requests until the model counts as overloaded.
+func (sim *simulation) overload() {
+	sim.t.Helper()
 	for range 6 {
-		for _, n := range w.nodes {
-			sendToCrowd(n.member, "server-0")
-			sendToCrowd(n.member, "server-1")
+		for _, n := range sim.nodes {
+			sendToOverloaded(n.member, "server-0")
+			sendToOverloaded(n.member, "server-1")
 		}
 	}
 	time.Sleep(2 * time.Second)
-	for _, n := range w.nodes {
-		if n.member.places.ledger.Check(time.Now(), crowdRequest(n.member)) != admission.Ask {
-			w.t.Errorf("%s was not told of the crowd", n.name)
+	for _, n := range sim.nodes {
+		if n.member.places.ledger.Check(time.Now(), newOverloadedRequest(n.member)) != admission.Ask {
+			sim.t.Errorf("%s does not know of the overload", n.name)
 		}
 	}
 }
 
-// takePlace asks for a place at a node, and checks that nothing waits for long.
-func (w *world) takePlace(m *Member, r *admission.Request) admission.Verdict {
-	return takeWithin(w.t, m, r, 2*drawTimeout)
+// takePlace asks for a place at a node and checks that the answer does not take long.
+func (sim *simulation) takePlace(m *Member, r *admission.Request) admission.Verdict {
+	return takeWithin(sim.t, m, r, 2*drawTimeout)
 }
 
 func takeWithin(t testing.TB, m *Member, r *admission.Request, bound time.Duration) admission.Verdict {
@@ -90,101 +90,103 @@
 	return v
 }
 
-// TestNodesAskForCrowdedModelsOnly, and get the holder's word.
-func TestNodesAskForCrowdedModelsOnly(t *testing.T) {
-	crowdWorld(t, func(w *world) {
-		_, other := w.holderAndOther()
-		if v := w.takePlace(other.member, crowdRequest(other.member)); v.Kind != admission.Stand {
-			t.Errorf("before there is a crowd: %v", v.Kind)
+// TestNodesAskForOverloadedModelsOnly checks that the holder decides on requests to overloaded
+// models, and that nodes send other requests without asking.
+func TestNodesAskForOverloadedModelsOnly(t *testing.T) {
+	withSimulation(t, func(sim *simulation) {
+		_, other := sim.holderAndOther()
+		if v := sim.takePlace(other.member, newOverloadedRequest(other.member)); v.Kind != admission.Stand {
+			t.Errorf("before the overload: %v", v.Kind)
 		}
-		w.crowd()
-		if v := w.takePlace(other.member, crowdRequest(other.member)); v.Kind != admission.Refuse && v.Kind != admission.Wait {
+		sim.overload()
+		if v := sim.takePlace(other.member, newOverloadedRequest(other.member)); v.Kind != admission.Refuse && v.Kind != admission.Wait {
 			t.Errorf("at servers with 36 prompts to read: %v", v.Kind)
 		}
-		elsewhere := crowdRequest(other.member)
+		elsewhere := newOverloadedRequest(other.member)
 		elsewhere.Key.Model = "m3"
-		if v := w.takePlace(other.member, elsewhere); v.Kind != admission.Stand {
-			t.Errorf("of a model without a crowd: %v", v.Kind)
+		if v := sim.takePlace(other.member, elsewhere); v.Kind != admission.Stand {
+			t.Errorf("for a model without overload: %v", v.Kind)
 		}
 	})
 }
 
-// TestAllNodesAreToldOfACrowdAtOnce, not with their next beats only.
-func TestAllNodesAreToldOfACrowdAtOnce(t *testing.T) {
-	crowdWorld(t, func(w *world) {
-		holder, other := w.holderAndOther()
+// TestAllNodesLearnOfAnOverloadAtOnce checks that nodes need not wait for their next heartbeats.
+func TestAllNodesLearnOfAnOverloadAtOnce(t *testing.T) {
+	withSimulation(t, func(sim *simulation) {
+		holder, other := sim.holderAndOther()
 		for range 20 {
-			sendToCrowd(other.member, "server-0")
-			sendToCrowd(other.member, "server-1")
+			sendToOverloaded(other.member, "server-0")
+			sendToOverloaded(other.member, "server-1")
 		}
 		for known := false; !known; time.Sleep(10 * time.Millisecond) {
-			if err := holder.holder.do(w.t.Context(), func() { known = len(holder.holder.places.told) > 0 }); err != nil {
+			if err := holder.holder.runOnLoop(sim.t.Context(), func() { known = len(holder.holder.places.announced) > 0 }); err != nil {
 				t.Fatal(err)
 			}
 		}
 		time.Sleep(50 * time.Millisecond)
-		for _, n := range w.nodes {
-			if n.member.places.ledger.Check(time.Now(), crowdRequest(n.member)) != admission.Ask {
-				t.Errorf("%s was not told", n.name)
+		for _, n := range sim.nodes {
+			if n.member.places.ledger.Check(time.Now(), newOverloadedRequest(n.member)) != admission.Ask {
+				t.Errorf("%s does not know of the overload", n.name)
 			}
 		}
 	})
 }
 
-// TestACrowdEnds when the nodes tell that their requests have, and they ask no more.
-func TestACrowdEnds(t *testing.T) {
-	crowdWorld(t, func(w *world) {
+// TestAnOverloadEnds checks that an overload ends when the nodes report that their requests have
+// ended, and that nodes then stop asking.
+func TestAnOverloadEnds(t *testing.T) {
+	withSimulation(t, func(sim *simulation) {
 		var ids []uint64
-		_, other := w.holderAndOther()
+		_, other := sim.holderAndOther()
 		for range 20 {
-			ids = append(ids, sendToCrowd(other.member, "server-0"), sendToCrowd(other.member, "server-1"))
+			ids = append(ids, sendToOverloaded(other.member, "server-0"), sendToOverloaded(other.member, "server-1"))
 		}
 		time.Sleep(2 * time.Second)
 		for _, id := range ids {
 			other.member.AnsweredInPlace(id)
-			other.member.LeftPlace(id, crowdKey)
+			other.member.LeftPlace(id, overloadedKey)
 		}
 		time.Sleep(200 * time.Millisecond)
-		if v := w.takePlace(other.member, crowdRequest(other.member)); v.Kind != admission.Go {
+		if v := sim.takePlace(other.member, newOverloadedRequest(other.member)); v.Kind != admission.Go {
 			t.Errorf("once all have ended: %v", v.Kind)
 		}
 		time.Sleep(8 * time.Second)
-		if v := w.takePlace(other.member, crowdRequest(other.member)); v.Kind != admission.Stand {
+		if v := sim.takePlace(other.member, newOverloadedRequest(other.member)); v.Kind != admission.Stand {
 			t.Errorf("some seconds later: %v", v.Kind)
 		}
 	})
 }
 
-// TestAHolderIsLostInACrowd: nodes go on at once, for a moment by its last word; the next holder
-// learns from their beats what runs.
-func TestAHolderIsLostInACrowd(t *testing.T) {
-	crowdWorld(t, func(w *world) {
-		w.crowd()
-		holder, other := w.holderAndOther()
-		if v := w.takePlace(other.member, crowdRequest(other.member)); v.Kind == admission.Stand {
+// TestAHolderIsLostDuringOverload checks that nodes continue at once, for a moment by the holder's
+// last announcement, and that the next holder learns of the running requests from their heartbeats.
+func TestAHolderIsLostDuringOverload(t *testing.T) {
+	withSimulation(t, func(sim *simulation) {
+		sim.overload()
+		holder, other := sim.holderAndOther()
+		if v := sim.takePlace(other.member, newOverloadedRequest(other.member)); v.Kind == admission.Stand {
 			t.Error("the holder does not decide")
 		}
-		w.crash(holder)
+		sim.crash(holder)
 		began := time.Now()
 		for range 10 {
-			w.takePlace(other.member, crowdRequest(other.member))
+			sim.takePlace(other.member, newOverloadedRequest(other.member))
 		}
 		if took := time.Since(began); took > 2*drawTimeout {
 			t.Errorf("ten requests waited %v in all for a holder that is gone", took)
 		}
 		time.Sleep(2 * time.Second)
 		for range 20 {
-			sendToCrowd(other.member, "server-0")
-			sendToCrowd(other.member, "server-1")
+			sendToOverloaded(other.member, "server-0")
+			sendToOverloaded(other.member, "server-1")
 		}
 		time.Sleep(4 * time.Second)
-		next, _ := w.holderAndOther()
+		next, _ := sim.holderAndOther()
 		if next == nil || next == holder {
 			t.Fatal("nobody took over")
 		}
-		if err := next.holder.do(w.t.Context(), func() {
-			if len(next.holder.places.told) == 0 {
-				t.Error("the next holder does not know of the crowd")
+		if err := next.holder.runOnLoop(sim.t.Context(), func() {
+			if len(next.holder.places.announced) == 0 {
+				t.Error("the next holder does not know of the overload")
 			}
 		}); err != nil {
 			t.Error(err)
@@ -192,47 +194,48 @@
 	})
 }
 
-// TestASilentNodeHasNoPlaces: what a node had is free once it is found silent.
+// TestASilentNodeHasNoPlaces checks that a node's places are free once it counts as silent.
 func TestASilentNodeHasNoPlaces(t *testing.T) {
-	crowdWorld(t, func(w *world) {
-		_, other := w.holderAndOther()
+	withSimulation(t, func(sim *simulation) {
+		_, other := sim.holderAndOther()
 		for range 20 {
-			sendToCrowd(other.member, "server-0")
-			sendToCrowd(other.member, "server-1")
+			sendToOverloaded(other.member, "server-0")
+			sendToOverloaded(other.member, "server-1")
 		}
 		time.Sleep(1500 * time.Millisecond)
-		w.crash(other)
+		sim.crash(other)
 		time.Sleep(nodeExpiry + time.Second)
-		_, third := w.holderAndOther()
-		third.member.places.ledger.UpdateOverloaded(time.Now(), []admission.Key{crowdKey})
-		if v := w.takePlace(third.member, crowdRequest(third.member)); v.Kind != admission.Go {
-			t.Errorf("after the node with all places was found silent: %v", v.Kind)
+		_, third := sim.holderAndOther()
+		third.member.places.ledger.UpdateOverloaded(time.Now(), []admission.Key{overloadedKey})
+		if v := sim.takePlace(third.member, newOverloadedRequest(third.member)); v.Kind != admission.Go {
+			t.Errorf("after the node with all places became silent: %v", v.Kind)
 		}
 	})
 }
 
-// TestLostNewsAreMadeUpFor by the next beat.
-func TestLostNewsAreMadeUpFor(t *testing.T) {
-	crowdWorld(t, func(w *world) {
-		_, other := w.holderAndOther()
+// TestLostReportsAreRepairedByHeartbeats checks that the next heartbeat makes up for a lost report
+// of ended requests.
+func TestLostReportsAreRepairedByHeartbeats(t *testing.T) {
+	withSimulation(t, func(sim *simulation) {
+		_, other := sim.holderAndOther()
 		var ids []uint64
 		for range 20 {
-			ids = append(ids, sendToCrowd(other.member, "server-0"), sendToCrowd(other.member, "server-1"))
+			ids = append(ids, sendToOverloaded(other.member, "server-0"), sendToOverloaded(other.member, "server-1"))
 		}
 		time.Sleep(2 * time.Second)
 		for _, id := range ids {
-			other.member.LeftPlace(id, crowdKey)
+			other.member.LeftPlace(id, overloadedKey)
 		}
-		other.member.places.ledger.NewReports(time.Now()) // they go out and get lost
+		other.member.places.ledger.NewReports(time.Now()) // takes the reports as if they had been sent and lost
 		time.Sleep(3 * time.Second)
-		other.member.places.ledger.UpdateOverloaded(time.Now(), []admission.Key{crowdKey})
-		if v := w.takePlace(other.member, crowdRequest(other.member)); v.Kind != admission.Go {
-			t.Errorf("three seconds after the ends were lost: %v", v.Kind)
+		other.member.places.ledger.UpdateOverloaded(time.Now(), []admission.Key{overloadedKey})
+		if v := sim.takePlace(other.member, newOverloadedRequest(other.member)); v.Kind != admission.Go {
+			t.Errorf("three seconds after the reports were lost: %v", v.Kind)
 		}
 	})
 }
 
-// logLines keeps what is logged.
+// logLines collects log output.
 type logLines struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -250,24 +253,24 @@
 	return l.text.String()
 }
 
-// TestAbsurdPlacesAreLoggedAndIgnored.
+// TestAbsurdPlacesAreLoggedAndIgnored has nodes ask for and report places with impossible values.
 func TestAbsurdPlacesAreLoggedAndIgnored(t *testing.T) {
-	crowdWorld(t, func(w *world) {
-		holder, other := w.holderAndOther()
+	withSimulation(t, func(sim *simulation) {
+		holder, other := sim.holderAndOther()
 		lines := &logLines{}
 		holder.holder.Logger = hclog.New(&hclog.LoggerOptions{Output: lines, JSONFormat: true, DisableTime: true})
-		bad := crowdRequest(other.member)
+		bad := newOverloadedRequest(other.member)
 		bad.Work.Tokens = -7
-		unknown := crowdRequest(other.member)
+		unknown := newOverloadedRequest(other.member)
 		unknown.Servers = []string{"nobody"}
 		for _, r := range []*admission.Request{bad, unknown} {
-			other.member.places.ledger.UpdateOverloaded(time.Now(), []admission.Key{crowdKey})
-			if v := w.takePlace(other.member, r); v.Kind != admission.Stand {
+			other.member.places.ledger.UpdateOverloaded(time.Now(), []admission.Key{overloadedKey})
+			if v := sim.takePlace(other.member, r); v.Kind != admission.Stand {
 				t.Errorf("%+v: %v", r, v.Kind)
 			}
 			time.Sleep(2 * time.Second)
 		}
-		news := PlaceNews{Node: "x", News: []admission.Report{{ID: 1, Key: crowdKey, Server: "server-0", Sent: -1}}}
+		news := PlaceNews{Node: "x", News: []admission.Report{{ID: 1, Key: overloadedKey, Server: "server-0", Sent: -1}}}
 		if _, err := holder.member.HandleMessage(context.Background(), api.NodeRef{}, news); err != nil {
 			t.Error(err)
 		}
@@ -277,14 +280,14 @@
 	})
 }
 
-// TestPlacesGoOverTheWire as they are.
+// TestPlacesGoOverTheWire checks that messages about places survive encoding and decoding.
 func TestPlacesGoOverTheWire(t *testing.T) {
-	r := admission.Request{Place: admission.Place{Node: "n/1", ID: 7}, Key: crowdKey, Need: "m0/a",
+	r := admission.Request{Place: admission.Place{Node: "n/1", ID: 7}, Key: overloadedKey, Need: "m0/a",
 		Work: admission.Work{Tokens: 9, Out: 5, Parts: []prompt.Part{{ID: "c", Tokens: 3}}}, Rank: 1, Target: -time.Second, Servers: []string{"s"}}
-	list := []admission.Report{{ID: 7, Key: crowdKey, Server: "s", Work: r.Work, First: time.Second, Ended: true}}
+	list := []admission.Report{{ID: 7, Key: overloadedKey, Server: "s", Work: r.Work, First: time.Second, Ended: true}}
 	for _, m := range []peer.Message{
 		AskPlace{r, list}, PlaceAnswer{3, admission.Verdict{Kind: admission.Wait, Server: "s", After: time.Second}},
-		PlaceNews{"n/1", list}, CrowdNotice{3, []admission.Key{crowdKey}}, Beat{Places: list}, BeatAnswer{Crowded: []admission.Key{crowdKey}},
+		PlaceNews{"n/1", list}, CrowdNotice{3, []admission.Key{overloadedKey}}, Beat{Places: list}, BeatAnswer{Crowded: []admission.Key{overloadedKey}},
 	} {
 		var b bytes.Buffer
 		got := reflect.New(reflect.TypeOf(m))
@@ -292,7 +295,7 @@
 			t.Fatal(err)
 		}
 		if err := gob.NewDecoder(&b).DecodeValue(got); err != nil || !reflect.DeepEqual(got.Elem().Interface(), m) {
-			t.Errorf("%+v came as %+v, %v", m, got, err)
+			t.Errorf("%+v was decoded as %+v, %v", m, got, err)
 		}
 	}
 }
--- a/pkg/coordinator/plan.go
+++ b/pkg/coordinator/plan.go
@@ -12,21 +12,21 @@
 	"martenwheel.dev/pkg/tree"
 )
 
-// How replicas follow the demand.
+// Parameters by which the number of replicas follows demand.
 const (
-	busyRate       = 0.8 // arrivals a second from which a model has a spare replica
-	veryBusyRate   = 2.5 // from which it has two
-	perReplica     = 24  // requests that one replica is to run at most
-	replicaShare   = 0.5 // of a server's slots that a model is to take: models share them
-	prewarmedLoads = 2   // loads under way that no request waits for
+	oneSpareRate    = 0.8 // arrivals per second from which a model has one spare replica
+	twoSparesRate   = 2.5 // arrivals per second from which a model has two spare replicas
+	maxPerReplica   = 24  // concurrent requests per replica at most
+	replicaShare    = 0.5 // part of a server's slots for one model, as models share a server
+	maxPrewarmLoads = 2   // concurrent loads that no request waits for, at most
 )
 
-// wanted is what is asked of the models of one service, gathered once a plan.
-type wanted struct {
-	wishes   map[string][]*demand // of models and their adapters, by model
-	adapters map[string]int       // that were asked for lately, by model
-	inFlight map[string]int       // by model
-	running  map[replica]int      // requests, as the nodes told last
+// serviceDemand is the demand for the models of one service, gathered once per plan.
+type serviceDemand struct {
+	waiting  map[string][]*demand // demands with waiting requests for the model or its adapters, by model
+	adapters map[string]int       // number of recently requested adapters, by model
+	inFlight map[string]int       // running requests, by model
+	running  map[replica]int      // requests, as last reported by the nodes
 }
 
 // replica names a model on a server.
@@ -34,9 +34,9 @@
 	server, model string
 }
 
-// gather reads all demands of a service.
-func (h *Holder) gather(now time.Time, service string) wanted {
-	w := wanted{wishes: make(map[string][]*demand), adapters: make(map[string]int), inFlight: make(map[string]int),
+// gatherDemand collects the demand for a service.
+func (h *Holder) gatherDemand(now time.Time, service string) serviceDemand {
+	w := serviceDemand{waiting: make(map[string][]*demand), adapters: make(map[string]int), inFlight: make(map[string]int),
 		running: make(map[replica]int)}
 	for key, d := range h.demands {
 		if key.service != service {
@@ -44,7 +44,7 @@
 		}
 		need := backend.ParseNeed(key.need)
 		if d.waits(now) {
-			w.wishes[need.Model] = append(w.wishes[need.Model], d)
+			w.waiting[need.Model] = append(w.waiting[need.Model], d)
 		}
 		if need.Adapter != "" && now.Sub(d.last) < adapterUseTime {
 			w.adapters[need.Model]++
@@ -63,8 +63,8 @@
 	return w
 }
 
-// presence counts the servers of a service that hold or load each model.
-func (h *Holder) presence(now time.Time, service string) map[string]int {
+// replicaCounts counts the servers of a service that hold or load each model.
+func (h *Holder) replicaCounts(now time.Time, service string) map[string]int {
 	count := make(map[string]int)
 	for _, s := range h.indexOf(service).servers {
 		if s.gone(now) {
@@ -80,31 +80,31 @@
 	return count
 }
 
-// complete tells whether this node knows of all servers. A node that takes the lease may hold some of
-// them only; a model that another one holds would be loaded once more.
-func (h *Holder) complete() bool { return h.Complete == nil || h.Complete() }
+// knowsAllServers tells whether this node knows all servers. A node that just took the lease may know only
+// some of them, and would load models again that other servers hold.
+func (h *Holder) knowsAllServers() bool { return h.Complete == nil || h.Complete() }
 
-// plan decides and orders for all services with engines.
+// plan decides what to load where and gives the orders, for all services with engines.
 func (h *Holder) plan(now time.Time) {
 	defer func() {
-		h.planned = h.Time.Now()
-		h.planTook = h.planned.Sub(now)
-		h.tellPlanned()
+		h.lastPlanned = h.Time.Now()
+		h.planTook = h.lastPlanned.Sub(now)
+		h.signalPlanned()
 	}()
-	h.look(now)
+	h.pollServers(now)
 	table := h.Routes()
-	if table == nil || !h.Servers.Known() || !h.complete() {
+	if table == nil || !h.Servers.Known() || !h.knowsAllServers() {
 		return
 	}
 	if now.Before(h.resumeAt) {
 		return
 	}
-	if h.taking {
+	if h.awaitingHandover {
 		return
 	}
 	clear(h.indices)
 	h.raiseFences(now)
-	h.repeatDoubts(now)
+	h.resendUnresolved(now)
 	for name, s := range table.Services() {
 		if s.Engine != nil {
 			h.planAdapters(now, name, s.Engine)
@@ -113,21 +113,21 @@
 	}
 }
 
-// repeatDoubts gives orders without an answer again, under the same condition:
-// only one of the two can take effect.
-func (h *Holder) repeatDoubts(now time.Time) {
+// resendUnresolved repeats orders whose outcome is unknown, with the same expected sequence: only one of
+// the two can take effect.
+func (h *Holder) resendUnresolved(now time.Time) {
 	for _, s := range h.servers {
-		if s.doubt == nil || !s.repeat || s.asking || !s.usable(now) {
+		if s.unresolved == nil || !s.resend || s.asking || !s.usable(now) {
 			continue
 		}
-		o := *s.doubt
+		o := *s.unresolved
 		if o.after > s.sequence+1 {
-			// The server took fewer orders than believed: this one takes effect if it comes
-			// once the count gets there.
-			s.quietUntil, s.recheck = latest(s.quietUntil, now.Add(latestOrder)), true
+			// The server accepted fewer orders than assumed: this order takes effect if it arrives when the
+			// sequence has got there.
+			s.quietUntil, s.recheck = latest(s.quietUntil, now.Add(maxOrderDelay)), true
 		}
 		if o.after != s.sequence+1 {
-			s.doubt = nil
+			s.unresolved = nil
 			continue
 		}
 		expected := time.Duration(0)
@@ -135,17 +135,18 @@
 		if s.busy != nil {
 			expected, fetch = s.busy.readyAt.Sub(s.busy.since), s.busy.fetch
 		}
-		s.repeat = false
-		h.give(s, o, fetch, expected, "no answer before")
+		s.resend = false
+		h.sendOrder(s, o, fetch, expected, "no answer before")
 	}
 }
 
-// planModels asks the decider and gives its orders.
+// planModels gives the decider's orders for the models of a service and estimates when queued models will
+// be ready.
 func (h *Holder) planModels(now time.Time, service string, e *route.Engine) {
-	w := h.gather(now, service)
+	w := h.gatherDemand(now, service)
 	h.dropPaused(now, service, &w)
-	h.store.told = longestLoad(e)
-	input := h.input(now, service, e, &w)
+	h.store.nominal = longestLoad(e)
+	input := h.deciderInput(now, service, e, &w)
 	loading := 0
 	for _, s := range h.servers {
 		if s.busy != nil && s.busy.load {
@@ -155,7 +156,7 @@
 	for _, action := range h.Decider.Decide(now, input) {
 		s := h.servers[string(action.Server)]
 		m := e.Models[string(action.Model)]
-		if s == nil || m == nil || s.busy != nil || s.asking || s.doubt != nil || !s.usable(now) {
+		if s == nil || m == nil || s.busy != nil || s.asking || s.unresolved != nil || !s.usable(now) {
 			continue
 		}
 		if !h.prepare(now, s) {
@@ -165,35 +166,35 @@
 		if !o.load {
 			if !h.learning(now) {
 				s.reserved = reservation{string(action.For), now.Add(reservationTime)}
-				h.give(s, o, false, unloadTime, action.Reason)
-				h.tell(Notice{Server: s.id, Need: m.Name, Holds: false})
+				h.sendOrder(s, o, false, unloadTime, action.Reason)
+				h.sendNotice(Notice{Server: s.id, Need: m.Name, Holds: false})
 			}
 			continue
 		}
-		if !action.Urgent && loading >= prewarmedLoads || h.loadsPause(now, service, m.Name) > 0 {
+		if !action.Urgent && loading >= maxPrewarmLoads || h.loadPause(now, service, m.Name) > 0 {
 			continue
 		}
 		expected, fetch := s.loadTime(m)
-		if fetch && !h.mayFetch(now, e) || s.freeBytes(e, adapterRoom(e)) < m.Bytes {
+		if fetch && !h.mayFetch(now, e) || s.freeBytes(e, adapterMemory(e)) < m.Bytes {
 			continue
 		}
 		loading++
 		s.reserved = reservation{}
-		h.give(s, o, fetch, expected, action.Reason)
+		h.sendOrder(s, o, fetch, expected, action.Reason)
 	}
-	h.expected[service] = make(map[string]time.Time)
+	h.expectedReady[service] = make(map[string]time.Time)
 	slots := h.storeSlotsFrom(now)
-	queue := h.queue(e, &w, &input, h.promised(now, service, e, slots))
+	queue := h.queue(e, &w, &input, h.planReservations(now, service, e, slots))
 	if len(queue) > 0 {
-		h.scarceUntil = now.Add(scarceTime)
+		h.scarceUntil = now.Add(scarcePeriod)
 	}
 	if len(queue) > 0 {
-		expect(now, queue, h.lanes(now, service), slots, h.expected[service])
+		estimateQueue(now, queue, h.lanes(now, service), slots, h.expectedReady[service])
 	}
-	h.tellWaits(now, service, queue, &w)
+	h.logWaits(now, service, queue, &w)
 }
 
-// longestLoad returns how long the longest load from the weight store takes by itself.
+// longestLoad returns the longest load time from the weight store, without contention.
 func longestLoad(e *route.Engine) time.Duration {
 	longest := time.Duration(0)
 	for _, m := range e.Models {
@@ -202,26 +203,27 @@
 	return longest
 }
 
-// mayFetch tells whether one more load may start from the weight store. A new holder waits
-// until the nodes told what they ask for: without it, the first loads of a term, which take
-// the longest, went to whichever models were wished for first.
+// mayFetch tells whether another load from the weight store may start. A new holder waits until the nodes
+// have reported their demand: otherwise the first loads of a term, which take longest, go to whichever
+// models are requested first.
 func (h *Holder) mayFetch(now time.Time, e *route.Engine) bool {
 	if h.learning(now) {
 		return false
 	}
 	window := h.Ceiling.Window + ceilingMargin
-	h.fetches = slices.DeleteFunc(h.fetches, func(at time.Time) bool { return now.Sub(at) > window })
-	return float64(len(h.fetches)+1) <= e.LoadsPerSecond*h.Ceiling.Window.Seconds()+ceilingSpare
+	h.fetchStarts = slices.DeleteFunc(h.fetchStarts, func(at time.Time) bool { return now.Sub(at) > window })
+	return float64(len(h.fetchStarts)+1) <= e.LoadsPerSecond*h.Ceiling.Window.Seconds()+ceilingSpare
 }
 
-// The ceiling counts a little longer, and takes part of the platform's spare.
+// The holder counts loads over a window that is longer by ceilingMargin than the platform's, and uses
+// ceilingSpare of the loads that the platform allows beyond its limit.
 const (
 	ceilingMargin = 400 * time.Millisecond
 	ceilingSpare  = 1
 )
 
-// freeBytes returns the memory of a server that no model, order or, of the room kept for them,
-// adapter may take.
+// freeBytes returns the server's memory that is not used by models, by the load under way or by the given
+// reserve for adapters.
 func (s *serverState) freeBytes(e *route.Engine, adapters uint64) uint64 {
 	used := adapters
 	for name := range s.holds {
@@ -240,8 +242,8 @@
 	return e.WeightBytes - used
 }
 
-// adapterRoom is the memory that the adapters of a server may take.
-func adapterRoom(e *route.Engine) uint64 {
+// adapterMemory returns the memory that the adapters of a server may use.
+func adapterMemory(e *route.Engine) uint64 {
 	largest := uint64(0)
 	for _, m := range e.Models {
 		if m.Adapters > 0 {
@@ -251,25 +253,25 @@
 	return largest * uint64(e.AdapterPlaces)
 }
 
-// input describes the service for the decider.
-func (h *Holder) input(now time.Time, service string, e *route.Engine, w *wanted) policy.Input {
+// deciderInput describes the service for the decider.
+func (h *Holder) deciderInput(now time.Time, service string, e *route.Engine, w *serviceDemand) policy.Input {
 	input := policy.Input{LoadSlots: h.storeSlots(now), LoadRate: e.LoadsPerSecond * h.Ceiling.Window.Seconds()}
 	servers := h.indexOf(service).servers
 	input.Servers = make([]policy.Server, 0, len(servers))
-	room := adapterRoom(e)
+	room := adapterMemory(e)
 	for _, s := range servers {
 		input.Servers = append(input.Servers, policy.Server{
 			ID: api.ServerID(s.id), Zone: s.member.Zone, CapacityBytes: e.WeightBytes, FreeBytes: s.freeBytes(e, room),
-			Leaving:   s.spared(now),
-			Reachable: s.usable(now) && s.doubt == nil && (s.busy == nil || !s.busy.load),
+			Leaving:   s.excluded(now),
+			Reachable: s.usable(now) && s.unresolved == nil && (s.busy == nil || !s.busy.load),
 			Cached:    s.cached,
-			BusyFor:   s.loadsFor(now),
+			BusyFor:   s.remainingLoad(now),
 			Reserved:  api.ModelName(s.reservedFor(now)),
 		})
 	}
-	present := h.presence(now, service)
+	present := h.replicaCounts(now, service)
 	for name, m := range e.Models {
-		if present[name] > 0 || len(w.wishes[name]) > 0 {
+		if present[name] > 0 || len(w.waiting[name]) > 0 {
 			input.Models = append(input.Models, h.modelInput(now, service, m, e, w, len(input.Servers)))
 		}
 	}
@@ -277,26 +279,26 @@
 	return input
 }
 
-// loadsFor returns how long the load under way is still expected to take, zero if
-// there is none or if it is overdue.
-func (s *serverState) loadsFor(now time.Time) time.Duration {
-	if s.busy == nil || !s.busy.load || s.unsure || s.doubt != nil {
+// remainingLoad returns the expected remaining time of the load under way, zero if there is none or if it
+// is overdue.
+func (s *serverState) remainingLoad(now time.Time) time.Duration {
+	if s.busy == nil || !s.busy.load || s.sequenceUnknown || s.unresolved != nil {
 		return 0
 	}
 	return max(s.busy.readyAt.Sub(now), 0)
 }
 
-// mostUrgent is the priority of the product for the most urgent requests.
-const mostUrgent = 9
+// topPriority is the decider's priority of the most urgent requests, whose priority in requests is 0.
+const topPriority = 9
 
 // modelInput describes a model for the decider.
-func (h *Holder) modelInput(now time.Time, service string, m *route.Model, e *route.Engine, w *wanted, servers int) policy.Model {
+func (h *Holder) modelInput(now time.Time, service string, m *route.Model, e *route.Engine, w *serviceDemand, servers int) policy.Model {
 	name := m.Name
 	d := h.demands[demandKey{service, name}]
 	model := policy.Model{
 		Name: api.ModelName(name),
 		Settings: tree.Settings{
-			MemoryBytes: m.Bytes, LoadTime: m.LoadTime, MaxReplicas: servers, MaxConcurrency: concurrency(e),
+			MemoryBytes: m.Bytes, LoadTime: m.LoadTime, MaxReplicas: servers, MaxConcurrency: replicaConcurrency(e),
 			KeepAlive: time.Hour, ColdStartWeight: 1,
 		},
 		History:  &policy.History{},
@@ -309,11 +311,11 @@
 		model.Spares = spareReplicas(model.Demand.Rate, servers)
 	}
 	if e.AdapterPlaces > 0 {
-		wanted := (w.adapters[name] + e.AdapterPlaces - 1) / e.AdapterPlaces
-		model.Spares = max(model.Spares, min(wanted, servers))
+		adapterReplicas := (w.adapters[name] + e.AdapterPlaces - 1) / e.AdapterPlaces
+		model.Spares = max(model.Spares, min(adapterReplicas, servers))
 	}
-	addWishes(w.wishes[name], &model)
-	holders := h.holdersOf(service, name)
+	addWaiting(w.waiting[name], &model)
+	holders := h.serversWith(service, name)
 	model.Replicas = make([]policy.Replica, 0, len(holders))
 	for _, s := range holders {
 		if r, present := s.replica(now, name); present {
@@ -322,54 +324,52 @@
 			model.Replicas = append(model.Replicas, r)
 		}
 	}
-	if h.crowded(service, name) {
+	if h.modelOverloaded(service, name) {
 		widen(&model)
 	}
 	if len(model.Replicas) < model.Spares && model.Demand.Waiting == 0 {
-		// A busy model without its spare replicas goes before rare ones that wait.
+		// A busy model that lacks spare replicas goes before rare models that requests wait for.
 		model.Demand.Waiting = 1
-		model.Demand.HighestPriority = mostUrgent
+		model.Demand.HighestPriority = topPriority
 	}
 	return model
 }
 
-// concurrency returns how many requests one replica is to run. Beyond it a model
-// gets another one.
-func concurrency(e *route.Engine) int {
+// replicaConcurrency returns how many requests one replica may run before its model gets another replica.
+func replicaConcurrency(e *route.Engine) int {
 	if e.Slots <= 0 {
-		return perReplica
+		return maxPerReplica
 	}
-	return min(perReplica, max(int(replicaShare*float64(e.Slots)), 1))
+	return min(maxPerReplica, max(int(replicaShare*float64(e.Slots)), 1))
 }
 
-// spareReplicas returns how many replicas a model with so many arrivals a second
-// has at least, so that the loss of a server leaves some.
+// spareReplicas returns the minimum number of replicas for an arrival rate, so that some remain when a
+// server is lost.
 func spareReplicas(rate float64, servers int) int {
 	switch {
-	case rate >= veryBusyRate:
+	case rate >= twoSparesRate:
 		return min(3, servers)
-	case rate >= busyRate:
+	case rate >= oneSpareRate:
 		return min(2, servers)
 	default:
 		return 0
 	}
 }
 
-// scarceTime is how long after a model waited for a server the nodes tell at once what
-// goes idle.
-const scarceTime = 5 * time.Second
+// scarcePeriod is how long nodes report idle replicas at once after a model waited for a server.
+const scarcePeriod = 5 * time.Second
 
 // adapterUseTime is how long an adapter counts as in use after a request.
 const adapterUseTime = 6 * time.Second
 
-// addWishes takes in the requests that wait for the model or an adapter of it.
-func addWishes(wishes []*demand, model *policy.Model) {
-	for _, d := range wishes {
+// addWaiting adds the requests that wait for the model or one of its adapters.
+func addWaiting(waiting []*demand, model *policy.Model) {
+	for _, d := range waiting {
 		model.Demand.Waiting++
 		model.Demand.WaitingWeight += policy.UrgencyWeight(d.priority)
-		model.Demand.HighestPriority = max(model.Demand.HighestPriority, mostUrgent-d.priority)
-		if model.Demand.WaitingSince.IsZero() || d.since.Before(model.Demand.WaitingSince) {
-			model.Demand.WaitingSince = d.since
+		model.Demand.HighestPriority = max(model.Demand.HighestPriority, topPriority-d.priority)
+		if model.Demand.WaitingSince.IsZero() || d.waitingSince.Before(model.Demand.WaitingSince) {
+			model.Demand.WaitingSince = d.waitingSince
 		}
 		if model.Demand.EarliestDeadline.IsZero() || d.deadline.Before(model.Demand.EarliestDeadline) {
 			model.Demand.EarliestDeadline = d.deadline
@@ -377,7 +377,7 @@
 	}
 }
 
-// replica returns a model's replica on the server.
+// replica returns a model's replica on the server, false if there is none.
 func (s *serverState) replica(now time.Time, name string) (policy.Replica, bool) {
 	r := policy.Replica{Server: api.ServerID(s.id), Since: now}
 	if s.gone(now) {
@@ -385,7 +385,7 @@
 	}
 	if known := s.holds[name]; known != nil {
 		r.State, r.Since = api.ReplicaReady, known.since
-		if s.spared(now) {
+		if s.excluded(now) {
 			return r, false
 		}
 	}
--- a/pkg/coordinator/quarantine_test.go
+++ b/pkg/coordinator/quarantine_test.go
@@ -10,18 +10,17 @@
 	"martenwheel.dev/pkg/quarantine"
 )
 
-// TestAFirstEndIsKnownToNodesThatItsNodeWasNotToldOf: a server ends under a request at a node
-// that was told of no other node yet, as right after a holder begins. The holder knows all and
-// passes it on, though one end changes nothing about what may be done with the request: a node
-// that has not heard of it takes its own first end for one of the same round, and quarantine
-// takes one server more.
-func TestAFirstEndIsKnownToNodesThatItsNodeWasNotToldOf(t *testing.T) {
+// TestTheHolderForwardsAFirstCrashToAllNodes has a server crash under a request at a node that knows
+// no other nodes yet, as right after a holder's term begins. The holder knows all nodes and must
+// forward the evidence, although one crash does not restrict the request yet: a node without it
+// counts its own first crash to the same round, and one more server crashes before quarantine.
+func TestTheHolderForwardsAFirstCrashToAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 1)
-		defer w.stopNodes()
+		sim := newSimulation(t, 1)
+		defer sim.stopNodes()
 		time.Sleep(5 * time.Second)
-		var first *worldNode // that does not hold the lease
-		for _, n := range w.nodes {
+		var first *simNode // a node that does not hold the lease
+		for _, n := range sim.nodes {
 			if _, held := n.lease.Held(); !held {
 				first = n
 			}
@@ -29,59 +28,58 @@
 		first.member.nodes.Store(&[]Node{first.member.Self})
 		f := quarantine.FingerprintOf("POST", "h", "/", nil)
 		first.member.Ended(quarantine.Run{Request: f, Service: "s", Server: "server-0", Round: 1, RequestID: "id"})
-		const spreads = 100 * time.Millisecond // a caller comes again after 200 ms and more
+		const spreads = 100 * time.Millisecond // callers retry after 200 ms or more
 		time.Sleep(spreads)
-		for _, n := range w.nodes {
+		for _, n := range sim.nodes {
 			if round := n.member.NextRound(f); round != 2 {
-				t.Errorf("%s takes the next run for round %d %v after the first end, want 2", n.name, round, spreads)
+				t.Errorf("%s expects round %d for the next run, %v after the first crash, want 2", n.name, round, spreads)
 			}
 		}
 	})
 }
 
-// An innocent request came into quarantine for as long as a node that had run the request that ends
-// servers did not know of the end: the innocent one's turn had fallen on the server that the other one
-// ended. The end of a run apart waited 0.5 s for the words of other requests. Where servers stand behind
-// what never refuses a connection, nodes learn of an end by the server's record alone; one whose link to
-// the store is cut, or that waits for a store that is busy, does so later by as long as that lasts, 0.1
-// to 3.1 s in the soak. It is seen by "server ended under request" of both for one server, the innocent
-// one's with round 3 first, and "request quarantined" between them.
+// TestLateEvidenceClearsAHarmlessRequest has the evidence against the crashing request arrive after
+// each delay that a node in contact with the store may need.
 //
-// TestWordsThatComeLateClearAnInnocent has the other's word come at each offset that a node in touch may
-// need.
-func TestWordsThatComeLateClearAnInnocent(t *testing.T) {
-	const touch = 3 * time.Second // the users' contactMs
-	for late := time.Duration(0); late <= touch; late += 100 * time.Millisecond {
-		t.Run(late.String(), func(t *testing.T) {
+// The failure it guards against: the trial of a harmless request ran on a server that a crashing
+// request then crashed. The harmless request was quarantined until the node that had run the
+// crashing request knew of the crash. The end of a trial waited only 0.5 s for evidence against
+// other requests. Behind proxies, which never refuse a connection, nodes learn of a crash only from
+// the server's record. A node that is cut off from the store, or waits for a busy one, learns of it
+// as much later: 0.1 to 3.1 s were observed.
+func TestLateEvidenceClearsAHarmlessRequest(t *testing.T) {
+	const contactTime = 3 * time.Second // contactMs of the users' rules
+	for delay := time.Duration(0); delay <= contactTime; delay += 100 * time.Millisecond {
+		t.Run(delay.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t, 1)
-				defer w.stopNodes()
+				sim := newSimulation(t, 1)
+				defer sim.stopNodes()
 				time.Sleep(5 * time.Second)
-				innocent, fatal := quarantine.FingerprintOf("POST", "h", "/", []byte("innocent")), quarantine.FingerprintOf("POST", "h", "/", []byte("fatal"))
-				end := func(n *worldNode, f quarantine.Fingerprint, server string, round int) {
+				harmless, crashing := quarantine.FingerprintOf("POST", "h", "/", []byte("innocent")), quarantine.FingerprintOf("POST", "h", "/", []byte("fatal"))
+				reportCrash := func(n *simNode, f quarantine.Fingerprint, server string, round int) {
 					n.member.Ended(quarantine.Run{Request: f, Service: "s", Server: server, Round: round, RequestID: "id", ByRecord: true})
 				}
-				one, other := w.nodes[0], w.nodes[1]
+				one, other := sim.nodes[0], sim.nodes[1]
 				for i, server := range []string{"server-0", "server-1"} {
-					end(one, innocent, server, i+1)
-					end(other, fatal, server, 1) // its tries are all of one round: no end has shown yet
+					reportCrash(one, harmless, server, i+1)
+					reportCrash(other, crashing, server, 1) // all its tries belong to one round: no crash has shown yet
 				}
 				time.Sleep(200 * time.Millisecond)
-				if granted, err := one.member.TakeTurn(t.Context(), innocent, "s", "server-2"); err != nil || !granted {
-					t.Fatal("it gets no turn", err)
+				if granted, err := one.member.TakeTurn(t.Context(), harmless, "s", "server-2"); err != nil || !granted {
+					t.Fatal("the harmless request gets no trial", err)
 				}
-				time.Sleep(4 * time.Second) // its record goes after three heartbeats
-				end(one, innocent, "server-2", one.member.NextRound(innocent))
-				time.AfterFunc(late, func() { end(other, fatal, "server-2", 1) })
-				for ended := time.Now(); time.Since(ended) < 5*time.Second; time.Sleep(50 * time.Millisecond) {
-					for _, n := range w.nodes {
-						if n.member.Standing(innocent) == quarantine.Quarantined {
-							t.Fatalf("at %s it is in quarantine", n.name)
+				time.Sleep(4 * time.Second) // the record disappears after three missed heartbeats
+				reportCrash(one, harmless, "server-2", one.member.NextRound(harmless))
+				time.AfterFunc(delay, func() { reportCrash(other, crashing, "server-2", 1) })
+				for crashed := time.Now(); time.Since(crashed) < 5*time.Second; time.Sleep(50 * time.Millisecond) {
+					for _, n := range sim.nodes {
+						if n.member.Standing(harmless) == quarantine.Quarantined {
+							t.Fatalf("%s has quarantined the harmless request", n.name)
 						}
 					}
-					waited := time.Since(ended)
-					if granted, _ := other.member.TakeTurn(t.Context(), innocent, "s", "server-3"); granted && waited < late {
-						t.Fatalf("it has another turn after %v, and the server's end is not explained", waited)
+					waited := time.Since(crashed)
+					if granted, _ := other.member.TakeTurn(t.Context(), harmless, "s", "server-3"); granted && waited < delay {
+						t.Fatalf("it gets another trial after %v, before the evidence on the server's crash arrived", waited)
 					}
 				}
 			})
@@ -89,141 +87,144 @@
 	}
 }
 
-// TestAnEndThatASuspectSharesBlamesNobody: an innocent request that many send has its turn at a server
-// that a node which was not told yet has the request that ends servers run at. That node learns of
-// the end later. The innocent one is never in quarantine, at any node, and gets no other turn until
-// that is sure; the other one's next end puts it there.
-func TestAnEndThatASuspectSharesBlamesNobody(t *testing.T) {
+// TestACrashSharedByASuspectQuarantinesNoHarmlessRequest has a harmless request, which many callers
+// send, get its trial on a server where a node without news of the suspicion runs a crashing
+// request. That node learns of the crash later. The harmless request must never be quarantined at
+// any node, and gets no other trial until the cause of the crash is known. The next crash under the
+// crashing request quarantines that one.
+func TestACrashSharedByASuspectQuarantinesNoHarmlessRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 1)
+		sim := newSimulation(t, 1)
 		defer func() {
-			for _, n := range w.nodes {
+			for _, n := range sim.nodes {
 				n.stop()
 			}
-			time.Sleep(5 * time.Second) // virtual; for calls under way to end
+			time.Sleep(5 * time.Second) // virtual; lets pending calls end
 		}()
 		time.Sleep(5 * time.Second)
-		innocent, fatal := quarantine.FingerprintOf("POST", "h", "/", []byte("innocent")), quarantine.FingerprintOf("POST", "h", "/", []byte("fatal"))
-		end := func(n *worldNode, f quarantine.Fingerprint, server string, round int) {
+		harmless, crashing := quarantine.FingerprintOf("POST", "h", "/", []byte("innocent")), quarantine.FingerprintOf("POST", "h", "/", []byte("fatal"))
+		reportCrash := func(n *simNode, f quarantine.Fingerprint, server string, round int) {
 			n.member.Ended(quarantine.Run{Request: f, Service: "s", Server: server, Round: round, RequestID: "id"})
 		}
-		takesTurn := func(n *worldNode, f quarantine.Fingerprint, server string) bool {
+		takeTrial := func(n *simNode, f quarantine.Fingerprint, server string) bool {
 			granted, err := n.member.TakeTurn(t.Context(), f, "s", server)
 			if err != nil {
 				t.Error(err)
 			}
 			return granted
 		}
-		one, other := w.nodes[0], w.nodes[1]
+		one, other := sim.nodes[0], sim.nodes[1]
 		for i, server := range []string{"server-0", "server-1"} {
-			end(one, innocent, server, i+1)
-			end(one, fatal, server, i+1)
+			reportCrash(one, harmless, server, i+1)
+			reportCrash(one, crashing, server, i+1)
 		}
 		time.Sleep(200 * time.Millisecond)
-		if !takesTurn(one, innocent, "server-2") {
-			t.Error("it gets no turn")
+		if !takeTrial(one, harmless, "server-2") {
+			t.Error("the harmless request gets no trial")
 		}
-		end(one, innocent, "server-2", one.member.NextRound(innocent))
-		one.member.ReleaseTurn(innocent, "server-2")
+		reportCrash(one, harmless, "server-2", one.member.NextRound(harmless))
+		one.member.ReleaseTurn(harmless, "server-2")
 		for step := range 20 {
 			time.Sleep(50 * time.Millisecond)
 			if step == 5 {
-				end(other, fatal, "server-2", 1)
+				reportCrash(other, crashing, "server-2", 1)
 			}
-			if step < 8 && takesTurn(other, innocent, "server-3") {
-				t.Errorf("it gets another turn in step %d", step)
+			if step < 8 && takeTrial(other, harmless, "server-3") {
+				t.Errorf("the harmless request gets another trial in step %d", step)
 			}
-			for _, n := range w.nodes {
-				if got := n.member.Standing(innocent); got != quarantine.Suspected {
-					t.Errorf("at %s in step %d it is %v, want suspected", n.name, step, got)
+			for _, n := range sim.nodes {
+				if got := n.member.Standing(harmless); got != quarantine.Suspected {
+					t.Errorf("at %s in step %d the harmless request is %v, want suspected", n.name, step, got)
 				}
 			}
 		}
-		if !takesTurn(other, innocent, "server-3") {
-			t.Error("it gets no other turn")
+		if !takeTrial(other, harmless, "server-3") {
+			t.Error("the harmless request gets no second trial")
 		}
-		if !takesTurn(other, fatal, "server-4") {
-			t.Error("the one that ends servers gets no turn")
+		if !takeTrial(other, crashing, "server-4") {
+			t.Error("the crashing request gets no trial")
 		}
-		end(other, fatal, "server-4", other.member.NextRound(fatal))
-		other.member.ReleaseTurn(fatal, "server-4")
+		reportCrash(other, crashing, "server-4", other.member.NextRound(crashing))
+		other.member.ReleaseTurn(crashing, "server-4")
 		time.Sleep(time.Second)
-		for _, n := range w.nodes {
-			if got := n.member.Standing(fatal); got != quarantine.Quarantined {
-				t.Errorf("at %s the one that ends servers is %v", n.name, got)
+		for _, n := range sim.nodes {
+			if got := n.member.Standing(crashing); got != quarantine.Quarantined {
+				t.Errorf("at %s the crashing request is %v, want quarantined", n.name, got)
 			}
 		}
 	})
 }
 
-// TestAnInnocentIsNotBlamedBeforeNodesFoundTheHolder: the run apart of an innocent request ends with its server right
-// after all nodes were lost, and the node that had the other request run there finds the holder seconds later.
-func TestAnInnocentIsNotBlamedBeforeNodesFoundTheHolder(t *testing.T) {
+// TestAHarmlessRequestIsNotQuarantinedBeforeNodesFoundTheHolder has the server of a harmless
+// request's trial crash right after all nodes were lost. The node that ran the crashing request
+// there finds the holder only seconds later.
+func TestAHarmlessRequestIsNotQuarantinedBeforeNodesFoundTheHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 1)
-		defer w.stopNodes()
+		sim := newSimulation(t, 1)
+		defer sim.stopNodes()
 		time.Sleep(700 * time.Millisecond)
-		innocent, fatal := quarantine.FingerprintOf("POST", "h", "/", []byte("innocent")), quarantine.FingerprintOf("POST", "h", "/", []byte("fatal"))
-		end := func(n *worldNode, f quarantine.Fingerprint, server string, round int) {
+		harmless, crashing := quarantine.FingerprintOf("POST", "h", "/", []byte("innocent")), quarantine.FingerprintOf("POST", "h", "/", []byte("fatal"))
+		reportCrash := func(n *simNode, f quarantine.Fingerprint, server string, round int) {
 			n.member.Ended(quarantine.Run{Request: f, Service: "s", Server: server, Round: round, RequestID: "id"})
 		}
-		one, other := w.nodes[0], w.nodes[1]
+		one, other := sim.nodes[0], sim.nodes[1]
 		for i, server := range []string{"server-0", "server-1"} {
-			end(one, innocent, server, i+1)
-			end(one, fatal, server, i+1)
+			reportCrash(one, harmless, server, i+1)
+			reportCrash(one, crashing, server, i+1)
 		}
-		end(one, innocent, "server-2", one.member.NextRound(innocent))
+		reportCrash(one, harmless, "server-2", one.member.NextRound(harmless))
 		for step := range 80 {
 			time.Sleep(100 * time.Millisecond)
 			if step == 20 {
-				end(other, fatal, "server-2", 1)
+				reportCrash(other, crashing, "server-2", 1)
 			}
-			for _, n := range w.nodes {
-				if n.member.Standing(innocent) == quarantine.Quarantined {
-					t.Fatalf("at %s it is in quarantine", n.name)
+			for _, n := range sim.nodes {
+				if n.member.Standing(harmless) == quarantine.Quarantined {
+					t.Fatalf("%s has quarantined the harmless request", n.name)
 				}
 			}
 		}
 	})
 }
 
-// TestATurnIsNotOverBeforeItsEndIsKnown: a request's turn ends with its server, at a node that does not hold the lease.
-// Whoever asks the holder for the next turn, at any moment, is refused or knows of that end. The turn was over 10 ms
-// before the end was told, and one server more ended.
-func TestATurnIsNotOverBeforeItsEndIsKnown(t *testing.T) {
-	for name, ends := range map[string]int{"the last end before quarantine": 2, "an earlier one": 1} {
+// TestATrialIsNotOverBeforeItsCrashIsKnown has a trial end with the crash of its server, at a node
+// that does not hold the lease. Whoever then asks the holder for the next trial must be refused or
+// know of that crash. When the trial was over 10 ms before the crash was reported, one more server
+// crashed.
+func TestATrialIsNotOverBeforeItsCrashIsKnown(t *testing.T) {
+	for name, crashes := range map[string]int{"the last end before quarantine": 2, "an earlier one": 1} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t, 1)
-				defer w.stopNodes()
+				sim := newSimulation(t, 1)
+				defer sim.stopNodes()
 				time.Sleep(5 * time.Second)
-				nodes := slices.DeleteFunc(slices.Clone(w.nodes), func(n *worldNode) bool { _, held := n.lease.Held(); return held })
+				nodes := slices.DeleteFunc(slices.Clone(sim.nodes), func(n *simNode) bool { _, held := n.lease.Held(); return held })
 				one, other := nodes[0], nodes[1]
 				f := quarantine.FingerprintOf("POST", "h", "/", []byte("fatal"))
-				for i := range ends {
+				for i := range crashes {
 					one.member.Ended(quarantine.Run{Request: f, Service: "s", Server: fmt.Sprintf("server-%d", i), Round: i + 1, RequestID: "id"})
 				}
 				time.Sleep(200 * time.Millisecond)
 				if granted, err := one.member.TakeTurn(t.Context(), f, "s", "server-5"); !granted {
-					t.Fatalf("it gets no turn: %v", err)
+					t.Fatalf("the request gets no trial: %v", err)
 				}
-				one.member.Ended(quarantine.Run{Request: f, Service: "s", Server: "server-5", Round: ends + 1, RequestID: "id"})
+				one.member.Ended(quarantine.Run{Request: f, Service: "s", Server: "server-5", Round: crashes + 1, RequestID: "id"})
 				one.member.ReleaseTurn(f, "server-5")
-				for range 2 * sharedShows / time.Millisecond {
+				for range 2 * clearanceWait / time.Millisecond {
 					granted, err := other.member.TakeTurn(t.Context(), f, "s", "server-6")
 					if err != nil {
 						t.Fatal(err)
 					}
-					if round := other.member.NextRound(f); granted && round != ends+2 {
-						t.Fatalf("it gets the next turn for a run of round %d, and %d servers ended", round, ends+1)
+					if round := other.member.NextRound(f); granted && round != crashes+2 {
+						t.Fatalf("the request gets its next trial for round %d although %d servers crashed", round, crashes+1)
 					}
 					if granted {
 						break
 					}
 					time.Sleep(time.Millisecond)
 				}
-				if got := other.member.Standing(f); ends == 2 && got != quarantine.Quarantined {
-					t.Errorf("after three ends it is %v", got)
+				if got := other.member.Standing(f); crashes == 2 && got != quarantine.Quarantined {
+					t.Errorf("after three crashes the request is %v, want quarantined", got)
 				}
 			})
 		})
--- a/pkg/coordinator/quotas.go
+++ b/pkg/coordinator/quotas.go
@@ -13,8 +13,8 @@
 	"martenwheel.dev/pkg/tenant"
 )
 
-// Draw asks the holder to let in a request of a tenant that is scarce. Its fields are those of
-// a quota.Request, one by one: nodes of other versions read the ones that they know.
+// Draw asks the holder to admit a request of a scarce tenant, one whose quota is nearly used up. Its fields are
+// those of a quota.Request, one by one: nodes of other versions read the ones that they know.
 type Draw struct {
 	Tenant          string
 	Amount          float64
@@ -23,11 +23,11 @@
 	Mark            quota.Mark
 	Within, Returns time.Duration
 	Part            float64
-	// Spent is what this node let in of the tenant unasked since its last report.
+	// Spent is what this node admitted of the tenant without asking since its last report.
 	Spent []quota.Spent
 }
 
-// newDraw returns the message that asks for a request.
+// newDraw returns the message that asks to admit a request.
 func newDraw(t *tenant.Tenant, r quota.Request) Draw {
 	return Draw{Tenant: t.Name, Amount: r.Amount, Route: r.Route, Priority: r.Priority, Mark: r.Mark,
 		Within: r.Within, Returns: r.Returns, Part: r.Part}
@@ -39,12 +39,12 @@
 		Within: d.Within, Returns: d.Returns, Part: d.Part}
 }
 
-// DrawAnswer tells whether it is let in, in the fields of a quota.Answer.
+// DrawAnswer tells whether the request is admitted, in the fields of a quota.Answer.
 type DrawAnswer struct {
 	Term     uint64 // zero: not the holder
 	Granted  bool
-	After    time.Duration // when to come back, if it is not granted
-	Promised bool          // with room set aside
+	After    time.Duration // when to retry, if it is not granted
+	Promised bool          // capacity is reserved for the retry
 	Room     quota.Room
 	Sieve    quota.Sieve
 	Took     bool // Draw.Spent was counted
@@ -59,18 +59,17 @@
 	return quota.Answer{Granted: d.Granted, After: d.After, Reserved: d.Promised, Room: d.Room, Sieve: d.Sieve}
 }
 
-// DeputyDraw asks the deputy for what the holder does not answer. It is answered by a
-// DrawAnswer.
+// DeputyDraw asks the deputy in place of the holder, which does not answer. It is answered by a DrawAnswer.
 type DeputyDraw Draw
 
-// QuotaNotice tells all nodes for which tenants the holder is to be asked from now on.
+// QuotaNotice tells all nodes about which tenants they must ask the holder from now on.
 type QuotaNotice struct {
 	Term   uint64
 	Scarce []string
 }
 
-// drawTimeout bounds the wait for the holder's word on a request: the most urgent ones
-// are to be answered within 100 ms.
+// drawTimeout bounds the wait for the holder's decision on a request: the most urgent requests must be answered
+// within 100 ms.
 const drawTimeout = 60 * time.Millisecond
 
 // Admit implements relay.Quotas.
@@ -86,7 +85,7 @@
 			m.ledger.Return(d.Spent)
 		}
 		if err == nil {
-			return m.drawn(t, r, answer)
+			return m.applyDraw(t, r, answer)
 		}
 		m.ledger.Unanswered(m.Time.Now())
 		verdict = quota.Alone
@@ -97,16 +96,15 @@
 	return relay.Admission{Granted: verdict == quota.Admit, After: after}
 }
 
-// spentOf returns what goes with a question about a divided quota: what was spent of it since the
-// last report. There is nothing before the holder had this node's first report of its term, which
-// is also about the time before the term.
+// spentOf returns what to report with a question about a divided quota: the usage since the last report. It is nil
+// until the holder has received this node's first report of its term, which also covers the time before the term.
 func (m *Member) spentOf(t *tenant.Tenant) []quota.Spent {
 	record, known := m.Lease.Current()
 	if !known || !quota.Shared(t.Quota) {
 		return nil
 	}
 	m.mu.Lock()
-	reported := m.answered && m.toldTerm == record.Term
+	reported := m.connected && m.ratesTerm == record.Term
 	m.mu.Unlock()
 	if !reported {
 		return nil
@@ -114,43 +112,43 @@
 	return m.ledger.ReportOf(t)
 }
 
-// drawFromHolder has the holder decide.
+// drawFromHolder asks the holder to decide.
 func (m *Member) drawFromHolder(ctx context.Context, d Draw) (DrawAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, drawTimeout)
 	defer cancel()
-	answer, err := ask[DrawAnswer](ctx, m, d)
+	answer, err := callHolder[DrawAnswer](ctx, m, d)
 	if err == nil && answer.Term == 0 {
 		err = ErrNoHolder
 	}
 	return answer, err
 }
 
-// drawn takes in what the holder decided.
-func (m *Member) drawn(t *tenant.Tenant, r quota.Request, answer DrawAnswer) relay.Admission {
+// applyDraw applies the holder's decision.
+func (m *Member) applyDraw(t *tenant.Tenant, r quota.Request, answer DrawAnswer) relay.Admission {
 	a := answer.answer()
 	a.After = m.ledger.Answered(m.Time.Now(), t, r, a)
-	return admitted(a, nil)
+	return toAdmission(a, nil)
 }
 
-// admitAlone decides without the holder, which did not answer: by the deputy, or else by
-// this node's share of what the deputy may grant.
+// admitAlone decides while the holder does not answer: by the deputy, or else by this node's share of what the
+// deputy may admit.
 func (m *Member) admitAlone(ctx context.Context, t *tenant.Tenant, r quota.Request, cause error) relay.Admission {
 	answer, err := m.drawFromDeputy(ctx, DeputyDraw(newDraw(t, r)))
 	if err != nil {
-		return admitted(m.ledger.DecideAloneFor(m.Time.Now(), t, r, m.Fleet()), err)
+		return toAdmission(m.ledger.DecideAloneFor(m.Time.Now(), t, r, m.Fleet()), err)
 	}
 	if answer.Granted {
 		m.ledger.DeputyGrantedFor(t, r)
 	}
-	return admitted(answer.answer(), cause)
+	return toAdmission(answer.answer(), cause)
 }
 
-// admitted is an answer for package relay; err: why the holder could not be asked.
-func admitted(a quota.Answer, err error) relay.Admission {
+// toAdmission converts an answer for package relay; err is why the holder could not be asked.
+func toAdmission(a quota.Answer, err error) relay.Admission {
 	return relay.Admission{Granted: a.Granted, Reserved: a.Reserved, After: a.After, Room: a.Room, Err: err}
 }
 
-// drawFromDeputy has the deputy decide, which may be this node.
+// drawFromDeputy asks the deputy, which may be this node, to decide.
 func (m *Member) drawFromDeputy(ctx context.Context, d DeputyDraw) (DrawAnswer, error) {
 	deputy, found := m.deputy()
 	if !found {
@@ -172,8 +170,8 @@
 	return answer, nil
 }
 
-// deputy returns the node that all ask while the holder does not answer: the strongest of
-// the others.
+// deputy returns the node that all ask while the holder does not answer: the one with the most processor capacity
+// besides the holder.
 func (m *Member) deputy() (Node, bool) {
 	record, known := m.Lease.Current()
 	if !known || !m.Known() {
@@ -191,8 +189,8 @@
 	return deputy, deputy.Name != ""
 }
 
-// drawAsDeputy decides for the holder: by asking it, if this node hears of it, or by what
-// all nodes together may let in without it.
+// drawAsDeputy decides in place of the holder: by asking it, if this node hears from it, or else within what all
+// nodes together may admit without it.
 func (m *Member) drawAsDeputy(ctx context.Context, d DeputyDraw) (DrawAnswer, error) {
 	if m.ledger.HearsHolder(m.Time.Now()) {
 		if answer, err := m.drawFromHolder(ctx, Draw(d)); err == nil {
@@ -203,10 +201,10 @@
 	if t == nil {
 		return DrawAnswer{}, errNoDeputy
 	}
-	return newDrawAnswer(0, m.deputized.DecideAloneFor(m.Time.Now(), t, Draw(d).request(), 1)), nil
+	return newDrawAnswer(0, m.deputyLedger.DecideAloneFor(m.Time.Now(), t, Draw(d).request(), 1)), nil
 }
 
-// tenant returns the tenant of a name, nil if the configuration in force has none.
+// tenant returns the named tenant, nil if the configuration in force has none.
 func (m *Member) tenant(name string) *tenant.Tenant {
 	if tenants := m.Holder.tenants(); tenants != nil {
 		return tenants.Named(name)
@@ -214,36 +212,37 @@
 	return nil
 }
 
-// tellLedgers takes in for which tenants the holder is to be asked.
-func (m *Member) tellLedgers(scarce []string) {
+// setScarce sets about which tenants the holder must be asked. It sends a heartbeat at once if the holder needs to know
+// the usage of a divided quota that became scarce.
+func (m *Member) setScarce(scarce []string) {
 	now := m.Time.Now()
 	if m.ledger.UpdateScarce(now, scarce) {
-		m.beatSoon()
+		m.heartbeatSoon()
 	}
-	m.deputized.UpdateScarce(now, scarce)
+	m.deputyLedger.UpdateScarce(now, scarce)
 }
 
-// errNoDeputy means that no node decides on quotas without the holder.
+// errNoDeputy means that no node can decide on quotas in place of the holder.
 var errNoDeputy = errors.New("coordinator: no deputy is known")
 
 // GiveBack implements relay.Quotas.
 func (m *Member) GiveBack(t *tenant.Tenant, r quota.Request) { m.ledger.GiveBackFor(t, r) }
 
-// unheard returns for how long this node has not heard of a holder.
-func (h *Holder) unheard(now time.Time) time.Duration {
-	if h.Unheard == nil {
+// holderSilence returns how long this node has had no answer from a holder.
+func (h *Holder) holderSilence(now time.Time) time.Duration {
+	if h.HolderSilence == nil {
 		return 0
 	}
-	return h.Unheard(now)
+	return h.HolderSilence(now)
 }
 
-// ScarceTold returns the tenants that were scarce by the holder's last word to this node.
-func (m *Member) ScarceTold() []string { return m.ledger.Scarce() }
+// KnownScarce returns the tenants that the holder last reported to this node as scarce.
+func (m *Member) KnownScarce() []string { return m.ledger.Scarce() }
 
-// Unheard returns for how long this node has not heard of the holder; zero if it never did.
-func (m *Member) Unheard(now time.Time) time.Duration { return m.ledger.SinceHeard(now) }
+// HolderSilence returns how long this node has had no answer from the holder; zero if it never had one.
+func (m *Member) HolderSilence(now time.Time) time.Duration { return m.ledger.SinceHeard(now) }
 
-// tenants returns those of the configuration in force, nil if there are none.
+// tenants returns the tenants of the configuration in force, nil if there are none.
 func (h *Holder) tenants() *tenant.Table {
 	if table := h.Routes(); table != nil {
 		return table.Tenants()
@@ -251,8 +250,8 @@
 	return nil
 }
 
-// draw decides on a request of a tenant. It does not wait for the holder's goroutine, which
-// may be planning; it may be called from any.
+// draw decides on a request of a tenant. It does not wait for the goroutine of Run, which may be planning. Safe for
+// concurrent use.
 func (h *Holder) draw(now time.Time, d Draw) DrawAnswer {
 	h.init()
 	term, held := h.Lease.Held()
@@ -262,10 +261,10 @@
 	h.beginQuotas(now, term)
 	tenants := h.tenants()
 	if tenants == nil {
-		return DrawAnswer{} // it has not read the configuration and can't decide: the deputy does
+		return DrawAnswer{} // the configuration is not read yet: the deputy decides
 	}
 	if tenants.Named(d.Tenant) == nil {
-		// This node has not read yet of the tenant, which has hardly spent anything.
+		// This node has not read the new tenant yet, which can't have used much.
 		return DrawAnswer{Term: term, Granted: true}
 	}
 	t := tenants.Named(d.Tenant)
@@ -279,96 +278,95 @@
 	return answer
 }
 
-// beginQuotas begins a term with what the lease's record, and the last holder's word to this node,
-// tell of scarce tenants. It may be called from any goroutine.
+// beginQuotas starts a term with the scarce tenants in the lease's record and in the last holder's report to this
+// node. Safe for concurrent use.
 func (h *Holder) beginQuotas(now time.Time, term uint64) {
 	if h.quotas.Began(term) {
 		return
 	}
 	record, _ := h.Lease.Current()
-	start := quota.Start{Gap: h.unheard(now), Scarce: record.Inherited(h.Lease.Now())}
-	told := 0
-	if h.ScarceTold != nil {
-		for _, name := range h.ScarceTold() {
+	start := quota.Start{Gap: h.holderSilence(now), Scarce: record.Inherited(h.Lease.Now())}
+	byLastHolder := 0
+	if h.KnownScarce != nil {
+		for _, name := range h.KnownScarce() {
 			if !slices.ContainsFunc(start.Scarce, func(one quota.Inherited) bool { return one.Tenant == name }) {
 				start.Scarce = append(start.Scarce, quota.Inherited{Balance: quota.Balance{Tenant: name}})
-				told++
+				byLastHolder++
 			}
 		}
 	}
 	if h.quotas.Begin(now, term, start) {
-		h.Logger.Info("quotas begin", "term", term, "unheard_ms", start.Gap.Milliseconds(),
-			"scarce", start.Scarce, "by_record", len(start.Scarce)-told, "by_last_holder", told)
+		h.Logger.Info("quota state initialized", "term", term, "unheard_ms", start.Gap.Milliseconds(),
+			"scarce", start.Scarce, "by_record", len(start.Scarce)-byLastHolder, "by_last_holder", byLastHolder)
 	}
 }
 
-// QuotaBalances returns what scarce tenants' quotas hold in a term of this holder, for the lease's
-// record; false if this holder does not know yet. Safe for concurrent use.
+// QuotaBalances returns the balances of scarce tenants' quotas in a term of this holder, for the lease's record;
+// false if they are not known yet. Safe for concurrent use.
 func (h *Holder) QuotaBalances(term uint64) ([]quota.Balance, bool) {
 	return h.quotas.Balances(h.Time.Now(), term)
 }
 
-// takeSpent takes in what a node let in without asking, and tells all nodes at once if
-// a tenant became scarce by it. It returns the tenants for which nodes are to ask. The first
-// beat of a node in the term tells also of the time before.
-func (h *Holder) takeSpent(now time.Time, r report) []string {
+// takeSpent counts what a node admitted without asking, and notifies all nodes at once if a tenant became scarce
+// by it. It returns the tenants that nodes must ask about. A node's first heartbeat of the term also reports the
+// time before it.
+func (h *Holder) takeSpent(now time.Time, r spendReport) []string {
 	h.beginQuotas(now, h.term)
-	h.spentBefore = append(h.spentBefore, r)
+	h.pendingSpend = append(h.pendingSpend, r)
 	tenants := h.tenants()
 	if tenants == nil {
-		h.spentBefore = h.spentBefore[max(len(h.spentBefore)-maxReportsBefore, 0):]
+		h.pendingSpend = h.pendingSpend[max(len(h.pendingSpend)-maxPendingSpend, 0):]
 		return h.quotas.InheritedNames()
 	}
-	for _, r := range h.spentBefore {
-		h.spend(now, tenants, r)
+	for _, r := range h.pendingSpend {
+		h.countSpend(now, tenants, r)
 	}
-	h.spentBefore = nil
+	h.pendingSpend = nil
 	scarce := h.quotas.Scarce(now, tenants)
-	added := slices.ContainsFunc(scarce, func(name string) bool { return !slices.Contains(h.scarceTold, name) })
+	added := slices.ContainsFunc(scarce, func(name string) bool { return !slices.Contains(h.announcedScarce, name) })
 	if added {
-		h.tellScarce(scarce)
+		h.announceScarce(scarce)
 	}
 	if added || h.quotas.RecordDue() {
 		h.recordScarce(now)
 	}
-	if !slices.Equal(scarce, h.scarceTold) {
-		h.Logger.Info("scarce tenants", "tenants", scarce, "before", h.scarceTold, "term", h.term)
+	if !slices.Equal(scarce, h.announcedScarce) {
+		h.Logger.Info("scarce tenants", "tenants", scarce, "before", h.announcedScarce, "term", h.term)
 	}
-	h.scarceTold = scarce
-	h.logRooms(now, tenants)
+	h.announcedScarce = scarce
+	h.logShares(now, tenants)
 	return scarce
 }
 
-// heardPart returns which part of the fleet has beaten in this term. For the holder's goroutine alone, as first reports
-// are taken in there.
-func (h *Holder) heardPart() float64 {
+// termHeartbeatShare returns the share of the fleet that has sent heartbeats in this term. For the goroutine of Run
+// alone, which also handles first reports.
+func (h *Holder) termHeartbeatShare() float64 {
 	return float64(len(h.nodes)) / float64(max(h.fleet.known(), 1))
 }
 
-// report is what a node told that it let in; first: it is its first of the term.
-type report struct {
-	spent []quota.Spent
-	first bool
-	left  []quota.Balance // of quotas, by the node's own pool of an earlier term
-	at    time.Time       // when it came
+// spendReport is what a node reported to have admitted; first: it is the node's first report of the term.
+type spendReport struct {
+	spent    []quota.Spent
+	first    bool
+	balances []quota.Balance // balances by the node's own pool of an earlier term
+	at       time.Time       // when the report arrived
 }
 
-// maxReportsBefore bounds the reports that wait for the configuration: those of a second or two of a
-// large site. A holder that took the lease before it had read the configuration granted each request that
-// it was asked about, told the nodes that no tenant was scarce, and lost their reports: up to 2.0 of what
-// may run did so, with crashes of the holder 0.7 s apart and 0.3 s until it reads
-// (TestQUOTAWhileHoldersChange).
-const maxReportsBefore = 1024
-
-// spend counts a report. What an earlier holder tells of a quota fills until it is taken in.
-func (h *Holder) spend(now time.Time, tenants *tenant.Table, r report) {
-	for _, one := range r.left {
-		if t := tenants.Named(one.Tenant); t != nil {
-			h.quotas.CorrectBalance(now, t, one.Amount+t.Quota.PerSecond*now.Sub(r.at).Seconds())
+// maxPendingSpend bounds the reports that wait for the configuration: those of a second or two of a large site. A
+// holder that takes the lease before it has read the configuration must neither grant all requests, report no scarce
+// tenants nor lose these reports: up to 2.0 times the allowed usage would run when holders crash 0.7 s apart and read
+// the configuration after 0.3 s (TestQUOTAWhileHoldersChange).
+const maxPendingSpend = 1024
+
+// countSpend counts a report. A balance reported by an earlier holder is increased by what was refilled until now.
+func (h *Holder) countSpend(now time.Time, tenants *tenant.Table, r spendReport) {
+	for _, balance := range r.balances {
+		if t := tenants.Named(balance.Tenant); t != nil {
+			h.quotas.CorrectBalance(now, t, balance.Amount+t.Quota.PerSecond*now.Sub(r.at).Seconds())
 		}
 	}
-	if len(r.left) > 0 {
-		h.Logger.Info("quotas of an earlier holder", "term", h.term, "left", r.left)
+	if len(r.balances) > 0 {
+		h.Logger.Info("quota balances received from an earlier holder", "term", h.term, "left", r.balances)
 	}
 	for _, s := range r.spent {
 		if t := tenants.Named(s.Tenant); t != nil {
@@ -377,21 +375,21 @@
 	}
 }
 
-// recordInterval is the least time between two writes of the lease's record for tenants that became
-// scarce: it is written each 0.7 s anyway, and calls of the store are dear.
+// recordInterval is the minimum between two writes of the lease's record for tenants that became scarce: it is
+// written every 0.7 s anyway, and store calls are expensive.
 const recordInterval = 300 * time.Millisecond
 
-// recordScarce has the record tell at once of tenants that became scarce: as a tenant becomes hot it
-// runs some 3 s' worth of its quota within a second, and a holder that is lost before it renews the
-// lease takes the debt with it. In the plays of TestQUOTAWhileHoldersChange and TestQUOTAInSchedules
-// no window had more than 0.87 of what may run with this write, 0.90 without it.
+// recordScarce writes tenants that became scarce to the lease's record at once: when a tenant becomes scarce it uses
+// some 3 s of its quota within a second, and this debt is lost with a holder that fails before it renews the lease. In
+// TestQUOTAWhileHoldersChange and TestQUOTAInSchedules the maximum over all windows is 0.87 of the allowed usage
+// with this write, 0.90 without it.
 func (h *Holder) recordScarce(now time.Time) {
-	if now.Sub(h.scarceRecorded) < recordInterval {
+	if now.Sub(h.scarceRecordedAt) < recordInterval {
 		return
 	}
-	h.scarceRecorded = now
+	h.scarceRecordedAt = now
 	go func() {
-		ctx, cancel := context.WithTimeout(h.life, commitTimeout)
+		ctx, cancel := context.WithTimeout(h.runCtx, commitTimeout)
 		defer cancel()
 		if _, err := h.Lease.Commit(ctx, nil); err != nil {
 			h.Logger.Warn("scarce tenants not recorded", "error", err)
@@ -399,29 +397,28 @@
 	}()
 }
 
-// Bounds of what is logged of tenants that are scarce.
+// Limits of logging about scarce tenants.
 const (
-	roomsInterval = 2 * time.Second
-	roomsTenants  = 5
+	shareLogInterval = 2 * time.Second
+	shareLogTenants  = 5
 )
 
-// logRooms tells the log, each roomsInterval at most, which routes have the room of tenants that are
-// scarce.
-func (h *Holder) logRooms(now time.Time, tenants *tenant.Table) {
-	if now.Sub(h.roomsTold) < roomsInterval {
+// logShares logs, once per shareLogInterval at most, how the quotas of scarce tenants are divided among routes.
+func (h *Holder) logShares(now time.Time, tenants *tenant.Table) {
+	if now.Sub(h.sharesLoggedAt) < shareLogInterval {
 		return
 	}
-	for _, name := range h.scarceTold[:min(len(h.scarceTold), roomsTenants)] {
+	for _, name := range h.announcedScarce[:min(len(h.announcedScarce), shareLogTenants)] {
 		t := tenants.Named(name)
 		if rooms := h.quotas.Rooms(t); len(rooms) > 0 {
-			h.roomsTold = now
+			h.sharesLoggedAt = now
 			h.Logger.Info("quota shared", "tenant", name, "quota", t.Quota.PerSecond, "routes", rooms, "term", h.term)
 		}
 	}
 }
 
-// tellScarce tells all nodes for which tenants they are to ask.
-func (h *Holder) tellScarce(scarce []string) {
+// announceScarce notifies all nodes of the tenants that they must ask about.
+func (h *Holder) announceScarce(scarce []string) {
 	for _, n := range h.nodes {
 		h.Transport.Send(n.node.Peers, QuotaNotice{Term: h.term, Scarce: scarce})
 	}
--- a/pkg/coordinator/quotas_test.go
+++ b/pkg/coordinator/quotas_test.go
@@ -13,15 +13,15 @@
 	"martenwheel.dev/pkg/tenant"
 )
 
-// Quota of the test's tenants.
+// Quotas of the test tenants, in tokens.
 const (
 	quotaRate = 1000.0
 	quotaCost = 50.0
-	// quotaOverage is what may run beyond it in any window.
+	// quotaOverage is the allowed overage in any window, as a share of the quota.
 	quotaOverage = 0.1
 )
 
-// withQuotas has the site serve the tenants a and b.
+// withQuotas adds the tenants a and b to the site.
 func (s *site) withQuotas() {
 	s.t.Helper()
 	each := tenant.Quota{PerSecond: quotaRate, Burst: quotaRate, Tokens: true}
@@ -32,91 +32,92 @@
 	s.table = s.table.WithTenants(all)
 }
 
-// member runs the part of another node, which knows of the holder what its lease tells.
-func (s *site) member(ctx context.Context, name string, of *node) *Member {
+// startMember starts the member of another node, which learns of the holder through of's lease.
+func (s *site) startMember(ctx context.Context, name string, holder *node) *Member {
 	m := &Member{Quarantine: new(quarantine.Table),
-		Self: Node{Name: name, Peers: name}, Lease: of.lease, Holder: of.holder, Transport: directTransport{site: s},
-		Servers: of.servers, Logger: hclog.NewNullLogger(),
+		Self: Node{Name: name, Peers: name}, Lease: holder.lease, Holder: holder.holder, Transport: directTransport{site: s},
+		Servers: holder.servers, Logger: hclog.NewNullLogger(),
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.members == nil {
-		s.members = make(map[string]*Member)
+	if s.reachableMembers == nil {
+		s.reachableMembers = make(map[string]*Member)
 	}
-	s.members[name] = m
+	s.reachableMembers[name] = m
 	go m.Run(ctx)
 	return m
 }
 
-// demandQuota asks for requests of a tenant at all members, so many tokens a second, and
-// returns what was let in, by steps of 10 ms, and what was refused.
-func demandQuota(t *testing.T, members []*Member, of *tenant.Tenant, rate float64, length time.Duration) (in []float64, refused float64) {
+// demandQuota requests tokens of a tenant at the given rate per second, at all members in turn. It
+// returns what was granted in each step of 10 ms, and how much was refused.
+func demandQuota(t *testing.T, members []*Member, requester *tenant.Tenant, rate float64, length time.Duration) (granted []float64, refused float64) {
 	t.Helper()
 	const step = 10 * time.Millisecond
-	due, turn := 0.0, 0
+	due, next := 0.0, 0
 	for began := time.Now(); time.Since(began) < length; time.Sleep(step) {
-		sum := 0.0
+		stepSum := 0.0
 		for due += rate * step.Seconds(); due >= quotaCost; due -= quotaCost {
-			turn++
-			admission := members[turn%len(members)].Admit(t.Context(), of, quota.Request{Amount: quotaCost})
+			next++
+			admission := members[next%len(members)].Admit(t.Context(), requester, quota.Request{Amount: quotaCost})
 			if admission.Granted {
-				sum += quotaCost
+				stepSum += quotaCost
 				continue
 			}
 			refused += quotaCost
 			if admission.After <= 0 {
-				t.Fatal("a refused request is not told when to come back")
+				t.Fatal("a refused request has no retry time")
 			}
 		}
-		in = append(in, sum)
+		granted = append(granted, stepSum)
 	}
-	return in, refused
+	return granted, refused
 }
 
-// most returns the most that was let in within eight seconds.
-func most(in []float64) float64 {
+// fullestWindow returns the most that was granted within eight seconds.
+func fullestWindow(granted []float64) float64 {
 	const width = 800
-	sum, most := 0.0, 0.0
-	for i, one := range in {
+	sum, fullest := 0.0, 0.0
+	for i, one := range granted {
 		sum += one
 		if i >= width {
-			sum -= in[i-width]
+			sum -= granted[i-width]
 		}
-		most = max(most, sum)
+		fullest = max(fullest, sum)
 	}
-	return most
+	return fullest
 }
 
-// quotaSite runs a holder and so many other nodes that hear of it, until end is called.
-func quotaSite(t *testing.T, nodes int) (s *site, holder *node, members []*Member, end func()) {
+// startQuotaSite starts a holder and the given number of other nodes, which know the holder, until
+// stop is called.
+func startQuotaSite(t *testing.T, nodes int) (s *site, holder *node, members []*Member, stop func()) {
 	t.Helper()
 	s = newSite(t, []string{"m0"})
 	s.withQuotas()
 	holder = s.start("holder-1")
-	holder.hold()
+	holder.waitForLease()
 	ctx, cancel := context.WithCancel(t.Context())
 	for i := range nodes {
-		members = append(members, s.member(ctx, fmt.Sprintf("node-%02d", i), holder))
+		members = append(members, s.startMember(ctx, fmt.Sprintf("node-%02d", i), holder))
 	}
 	time.Sleep(3 * time.Second)
 	return s, holder, members, cancel
 }
 
-// TestQUOTAWithoutAHolder: while there is none, a tenant gets what it may as long as it
-// keeps to its quota, and one that sends far more than it is not let in without bounds.
+// TestQUOTAWithoutAHolder checks that, while no node holds the lease, a tenant within its quota is
+// not refused, and one far above its quota is not admitted without bounds.
 func TestQUOTAWithoutAHolder(t *testing.T) {
 	const gap = 2500 * time.Millisecond
 	bubble(t, func(t *testing.T) {
-		s, holder, members, end := quotaSite(t, 60)
+		s, holder, members, stop := startQuotaSite(t, 60)
 		greedy, modest := s.table.Tenants().Named("a"), s.table.Tenants().Named("b")
 		holder.stop() // takes a second itself
 		if _, refused := demandQuota(t, members, modest, 0.5*quotaRate, gap); refused > 0 {
-			t.Errorf("%g of a tenant at half of its quota were refused within %v", refused, gap)
+			t.Errorf("%g tokens of a tenant at half of its quota were refused within %v", refused, gap)
 		}
-		if in, _ := demandQuota(t, members, greedy, 8*quotaRate, gap); sum(in) > 4*quotaRate {
-			t.Errorf("%g of a tenant at eight times its quota were let in within %v", sum(in), gap)
+		if granted, _ := demandQuota(t, members, greedy, 8*quotaRate, gap); sum(granted) > 4*quotaRate {
+			t.Errorf("%g tokens of a tenant at eight times its quota were granted within %v", sum(granted), gap)
 		}
-		end()
+		stop()
 		time.Sleep(time.Second)
 	})
 }
@@ -129,33 +130,33 @@
 	return total
 }
 
-// TestQUOTAOverAllNodes: a tenant that sends four times its quota gets the quota and no
-// more, also when the holder changes meanwhile; one that keeps to it is not refused.
+// TestQUOTAOverAllNodes checks that a tenant which sends four times its quota gets the quota and no
+// more, also when the holder changes meanwhile, and that one within its quota is not refused.
 func TestQUOTAOverAllNodes(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		s, holder, members, end := quotaSite(t, 5)
+		s, holder, members, stop := startQuotaSite(t, 5)
 		greedy, modest := s.table.Tenants().Named("a"), s.table.Tenants().Named("b")
-		if in, _ := demandQuota(t, members, modest, 0.9*quotaRate, 10*time.Second); most(in) < 0.99*8*0.9*quotaRate {
-			t.Errorf("of a tenant at 0.9 of its quota %g were let in within 8 s", most(in))
+		if granted, _ := demandQuota(t, members, modest, 0.9*quotaRate, 10*time.Second); fullestWindow(granted) < 0.99*8*0.9*quotaRate {
+			t.Errorf("only %g tokens of a tenant at 0.9 of its quota were granted within 8 s", fullestWindow(granted))
 		}
 		allowed := 9 * quotaRate * (1 + quotaOverage)
-		in, _ := demandQuota(t, members, greedy, 4*quotaRate, 12*time.Second)
-		if most(in) > allowed || most(in) < 7.5*quotaRate {
-			t.Errorf("of a tenant at four times its quota %g were let in within 8 s, want its quota, at most %g", most(in), allowed)
+		granted, _ := demandQuota(t, members, greedy, 4*quotaRate, 12*time.Second)
+		if fullestWindow(granted) > allowed || fullestWindow(granted) < 7.5*quotaRate {
+			t.Errorf("%g tokens of a tenant at four times its quota were granted within 8 s, want its quota, at most %g", fullestWindow(granted), allowed)
 		}
 		holder.stop()
 		next := s.start("holder-2")
-		next.hold()
+		next.waitForLease()
 		record, _ := next.lease.Current()
 		for _, m := range members {
 			m.Lease.Announced(record)
 		}
 		after, _ := demandQuota(t, members, greedy, 4*quotaRate, 12*time.Second)
-		in = append(in, after...)
-		if most(in) > allowed {
-			t.Errorf("with another holder %g were let in within 8 s, at most %g may be", most(in), allowed)
+		granted = append(granted, after...)
+		if fullestWindow(granted) > allowed {
+			t.Errorf("with another holder %g tokens were granted within 8 s, at most %g are allowed", fullestWindow(granted), allowed)
 		}
-		end()
+		stop()
 		next.stop()
 	})
 }
--- a/pkg/coordinator/reports.go
+++ b/pkg/coordinator/reports.go
@@ -10,114 +10,112 @@
 	"martenwheel.dev/pkg/lease"
 )
 
-// look asks the servers for reports whose operations should be done or are in
-// doubt.
-func (h *Holder) look(now time.Time) {
+// pollServers requests reports from servers whose operations should be done, or whose state or sequence is
+// uncertain.
+func (h *Holder) pollServers(now time.Time) {
 	for _, s := range h.servers {
-		if s.member == nil || s.asking || s.reportAt.IsZero() || now.Before(s.reportAt) || s.member.Rest(now) > 0 || !h.lists(s.member.Service) {
+		if s.member == nil || s.asking || s.reportAt.IsZero() || now.Before(s.reportAt) || s.member.Rest(now) > 0 || !h.configured(s.member.Service) {
 			continue
 		}
-		if s.busy == nil && s.doubt == nil && !s.unsure && !s.recheck {
+		if s.busy == nil && s.unresolved == nil && !s.sequenceUnknown && !s.recheck {
 			s.reportAt = time.Time{}
 			continue
 		}
 		s.asking = true
 		server, term := s.member, h.term
 		go func() {
-			ctx, cancel := context.WithTimeout(h.life, reportTimeout)
+			ctx, cancel := context.WithTimeout(h.runCtx, reportTimeout)
 			defer cancel()
 			report, err := h.Orders.Report(ctx, server)
 			h.post(func() {
 				if h.term == term {
-					h.reported(h.Time.Now(), s, report, err)
+					h.handleReport(h.Time.Now(), s, report, err)
 				}
 			})
 		}()
 	}
 }
 
-// reported takes in a report. It lies a little behind.
-func (h *Holder) reported(now time.Time, s *serverState, r Report, err error) {
+// handleReport handles a server's report, which may lag a little behind its state.
+func (h *Holder) handleReport(now time.Time, s *serverState, r Report, err error) {
 	s.asking = false
 	s.reportAt = now.Add(reportPause)
-	if s.due(now) {
-		s.reportAt = now.Add(duePause)
+	if s.reportDue(now) {
+		s.reportAt = now.Add(duePollInterval)
 		h.planAt(s.reportAt)
 	}
 	if err != nil {
-		if errors.Is(err, ErrOtherLife) && !s.unsure {
+		if errors.Is(err, ErrOtherIncarnation) && !s.sequenceUnknown {
 			h.Logger.Info("another life answers", "server", s.id, "record", s.version, "error", err)
 		}
-		s.unsure = s.unsure || errors.Is(err, ErrOtherLife)
+		s.sequenceUnknown = s.sequenceUnknown || errors.Is(err, ErrOtherIncarnation)
 		s.failures++
-		s.reportAt = now.Add(s.rest())
+		s.reportAt = now.Add(s.backoff())
 		s.avoidUntil = s.reportAt
 		return
 	}
 	s.failures = 0
-	s.cache(r.InMemory, r.OnDisk)
+	s.setCached(r.InMemory, r.OnDisk)
 	if r.Sequence < s.sequence {
-		if now.Sub(s.acceptedAt) < reportSettles {
-			return // it was made before the last order
+		if now.Sub(s.acceptedAt) < reportSettleTime {
+			return // the report predates the last order
 		}
-		h.Logger.Warn("server took fewer orders than believed", "server", s.id, "sequence", r.Sequence, "believed", s.sequence)
+		h.Logger.Warn("server accepted fewer orders than assumed", "server", s.id, "sequence", r.Sequence, "believed", s.sequence)
 	}
 	if r.Busy && s.busy == nil {
-		h.inherit(now, s, r)
+		h.inheritOperation(now, s, r)
 		return
 	}
 	if s.recheck && now.Before(s.quietUntil) {
 		s.reportAt = s.quietUntil
 	} else {
 		s.recheck = false
-		h.guardOrdersToCome(s, r)
+		h.fenceLateOrders(s, r)
 	}
-	if s.unsure {
-		h.Logger.Info("server asked", "server", s.id, "sequence", r.Sequence, "believed", s.sequence, "busy", r.Busy)
-		s.unsure = false
+	if s.sequenceUnknown {
+		h.Logger.Info("server report received", "server", s.id, "sequence", r.Sequence, "believed", s.sequence, "busy", r.Busy)
+		s.sequenceUnknown = false
 	}
-	if s.doubt != nil && r.Sequence >= s.doubt.after {
-		h.Logger.Info("order was taken", "server", s.id, "model", s.doubt.need.String(), "sequence", r.Sequence)
-		s.doubt = nil
+	if s.unresolved != nil && r.Sequence >= s.unresolved.after {
+		h.Logger.Info("server accepted the unanswered order", "server", s.id, "model", s.unresolved.need.String(), "sequence", r.Sequence)
+		s.unresolved = nil
 	}
-	s.repeat = s.doubt != nil
-	h.take(now, s, r)
-	if s.busy != nil && !r.Busy && s.doubt == nil && now.Sub(s.busy.since) > reportLag+reportPause && now.After(s.busy.readyAt) {
-		h.Logger.Warn("order without effect", "server", s.id, "model", s.busy.need.String(), "load", s.busy.load)
+	s.resend = s.unresolved != nil
+	h.applyReport(now, s, r)
+	if s.busy != nil && !r.Busy && s.unresolved == nil && now.Sub(s.busy.since) > reportLag+reportPause && now.After(s.busy.readyAt) {
+		h.Logger.Warn("order had no effect", "server", s.id, "model", s.busy.need.String(), "load", s.busy.load)
 		s.busy = nil
 	}
 }
 
-// guardOrdersToCome has a server refuse orders of earlier holders that it did not take
-// though it was left alone for as long as they should need: an order that was not answered
-// may be carried out many seconds later. What the server is to hold by then, it and the
-// orders given meanwhile, may be beyond its memory.
-func (h *Holder) guardOrdersToCome(s *serverState, r Report) {
-	if h.Fenced && r.Sequence < s.mayCome && !s.guarded {
-		s.guarded = true
-		h.Logger.Info("server is guarded", "server", s.id, "sequence", r.Sequence, "orders", s.mayCome)
+// fenceLateOrders makes a server refuse orders of earlier holders that it has not accepted within the
+// usual time. An order without an answer may be carried out many seconds later, and what it loads, together
+// with what is ordered meanwhile, may exceed the server's memory.
+func (h *Holder) fenceLateOrders(s *serverState, r Report) {
+	if h.Fenced && r.Sequence < s.maxLateSequence && !s.needsFence {
+		s.needsFence = true
+		h.Logger.Info("server must see the fence before its next order", "server", s.id, "sequence", r.Sequence, "orders", s.maxLateSequence)
 	}
-	s.mayCome = 0
+	s.maxLateSequence = 0
 }
 
-// due tells whether the server is asked often: what it carries out should be done by
-// now, and requests may wait for it.
-func (s *serverState) due(now time.Time) bool {
-	return s.busy != nil && now.Sub(s.busy.readyAt) < dueTime
+// reportDue tells whether the server is polled often: its operation should be done by now, and requests may
+// wait for it.
+func (s *serverState) reportDue(now time.Time) bool {
+	return s.busy != nil && now.Sub(s.busy.readyAt) < overdueAfter
 }
 
-// inherit takes over an operation that an order of an earlier holder began. The
-// record of the lease tells which; until it is done, what the server holds is
-// not known.
-func (h *Holder) inherit(now time.Time, s *serverState, r Report) {
-	s.unsure = true
+// inheritOperation takes over an operation that an earlier holder ordered. The lease's record tells which one
+// it is; otherwise what the server holds is unknown until the operation is done.
+func (h *Holder) inheritOperation(now time.Time, s *serverState, r Report) {
+	s.sequenceUnknown = true
 	intent := s.inherited
 	need := backend.ParseNeed(intent.Need)
 	if need.Model == "" || need.Adapter != "" || intent.After != r.Sequence {
-		return // it carries out an order that no intent tells of
+		return // no recorded intent is about this order
 	}
-	s.unsure, s.inherited = false, lease.Intent{}
-	h.take(now, s, r)
+	s.sequenceUnknown, s.inherited = false, lease.Intent{}
+	h.applyReport(now, s, r)
 	expected := unloadTime
 	if e := h.engineOf(s); intent.Load && e != nil && e.Models[need.Model] != nil {
 		expected, _ = s.loadTime(e.Models[need.Model])
@@ -126,6 +124,6 @@
 		order: order{load: intent.Load, need: need, after: r.Sequence},
 		since: now, readyAt: now.Add(expected), fetch: intent.Fetch,
 	}
-	h.about(s, need.Model)
+	h.indexOrder(s, need.Model)
 	h.Logger.Info("order inherited", "server", s.id, "load", intent.Load, "model", intent.Need, "sequence", r.Sequence)
 }
--- a/pkg/coordinator/reservation.go
+++ b/pkg/coordinator/reservation.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// reservation keeps a server for the model that room is made for on it: other models
-// would take the room, and each would have to be made room for again.
+// reservation reserves a server for the model for which memory is being freed on it: otherwise other models would take
+// the memory, and it would have to be freed for each again.
 type reservation struct {
 	model string
 	until time.Time
 }
 
-// reservationTime is how long a reservation lasts: an unload, which waits for the
-// requests that run, and the plan after it.
+// reservationTime is how long a reservation lasts: enough for an unload, which waits for running requests, and the
+// plan after it.
 const reservationTime = 8 * time.Second
 
-// reservedFor returns the model that the server is kept for, empty if there is none.
+// reservedFor returns the model that the server is reserved for, empty if there is none.
 func (s *serverState) reservedFor(now time.Time) string {
 	if now.After(s.reserved.until) {
 		return ""
@@ -21,8 +21,8 @@
 	return s.reserved.model
 }
 
-// reservedFree returns when the server that is kept for a model may load it.
-func (s *serverState) reservedFree(now time.Time) time.Time {
+// reservedFreeAt returns when a reserved server can start the load of its model.
+func (s *serverState) reservedFreeAt(now time.Time) time.Time {
 	if s.busy != nil {
 		return latest(now, s.busy.readyAt)
 	}
--- a/pkg/coordinator/roster.go
+++ b/pkg/coordinator/roster.go
@@ -6,27 +6,26 @@
 	"time"
 )
 
-// roster is the nodes that beat, as the holder knows them, with their changes. It belongs to the
-// holder's goroutine.
+// roster counts the changes of the list of nodes that send heartbeats. It belongs to the goroutine of Run.
 type roster struct {
-	number uint64 // counts the changes
-	gone   []goneNode
-	since  uint64 // changes up to this one are not known one by one
+	number        uint64 // number of the last change
+	departed      []departedNode
+	discardedUpTo uint64 // departures up to this change are no longer kept
 }
 
-// goneNode is a node that went.
-type goneNode struct {
+// departedNode is a node that left the list.
+type departedNode struct {
 	name   string
-	number uint64 // of the change
+	number uint64 // number of the change
 }
 
-// maxGone bounds the nodes that went of which the holder knows: those of some restarts of a large
-// site. Nodes that know an older list are told of all.
-const maxGone = 1024
+// maxDeparted bounds the departed nodes that are kept: enough for several restarts of all nodes of a large site. Nodes
+// with an older list are sent the whole list.
+const maxDeparted = 1024
 
-// begin starts a term. The count goes on: lists of nodes are told apart by it.
+// begin starts a term. The count goes on, as it identifies states of the list.
 func (r *roster) begin() {
-	r.gone, r.since = nil, r.number
+	r.departed, r.discardedUpTo = nil, r.number
 }
 
 // change counts a change and returns its number.
@@ -35,99 +34,99 @@
 	return r.number
 }
 
-// went notes a node that went.
-func (r *roster) went(name string) {
-	r.gone = append(r.gone, goneNode{name, r.change()})
-	if extra := len(r.gone) - maxGone; extra > 0 {
-		r.since = r.gone[extra-1].number
-		r.gone = slices.Delete(r.gone, 0, extra)
+// depart records that a node left.
+func (r *roster) depart(name string) {
+	r.departed = append(r.departed, departedNode{name, r.change()})
+	if extra := len(r.departed) - maxDeparted; extra > 0 {
+		r.discardedUpTo = r.departed[extra-1].number
+		r.departed = slices.Delete(r.departed, 0, extra)
 	}
 }
 
-// tellNodes has an answer tell of the nodes: of those that changed since the beat's list, if it is of
-// this term, or of all. On a site of 302 nodes whose nodes come and go each beat was answered with
-// 25.6 kB, 0.24 ms to make, and the holder of a loss of all nodes, at 3.7 MB a second, answered most
-// beats too late: its nodes never learned of each other. With one node that starts again each second it
-// is 2.2 kB and 0.05 ms now (BenchmarkBeatsOfALargeFleet).
-func (h *Holder) tellNodes(b *Beat, answer *BeatAnswer) {
+// addNodeChanges adds the list of nodes to an answer: only the changes after the version in the heartbeat, if that is of
+// this term, or all nodes. With whole lists, 302 nodes that come and go get 25.6 kB per heartbeat, which takes 0.24 ms
+// to make; after a loss of all nodes the holder, at 3.7 MB per second, answers most heartbeats too late, and the nodes
+// never learn of each other. With changes, and one node that restarts per second, it is 2.2 kB and 0.05 ms
+// (BenchmarkBeatsOfALargeFleet).
+func (h *Holder) addNodeChanges(b *Beat, answer *BeatAnswer) {
 	if b.Knows == answer.Version {
 		return
 	}
-	answer.Partial = b.Partial && b.Knows.Term == h.term && b.Knows.Number >= h.roster.since
-	var told []*nodeState
+	answer.Partial = b.Partial && b.Knows.Term == h.term && b.Knows.Number >= h.roster.discardedUpTo
+	var changed []*nodeState
 	for _, other := range h.nodes {
 		if !answer.Partial || other.changed > b.Knows.Number {
-			told = append(told, other)
+			changed = append(changed, other)
 		}
 	}
-	if b.Paged && len(told) > mostNodesTold {
-		slices.SortFunc(told, func(a, b *nodeState) int { return cmp.Compare(a.changed, b.changed) })
-		told = told[:mostNodesTold]
-		answer.Version.Number, answer.More = told[mostNodesTold-1].changed, true
+	if b.Paged && len(changed) > maxNodesPerAnswer {
+		slices.SortFunc(changed, func(a, b *nodeState) int { return cmp.Compare(a.changed, b.changed) })
+		changed = changed[:maxNodesPerAnswer]
+		answer.Version.Number, answer.More = changed[maxNodesPerAnswer-1].changed, true
 	}
-	for _, other := range told {
+	for _, other := range changed {
 		answer.Nodes = append(answer.Nodes, other.node)
 	}
 	if !answer.Partial {
 		return
 	}
-	for _, gone := range h.roster.gone {
+	for _, gone := range h.roster.departed {
 		if gone.number > b.Knows.Number && h.nodes[gone.name] == nil {
 			answer.Gone = append(answer.Gone, gone.name)
 		}
 	}
 }
 
-// mostNodesTold is how many nodes one answer tells of, some 20 kB: the answer has beatTimeout to come,
-// over any link and however many nodes there are.
-const mostNodesTold = 256
+// maxNodesPerAnswer is how many nodes one answer lists, some 20 kB: the answer has to arrive within heartbeatTimeout over
+// any link, however many nodes there are.
+const maxNodesPerAnswer = 256
 
-// takeNodes takes in what an answer tells of the nodes. A list that comes in several answers counts
-// once it is whole: who watches and who relays follows from all nodes.
+// takeNodes applies the list of nodes in an answer. A list in several answers is used only when it is complete: which
+// nodes watch the store and which relay changes follows from all nodes.
 func (m *Member) takeNodes(answer *BeatAnswer) {
 	nodes := answer.Nodes
 	switch {
-	case answer.Partial && m.listing != nil:
-		nodes = changedNodes(m.listing, answer)
+	case answer.Partial && m.partialNodes != nil:
+		nodes = changedNodes(m.partialNodes, answer)
 	case answer.Partial:
 		nodes = changedNodes(m.Nodes(), answer)
 	case len(answer.Nodes) == 0:
-		return // as known
+		return // unchanged
 	}
 	m.version = answer.Version
-	if answer.More && (!answer.Partial || m.listing != nil) {
-		m.listing = nodes
+	if answer.More && (!answer.Partial || m.partialNodes != nil) {
+		m.partialNodes = nodes
 		return
 	}
-	m.listing = nil
+	m.partialNodes = nil
 	m.nodes.Store(&nodes)
 }
 
-// changedNodes returns nodes with what an answer tells that changed among them.
+// changedNodes returns the known nodes updated by the changes in an answer.
 func changedNodes(known []Node, answer *BeatAnswer) []Node {
-	moved := make(map[string]bool, len(answer.Gone)+len(answer.Nodes))
+	changed := make(map[string]bool, len(answer.Gone)+len(answer.Nodes))
 	for _, name := range answer.Gone {
-		moved[name] = true
+		changed[name] = true
 	}
 	for i := range answer.Nodes {
-		moved[answer.Nodes[i].Name] = true
+		changed[answer.Nodes[i].Name] = true
 	}
-	nodes := slices.DeleteFunc(slices.Clone(known), func(n Node) bool { return moved[n.Name] })
+	nodes := slices.DeleteFunc(slices.Clone(known), func(n Node) bool { return changed[n.Name] })
 	return append(nodes, answer.Nodes...)
 }
 
-// stallTime is how long the holder may leave its nodes' beats alone: some ticks. It counts no longer
-// time as their silence: a holder that planned for over three seconds, or had no processor, took all
-// nodes for silent before it looked at their beats, and told all nodes of all nodes anew.
-const stallTime = 3 * tickInterval
+// maxStall is how long the holder may process no heartbeats, some ticks. Longer times are not counted as silence of the
+// nodes: otherwise a holder that plans for over three seconds, or gets no processor time, takes all nodes for silent
+// before it reads their heartbeats, and sends the whole list to all of them.
+const maxStall = 3 * tickInterval
 
-// forgiveStall takes the time in which the holder did not look at beats out of the nodes' silence.
-func (h *Holder) forgiveStall(now time.Time) {
-	if stalled := now.Sub(h.expiredAt); stalled > stallTime {
+// discountStall removes the time in which the holder processed no heartbeats from the nodes' silence.
+func (h *Holder) discountStall(now time.Time) {
+	if stalled := now.Sub(h.lastExpiry); stalled > maxStall {
 		h.Logger.Warn("holder stalled", "ms", stalled.Milliseconds(), "nodes", len(h.nodes), "term", h.term)
 		for _, n := range h.nodes {
 			n.seen = n.seen.Add(stalled)
 		}
 	}
-	h.expiredAt = now
+	h.lastExpiry = now
 }
--- a/pkg/coordinator/roster_test.go
+++ b/pkg/coordinator/roster_test.go
@@ -15,15 +15,17 @@
 	"martenwheel.dev/pkg/policy"
 )
 
-// After all 302 nodes of a site before 3,000 servers had been lost, each beat was answered with the list
-// of all nodes, 25.6 kB, since some node had just come or gone; the holder, at 3.7 MB a second, answered
-// most beats later than the 0.7 s that nodes wait, so that they never learned of each other. And
-// whenever the holder had no time for beats for three seconds it took all nodes for silent before it
-// looked at the beats that waited: 270 to 300 lines "node silent" and "node joined" within a second, again
-// and again.
+// After all 302 nodes of a site with 3,000 servers had restarted, each heartbeat was answered with
+// the list of all nodes, 25.6 kB, since some node had always just come or gone. At 3.7 MB/s the
+// holder answered most heartbeats after more than the 0.7 s that nodes wait, so nodes never learned
+// of each other.
+//
+// Whenever the holder had no time for heartbeats for three seconds, it counted all nodes as silent
+// before it read the waiting heartbeats: it logged "node silent" and "node joined" 270 to 300 times
+// within a second, again and again.
 
-// beatWith has a node beat and returns the answer.
-func beatWith(t testing.TB, n *node, b Beat) BeatAnswer {
+// sendHeartbeat sends a heartbeat of a node and returns the answer.
+func sendHeartbeat(t testing.TB, n *node, b Beat) BeatAnswer {
 	t.Helper()
 	reply, err := n.holder.HandleMessage(t.Context(), api.NodeRef{}, b)
 	if err != nil {
@@ -32,15 +34,16 @@
 	return reply.(BeatAnswer)
 }
 
-// TestNodesKnowOfEachOtherByChanges: nodes come, change, fall silent and miss answers in any order;
-// each that was answered knows the same nodes as the holder, told in whole or by changes.
+// TestNodesKnowOfEachOtherByChanges has nodes come, change, fall silent and lose answers in random
+// order. Each node that receives an answer must know the same nodes as the holder, whether the
+// answer has the whole list or only changes.
 func TestNodesKnowOfEachOtherByChanges(t *testing.T) {
 	for seed := range uint64(30) {
 		synctest.Test(t, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 1))
 			s := newSite(t, []string{"m0"})
 			n := s.start("holder")
-			n.hold()
+			n.waitForLease()
 			defer n.stop()
 			members := make([]*Member, 8)
 			partial := 0
@@ -52,12 +55,12 @@
 				switch random.IntN(8) {
 				case 0:
 					m.Self.Life++
-					m.nodes.Store(nil) // a new life knows nothing
+					m.nodes.Store(nil) // a new incarnation knows nothing
 					m.version = NodesVersion{}
 				case 1:
 					time.Sleep(time.Duration(random.Int64N(int64(nodeExpiry))))
 				}
-				answer := beatWith(t, n, Beat{Node: m.Self, Knows: m.version, Partial: random.IntN(4) > 0})
+				answer := sendHeartbeat(t, n, Beat{Node: m.Self, Knows: m.version, Partial: random.IntN(4) > 0})
 				if random.IntN(4) == 0 {
 					continue // the answer is lost
 				}
@@ -65,19 +68,19 @@
 					partial++
 				}
 				m.takeNodes(&answer)
-				whole := beatWith(t, n, Beat{Node: m.Self})
+				whole := sendHeartbeat(t, n, Beat{Node: m.Self})
 				if got, want := namesOf(m.Nodes()), namesOf(whole.Nodes); !slices.Equal(got, want) {
 					t.Fatalf("seed %d: %s knows %v, the holder %v", seed, m.Self.Name, got, want)
 				}
 			}
 			if partial == 0 {
-				t.Error("no answer told of changes alone")
+				t.Error("no answer contained only changes")
 			}
 		})
 	}
 }
 
-// namesOf returns the lives of nodes, in order.
+// namesOf returns the names of the nodes with their incarnations, sorted.
 func namesOf(nodes []Node) []string {
 	var names []string
 	for _, n := range nodes {
@@ -87,39 +90,39 @@
 	return names
 }
 
-// TestAHolderThatStalledKeepsItsNodes: what it did not look at is no silence; a node that is silent is
-// found out all the same.
+// TestAHolderThatStalledKeepsItsNodes checks that heartbeats which a stalled holder has not read yet
+// don't count as missing, and that a node which is really silent is still detected.
 func TestAHolderThatStalledKeepsItsNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, []string{"m0"})
 		n := s.start("holder")
-		n.hold()
+		n.waitForLease()
 		defer n.stop()
-		beats := []Beat{{Node: Node{Name: "a"}}, {Node: Node{Name: "b"}}}
-		for _, b := range beats {
-			beatWith(t, n, b)
+		heartbeats := []Beat{{Node: Node{Name: "a"}}, {Node: Node{Name: "b"}}}
+		for _, b := range heartbeats {
+			sendHeartbeat(t, n, b)
 		}
-		before := beatWith(t, n, beats[0]).Version
+		before := sendHeartbeat(t, n, heartbeats[0]).Version
 		for range 5 {
 			n.holder.post(func() { time.Sleep(nodeExpiry + time.Second) })
 			time.Sleep(nodeExpiry + 2*time.Second)
-			for _, b := range beats {
-				beatWith(t, n, b)
+			for _, b := range heartbeats {
+				sendHeartbeat(t, n, b)
 			}
 		}
-		if after := beatWith(t, n, beats[0]).Version; after != before {
+		if after := sendHeartbeat(t, n, heartbeats[0]).Version; after != before {
 			t.Errorf("the list of nodes changed from %+v to %+v", before, after)
 		}
 		time.Sleep(2 * time.Second)
-		beatWith(t, n, beats[0])
+		sendHeartbeat(t, n, heartbeats[0])
 		time.Sleep(2 * time.Second)
-		if got := namesOf(beatWith(t, n, Beat{Node: beats[0].Node}).Nodes); !slices.Equal(got, []string{"a/0"}) {
-			t.Errorf("the nodes are %v, and b was silent for 4 s", got)
+		if got := namesOf(sendHeartbeat(t, n, Beat{Node: heartbeats[0].Node}).Nodes); !slices.Equal(got, []string{"a/0"}) {
+			t.Errorf("the nodes are %v, want only a: b was silent for 4 s", got)
 		}
 	})
 }
 
-// slowDecider is a decider whose decisions take a while, as those for thousands of servers do.
+// slowDecider is a decider whose decisions take as long as those for thousands of servers.
 type slowDecider struct {
 	policy.Decider
 	took time.Duration
@@ -130,15 +133,16 @@
 	return d.Decider.Decide(now, input)
 }
 
-// TestBeatsAreAnsweredBesideLongPlans: a holder whose plans took longer than its ticks are apart made one
-// plan after the other. A beat and a tick that both waited had the same chance, so that some five beats
-// a second were answered: at 302 nodes before 3,000 servers, whose first reports wait there as well, all
-// nodes were silent for some three seconds, were heard, and were silent again.
-func TestBeatsAreAnsweredBesideLongPlans(t *testing.T) {
+// TestHeartbeatsAreAnsweredDuringLongPlans has plans that take longer than the interval of the
+// holder's ticks, so that the holder plans without pause. When a waiting heartbeat and a waiting
+// tick had the same chance, about five heartbeats per second were answered. With 302 nodes and 3,000
+// servers, whose first reports wait in the same queue, all nodes were silent for about three
+// seconds, then heard, and then silent again.
+func TestHeartbeatsAreAnsweredDuringLongPlans(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, []string{"m0"})
 		n := s.start("holder")
-		n.hold()
+		n.waitForLease()
 		defer n.stop()
 		n.holder.Decider = slowDecider{n.holder.Decider, 300 * time.Millisecond}
 		const nodes, seconds = 302, 5
@@ -148,7 +152,7 @@
 			all.Go(func() {
 				time.Sleep(time.Duration(i) * time.Second / nodes)
 				for range seconds {
-					ctx, cancel := context.WithTimeout(t.Context(), beatTimeout)
+					ctx, cancel := context.WithTimeout(t.Context(), heartbeatTimeout)
 					if _, err := n.holder.HandleMessage(ctx, api.NodeRef{}, Beat{Node: Node{Name: fmt.Sprint("node-", i)}}); err != nil {
 						late.Add(1)
 					}
@@ -159,43 +163,43 @@
 		}
 		all.Wait()
 		if n := late.Load(); n > 0 {
-			t.Errorf("%d of %d beats were not answered within %v", n, nodes*seconds, beatTimeout)
+			t.Errorf("%d of %d heartbeats were not answered within %v", n, nodes*seconds, heartbeatTimeout)
 		}
 	})
 }
 
-// TestAListOfNodesComesInAnswersOfOneSize: however many nodes there are, an answer tells of some; a
-// node knows none of the others before it was told all, and then the same ones as the holder. Nodes of
-// a build that does not ask for pages are told at once.
+// TestAListOfNodesComesInAnswersOfOneSize checks that the size of an answer does not grow with the
+// number of nodes. A node uses none of a list before it has all its pages, and then knows the same
+// nodes as the holder. Nodes of a build that does not ask for pages get the whole list at once.
 func TestAListOfNodesComesInAnswersOfOneSize(t *testing.T) {
 	for _, size := range []int{300, 900} {
 		synctest.Test(t, func(t *testing.T) {
 			s := newSite(t, []string{"m0"})
 			n := s.start("holder")
-			n.hold()
+			n.waitForLease()
 			defer n.stop()
 			for i := range size {
-				beatWith(t, n, Beat{Node: Node{Name: fmt.Sprintf("node-%d", i)}})
+				sendHeartbeat(t, n, Beat{Node: Node{Name: fmt.Sprintf("node-%d", i)}})
 			}
 			m := &Member{Self: Node{Name: "node-0"}}
 			answers := 0
 			for answer := (BeatAnswer{More: true}); answer.More; answers++ {
-				if answers > size/mostNodesTold+2 {
-					t.Fatalf("no whole list of %d nodes after %d answers", size, answers)
+				if answers > size/maxNodesPerAnswer+2 {
+					t.Fatalf("the list of %d nodes is not complete after %d answers", size, answers)
 				}
-				answer = beatWith(t, n, Beat{Node: m.Self, Knows: m.version, Partial: true, Paged: true})
-				if len(answer.Nodes) > mostNodesTold {
-					t.Errorf("an answer tells of %d nodes", len(answer.Nodes))
+				answer = sendHeartbeat(t, n, Beat{Node: m.Self, Knows: m.version, Partial: true, Paged: true})
+				if len(answer.Nodes) > maxNodesPerAnswer {
+					t.Errorf("an answer contains %d nodes", len(answer.Nodes))
 				}
 				m.takeNodes(&answer)
 				if known := m.Known(); known == answer.More {
 					t.Errorf("after an answer with more to come, %t, the nodes are known: %t", answer.More, known)
 				}
-				if answers == 0 { // one comes meanwhile
-					beatWith(t, n, Beat{Node: Node{Name: "late"}})
+				if answers == 0 { // a node joins between the pages
+					sendHeartbeat(t, n, Beat{Node: Node{Name: "late"}})
 				}
 			}
-			whole := beatWith(t, n, Beat{Node: m.Self})
+			whole := sendHeartbeat(t, n, Beat{Node: m.Self})
 			if got, want := namesOf(m.Nodes()), namesOf(whole.Nodes); !slices.Equal(got, want) || len(got) != size+1 {
 				t.Errorf("the node knows %d nodes, the holder %d", len(got), len(want))
 			}
--- a/pkg/coordinator/server.go
+++ b/pkg/coordinator/server.go
@@ -11,44 +11,44 @@
 	"martenwheel.dev/pkg/revision"
 )
 
-// serverState is what the holder knows of one life of a server.
+// serverState is what the holder knows of one incarnation of a server.
 type serverState struct {
-	id         string
-	member     *backend.Member   // nil: gone
-	removed    bool              // the platform does not list it any more
-	sequence   uint64            // orders that it has surely taken
-	version    revision.Revision // of the record that was taken in
-	holds      map[string]*holding
-	cached     map[string]tier // copies of weights near it
-	quietUntil time.Time       // orders of another holder may have just come
-	recheck    bool            // it is to be asked once more after that
-	asking     bool            // an order or a report is under way
-	reportAt   time.Time       // when to look at it
-	shortUntil time.Time       // it turns requests away, by its limit or for a rest
-	unsure     bool            // the number of its orders is to be asked for
-	untouched  bool            // it got no order of this term: it is neither asked nor guarded before one
-	failures   int             // calls without an answer, in a row
-	busy       *operation      // the load or unload of a model
-	inherited  lease.Intent    // the last order of an earlier holder
-	mayCome    uint64          // earlier holders gave it orders up to this number
-	guarded    bool            // late orders of the last holder may change it
-	doubt      *order          // without an answer; only the same may follow
-	repeat     bool            // the order in doubt was not taken yet, by a report
-	avoidUntil time.Time       // it refused an order
-	goneUntil  time.Time       // it refused a connection
-	reserved   reservation
-	acceptedAt time.Time // of the last order; reports lag behind it
-	lives      *instance // what all lives of the server share
+	id              string
+	member          *backend.Member   // nil: gone
+	removed         bool              // the platform no longer lists it
+	sequence        uint64            // number of orders that it has certainly accepted
+	version         revision.Revision // of the record that was last read
+	holds           map[string]*holding
+	cached          map[string]tier // where copies of weights are kept near it
+	quietUntil      time.Time       // no orders before: orders of another holder may have just arrived
+	recheck         bool            // request another report after quietUntil
+	asking          bool            // an order or a report is under way
+	reportAt        time.Time       // when to request the next report; zero: not needed
+	overloadedUntil time.Time       // it rejects requests, by its limit or as it backs off
+	sequenceUnknown bool            // sequence, or what it holds, is uncertain: a report is needed
+	untouched       bool            // had no order in this term: not polled or fenced until its first order
+	failures        int             // consecutive calls without an answer
+	busy            *operation      // load or unload of a model under way
+	inherited       lease.Intent    // last order of an earlier holder
+	maxLateSequence uint64          // highest sequence that orders of earlier holders lead to
+	needsFence      bool            // late orders of the last holder may still change it
+	unresolved      *order          // order without an answer, outcome unknown; only the same order may follow
+	resend          bool            // by a report, the unresolved order was not accepted yet
+	avoidUntil      time.Time       // it refused an order or did not answer
+	goneUntil       time.Time       // it refused a connection
+	reserved        reservation
+	acceptedAt      time.Time // of the last order; reports lag behind it
+	instance        *instance // shared by all incarnations of the server
 }
 
 // holding is a model on a server.
 type holding struct {
 	since    time.Time
-	adapters map[string]time.Time // when last used
-	arriving map[string]time.Time // adapters on their way, until
+	adapters map[string]time.Time // last use of each
+	arriving map[string]time.Time // adapters being loaded, with the time by which they should show
 }
 
-// tier is where a copy of weights lies.
+// tier tells where a copy of weights is kept.
 type tier = engine.CacheTier
 
 const (
@@ -59,18 +59,18 @@
 // operation is an order that is being carried out.
 type operation struct {
 	order
-	since   time.Time
-	readyAt time.Time     // expected
-	fetch   bool          // from the weight store
-	beside  int           // loads from the weight store under way when it began, itself among them; zero: not known
-	told    time.Duration // that the site tells for the load
+	since             time.Time
+	readyAt           time.Time     // expected end
+	fetch             bool          // the weights come from the weight store
+	concurrentFetches int           // loads from the weight store under way when it began, including itself; zero: not known
+	nominal           time.Duration // configured duration of the load
 }
 
-// server returns the state of a server, made if it is new.
+// server returns the state of a server, creating it if needed.
 func (h *Holder) server(id string) *serverState {
 	s := h.servers[id]
 	if s == nil {
-		s = &serverState{id: id, lives: h.instance(id), guarded: h.guarding, quietUntil: h.quietUntil, holds: make(map[string]*holding), cached: make(map[string]tier)}
+		s = &serverState{id: id, instance: h.instance(id), needsFence: h.fenceAll, quietUntil: h.quietUntil, holds: make(map[string]*holding), cached: make(map[string]tier)}
 		h.servers[id] = s
 	}
 	return s
@@ -87,60 +87,60 @@
 	}
 }
 
-// rest returns how long a server is left alone after failures in a row.
-func (s *serverState) rest() time.Duration {
-	return time.Duration(min(s.failures, mostRests)) * reportPause
+// backoff returns how long a server is left alone after consecutive failures.
+func (s *serverState) backoff() time.Duration {
+	return time.Duration(min(s.failures, maxBackoffSteps)) * reportPause
 }
 
-// mostRests bounds rest, in pauses.
-const mostRests = 8
+// maxBackoffSteps bounds backoff, in multiples of reportPause.
+const maxBackoffSteps = 8
 
-// learn takes in the newest records of the servers. Records lag and don't tell
-// how many orders a server has taken, so they only add to what it is believed to
-// hold; when one lacks something, the server is asked.
-func (h *Holder) learn(now time.Time) {
+// learnRecords applies the latest records of the servers. Records lag and don't tell how many orders a server
+// has accepted, so they only add to what it is assumed to hold; when one lacks something, the server is asked
+// for a report.
+func (h *Holder) learnRecords(now time.Time) {
 	snapshot := h.Servers.Snapshot()
 	for id, m := range snapshot.Members() {
 		s := h.server(id)
 		fresh := s.member == nil
 		s.member = m
 		if fresh {
-			s.begin(now)
-			h.learnOf(now, s)
+			s.inheritQuiet(now)
+			h.learnServer(now, s)
 		}
 		if m.Server.Version == s.version && !fresh {
 			continue
 		}
 		s.version = m.Server.Version
 		if now.Sub(s.acceptedAt) > recordLag {
-			s.cache(m.InMemory, m.OnDisk)
+			s.setCached(m.InMemory, m.OnDisk)
 		}
 		for i := range m.Models {
-			s.add(now, &m.Models[i])
+			s.addHolding(now, &m.Models[i])
 		}
 		if s.untouched {
-			s.forget(m.Models) // nobody but the last holder, which is over, can have changed it
+			s.dropUnlisted(m.Models) // only the last holder, whose term is over, can have changed it
 			continue
 		}
-		if len(m.Models) < len(s.holds) && s.busy == nil && !s.unsure {
-			s.unsure, s.reportAt = true, now.Add(recordLag)
+		if len(m.Models) < len(s.holds) && s.busy == nil && !s.sequenceUnknown {
+			s.sequenceUnknown, s.reportAt = true, now.Add(recordLag)
 		}
-		// A younger load may be of a model that the record shows from before.
+		// After a recent load, the record may show the model from before.
 		if s.busy != nil && s.busy.load && now.Sub(s.busy.since) > recordLag {
-			h.settle(now, s, func(name string) bool { return m.Holds(backend.Need{Model: name}) })
+			h.completeOperation(now, s, func(name string) bool { return m.Holds(backend.Need{Model: name}) })
 		}
 	}
 	for id, s := range h.servers {
 		if snapshot.Member(id) == nil && s.member != nil {
-			h.loseLoad(now, s)
-			s.removed = true // an index may list it still
+			h.noteLoadCrash(now, s)
+			s.removed = true // an index may still list it
 			delete(h.servers, id)
 		}
 	}
 }
 
-// forget has an untouched server hold what its record tells alone.
-func (s *serverState) forget(models []backend.Holding) {
+// dropUnlisted removes the models that the record of an untouched server does not list.
+func (s *serverState) dropUnlisted(models []backend.Holding) {
 	for name := range s.holds {
 		if !slices.ContainsFunc(models, func(m backend.Holding) bool { return m.Model == name }) {
 			delete(s.holds, name)
@@ -148,40 +148,41 @@
 	}
 }
 
-// mostAskedAtOnce is how many servers a new holder asks at once how many orders they took: all of a small
-// site, so that the first orders find them known. Of thousands few get an order in a term, and each
-// question is a new connection: the others are asked right before their first one.
-const mostAskedAtOnce = 256
+// maxInitialReports is how many servers a new holder asks at once for their sequences: all of a small site, so
+// that they are known before the first orders. Of thousands of servers few get an order in a term, and each
+// report takes a new connection: the others are asked right before their first order.
+const maxInitialReports = 256
 
-// learnOf takes in a server that the holder did not know.
-func (h *Holder) learnOf(now time.Time, s *serverState) {
-	if h.learned++; h.learned > mostAskedAtOnce && !s.recheck && s.inherited == (lease.Intent{}) {
+// learnServer handles a server that the holder did not know.
+func (h *Holder) learnServer(now time.Time, s *serverState) {
+	if h.learned++; h.learned > maxInitialReports && !s.recheck && s.inherited == (lease.Intent{}) {
 		s.untouched = true
 		return
 	}
-	s.ask(now)
+	s.requestReport(now)
 }
 
-// ask has a server asked for the number of its orders and what it holds.
-func (s *serverState) ask(now time.Time) { s.untouched, s.unsure, s.reportAt = false, true, now }
+// requestReport schedules a report on the server's sequence and what it holds.
+func (s *serverState) requestReport(now time.Time) {
+	s.untouched, s.sequenceUnknown, s.reportAt = false, true, now
+}
 
-// prepare prepares an untouched server for its first order, which follows once it was asked and, if
-// late orders of the last holder may come, sees this holder's fence. It returns whether the order
-// may go out now.
+// prepare readies an untouched server for its first order, which follows after a report and, if late orders of
+// the last holder may come, after it has seen this holder's fence. It returns whether the order may be sent now.
 func (h *Holder) prepare(now time.Time, s *serverState) bool {
 	if !s.untouched {
 		return true
 	}
-	s.ask(now)
+	s.requestReport(now)
 	h.planSoon = true
 	return false
 }
 
-// recordLag is how far the record of a server may lie behind.
+// recordLag is how far the record of a server may lag behind its state.
 const recordLag = 2 * time.Second
 
-// add notes that a server holds a model with adapters.
-func (s *serverState) add(now time.Time, m *backend.Holding) *holding {
+// addHolding records that a server holds a model with adapters.
+func (s *serverState) addHolding(now time.Time, m *backend.Holding) *holding {
 	known := s.holds[m.Model]
 	if known == nil {
 		known = &holding{since: now, adapters: make(map[string]time.Time), arriving: make(map[string]time.Time)}
@@ -196,14 +197,14 @@
 	return known
 }
 
-// take takes in a server's own word on what it holds after so many orders.
-func (h *Holder) take(now time.Time, s *serverState, r Report) {
+// applyReport applies a server's report of what it holds and of its sequence.
+func (h *Holder) applyReport(now time.Time, s *serverState, r Report) {
 	s.sequence = r.Sequence
 	listed := make(map[string]bool, len(r.Models))
 	for i := range r.Models {
 		m := &r.Models[i]
 		listed[m.Model] = true
-		known := s.add(now, m)
+		known := s.addHolding(now, m)
 		for name := range known.adapters {
 			if !slices.Contains(m.Adapters, name) && now.After(known.arriving[name]) {
 				delete(known.adapters, name)
@@ -217,16 +218,16 @@
 	}
 	for _, need := range r.Arriving {
 		if known := s.holds[need.Model]; known != nil && !now.Before(known.arriving[need.Adapter]) {
-			known.arriving[need.Adapter] = now.Add(arriveTime) // ordered by an earlier holder
+			known.arriving[need.Adapter] = now.Add(adapterRecordTime) // ordered by an earlier holder
 		}
 	}
 	if s.busy != nil && (s.busy.load || !r.Busy && s.sequence >= s.busy.after) {
-		h.settle(now, s, func(name string) bool { return listed[name] })
+		h.completeOperation(now, s, func(name string) bool { return listed[name] })
 	}
 }
 
-// settle ends the operation that what the server holds shows to be done.
-func (h *Holder) settle(now time.Time, s *serverState, holds func(model string) bool) {
+// completeOperation ends the operation of a server if what the server holds shows that it is done.
+func (h *Holder) completeOperation(now time.Time, s *serverState, holds func(model string) bool) {
 	op := s.busy
 	if op == nil || holds(op.need.Model) != op.load {
 		return
@@ -239,17 +240,17 @@
 	h.Logger.Info("order done", "server", s.id, "load", op.load, "model", op.need.String(),
 		"ms", now.Sub(op.since).Milliseconds(), "expected_ms", op.readyAt.Sub(op.since).Milliseconds())
 	if op.load {
-		h.loaded(s.member.Service, op.need.Model)
-		h.tell(Notice{Server: s.id, Need: op.need.Model, Holds: true})
+		h.noteLoaded(s.member.Service, op.need.Model)
+		h.sendNotice(Notice{Server: s.id, Need: op.need.Model, Holds: true})
 	}
-	if op.load && op.fetch && op.beside > 0 {
-		h.learnStore(now, op)
+	if op.load && op.fetch && op.concurrentFetches > 0 {
+		h.observeStoreLoad(now, op)
 	}
 }
 
-// cache takes in which weights lie near the server, in place of what was known: a
-// server drops the copies that were unused for longest. Without lists nothing was told.
-func (s *serverState) cache(memory, disk []string) {
+// setCached replaces the list of weights kept near the server: a server drops the least recently used copies.
+// If both lists are nil, nothing was reported.
+func (s *serverState) setCached(memory, disk []string) {
 	if memory == nil && disk == nil {
 		return
 	}
@@ -262,8 +263,8 @@
 	}
 }
 
-// lose notes that a server refused a node's connection.
-func (h *Holder) lose(now time.Time, id string) {
+// noteConnectionRefused records that a server refused a node's connection.
+func (h *Holder) noteConnectionRefused(now time.Time, id string) {
 	s := h.servers[id]
 	if s == nil || s.member == nil {
 		return
@@ -274,34 +275,36 @@
 	s.goneUntil = now.Add(backend.GoneTime)
 }
 
-// gone tells whether a node found lately that nobody listens at the server's address.
+// gone tells whether a node recently found that nothing listens at the server's address.
 func (s *serverState) gone(now time.Time) bool {
 	return now.Before(s.goneUntil) || s.member != nil && s.member.Gone(now)
 }
 
 // usable tells whether orders may be given to the server.
 func (s *serverState) usable(now time.Time) bool {
-	return s.member != nil && !s.gone(now) && s.member.Rest(now) == 0 && (!s.guarded || s.untouched) && !s.unsure && !s.recheck && !s.member.Withdrawn() && !now.Before(s.quietUntil) && !now.Before(s.avoidUntil) &&
-		!s.lives.mayCross(now, s.id, s.sequence+1)
+	return s.member != nil && !s.gone(now) && s.member.Rest(now) == 0 && (!s.needsFence || s.untouched) && !s.sequenceUnknown && !s.recheck && !s.member.Withdrawn() && !now.Before(s.quietUntil) && !now.Before(s.avoidUntil) &&
+		!s.instance.mayTakeLateOrder(now, s.id, s.sequence+1)
 }
 
-// silent tells whether the server did not answer a moment ago.
-func (s *serverState) silent(now time.Time) bool { return s.failures > 0 && now.Before(s.avoidUntil) }
+// unresponsive tells whether the server recently failed to answer.
+func (s *serverState) unresponsive(now time.Time) bool {
+	return s.failures > 0 && now.Before(s.avoidUntil)
+}
 
-// heldBy returns a server that holds what a request needs, "" if none does; one that is short of room only if
-// no other one does. The holder's own word goes before that of the records.
+// heldBy returns a server that holds what a request needs, "" if there is none; an overloaded server only if
+// there is no other. It goes by the holder's own state, which is newer than the records.
 func (h *Holder) heldBy(now time.Time, service string, need backend.Need) string {
-	short := ""
+	overloaded := ""
 	for _, s := range h.candidates(service, need) {
-		if s.removed || s.member.Withdrawn() || s.silent(now) || s.gone(now) || s.unsure || !s.ready(now, need) {
+		if s.removed || s.member.Withdrawn() || s.unresponsive(now) || s.gone(now) || s.sequenceUnknown || !s.ready(now, need) {
 			continue
 		}
-		if !s.short(now) {
+		if !s.overloaded(now) {
 			return s.id
 		}
-		short = s.id
+		overloaded = s.id
 	}
-	return short
+	return overloaded
 }
 
 // candidates returns the servers that may hold what a request needs.
@@ -309,10 +312,10 @@
 	if need.Model == "" {
 		return h.indexOf(service).servers
 	}
-	return h.holdersOf(service, need.Model)
+	return h.serversWith(service, need.Model)
 }
 
-// ready tells whether the server surely holds what a request needs.
+// ready tells whether the server certainly holds what a request needs.
 func (s *serverState) ready(now time.Time, need backend.Need) bool {
 	known := s.holds[need.Model]
 	if known == nil || s.busy != nil && s.busy.need.Model == need.Model {
@@ -325,13 +328,12 @@
 	return has
 }
 
-// doubtHolding has a server asked that told a node that it does not hold what
-// it is believed to hold.
-func (h *Holder) doubtHolding(now time.Time, id string, need backend.Need) {
+// recheckHolding requests a report from a server that told a node that it lacks a model that it should hold.
+func (h *Holder) recheckHolding(now time.Time, id string, need backend.Need) {
 	s := h.servers[id]
-	if s == nil || s.unsure || !s.ready(now, need) {
+	if s == nil || s.sequenceUnknown || !s.ready(now, need) {
 		return
 	}
 	h.Logger.Info("server lacks a model", "server", id, "model", need.String())
-	s.ask(now)
+	s.requestReport(now)
 }
--- a/pkg/coordinator/slots.go
+++ b/pkg/coordinator/slots.go
@@ -9,7 +9,7 @@
 	"martenwheel.dev/pkg/peer"
 )
 
-// AskSlot asks the holder for a slot at one of some servers that limit their requests.
+// AskSlot asks the holder for a slot at one of several servers that limit their request rate.
 type AskSlot struct {
 	Servers []backpressure.Ask
 	Within  time.Duration
@@ -23,63 +23,63 @@
 
 func init() { peer.Register(AskSlot{}, SlotAnswer{}) }
 
-// mostAskedSlots bounds the servers of one question that the holder looks at.
-const mostAskedSlots = 64
+// maxSlotServers bounds how many servers of one question the holder considers.
+const maxSlotServers = 64
 
-// slotRest is how long a node that was told that there is no slot turns requests away by itself: slots are
-// given out for a second ahead, so that none is lost by it, and a flood asks the holder ten times a second.
-const slotRest = 100 * time.Millisecond
+// slotBackoff is how long a node that was refused a slot refuses requests by itself. Slots are granted up to a second
+// ahead, so that none is lost by it, and a flood of requests asks the holder ten times per second.
+const slotBackoff = 100 * time.Millisecond
 
-// slotRests are the servers at which there was no slot a moment ago. The zero value is ready to use. Safe for
-// concurrent use.
-type slotRests struct {
-	mu   sync.Mutex
-	told map[string]slotRefusal // by the life of the server that was asked for first
+// slotBackoffs are the servers that recently had no free slot. The zero value is ready to use. Safe for concurrent use.
+type slotBackoffs struct {
+	mu       sync.Mutex
+	refusals map[string]slotRefusal // by the incarnation of the server that was asked for first
 }
 
-// slotRefusal is the last word on a server, and how many requests went by it since.
+// slotRefusal is the last refusal for a server, and how many requests were refused by it locally.
 type slotRefusal struct {
-	at   time.Time
-	slot backpressure.Slot
-	more int
+	at       time.Time
+	slot     backpressure.Slot
+	answered int
 }
 
-// look returns what a request to a server is told without a question, each one to come back a little later.
-func (r *slotRests) look(now time.Time, a backpressure.Ask) (backpressure.Slot, bool) {
+// lookup returns a refusal for a request without asking the holder, if there was one recently. Each request is told to
+// retry a little later than the one before.
+func (r *slotBackoffs) lookup(now time.Time, a backpressure.Ask) (backpressure.Slot, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	last, told := r.told[a.Server]
-	if !told || now.Sub(last.at) >= slotRest {
+	last, recent := r.refusals[a.Server]
+	if !recent || now.Sub(last.at) >= slotBackoff {
 		return backpressure.Slot{}, false
 	}
-	last.more++
-	r.told[a.Server] = last
-	return backpressure.Slot{Wait: last.slot.Wait + time.Duration(last.more)*a.Interval()}, true
+	last.answered++
+	r.refusals[a.Server] = last
+	return backpressure.Slot{Wait: last.slot.Wait + time.Duration(last.answered)*a.Interval()}, true
 }
 
-// refused notes that there was no slot.
-func (r *slotRests) refused(now time.Time, server string, s backpressure.Slot) {
+// refused records that there was no free slot.
+func (r *slotBackoffs) refused(now time.Time, server string, s backpressure.Slot) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.told == nil {
-		r.told = make(map[string]slotRefusal)
+	if r.refusals == nil {
+		r.refusals = make(map[string]slotRefusal)
 	}
-	for id, last := range r.told {
-		if now.Sub(last.at) >= slotRest {
-			delete(r.told, id)
+	for id, last := range r.refusals {
+		if now.Sub(last.at) >= slotBackoff {
+			delete(r.refusals, id)
 		}
 	}
-	r.told[server] = slotRefusal{at: now, slot: s}
+	r.refusals[server] = slotRefusal{at: now, slot: s}
 }
 
 // TakeSlot implements relay.Slots.
 func (m *Member) TakeSlot(ctx context.Context, asks []backpressure.Ask, within time.Duration) (backpressure.Slot, error) {
-	if s, told := m.slotRests.look(m.Time.Now(), asks[0]); told {
+	if s, refused := m.slotBackoffs.lookup(m.Time.Now(), asks[0]); refused {
 		return s, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, drawTimeout)
 	defer cancel()
-	answer, err := ask[SlotAnswer](ctx, m, AskSlot{Servers: asks, Within: within})
+	answer, err := callHolder[SlotAnswer](ctx, m, AskSlot{Servers: asks, Within: within})
 	if err == nil && answer.Term == 0 {
 		err = ErrNoHolder
 	}
@@ -87,50 +87,50 @@
 		return backpressure.Slot{}, err
 	}
 	if !answer.Slot.Granted {
-		m.slotRests.refused(m.Time.Now(), asks[0].Server, answer.Slot)
+		m.slotBackoffs.refused(m.Time.Now(), asks[0].Server, answer.Slot)
 	}
 	return answer.Slot, nil
 }
 
-// giveSlot gives out a slot. It does not wait for the holder's goroutine, which may be planning.
-func (h *Holder) giveSlot(now time.Time, a AskSlot) SlotAnswer {
+// grantSlot grants a slot if there is one. It does not wait for the goroutine of Run, which may be planning.
+func (h *Holder) grantSlot(now time.Time, a AskSlot) SlotAnswer {
 	term, held := h.Lease.Held()
-	if !held || !h.isFollowed(now) {
+	if !held || !h.hasMajority(now) {
 		return SlotAnswer{}
 	}
 	h.slots.Begin(now, term)
-	return SlotAnswer{Term: term, Slot: h.slots.Take(now, a.Servers[:min(len(a.Servers), mostAskedSlots)], a.Within)}
+	return SlotAnswer{Term: term, Slot: h.slots.Take(now, a.Servers[:min(len(a.Servers), maxSlotServers)], a.Within)}
 }
 
-// noteShort notes which servers have too little room for what comes: their limit turned requests away.
-func (h *Holder) noteShort(now time.Time) {
+// noteOverloaded marks the servers as overloaded whose limit had requests rejected.
+func (h *Holder) noteOverloaded(now time.Time) {
 	for _, id := range h.slots.Short(now) {
-		h.shorten(now, id, leastShort)
+		h.markOverloaded(now, id, minOverload)
 	}
 }
 
-// Bounds of how long a server counts as short of room by one word: until the next plans have seen it, and no
-// longer than a load takes, after which the nodes say again what is so.
+// Limits of how long a server counts as overloaded by one report: until the next plans have considered it, and no
+// longer than a load takes, after which the nodes report again.
 const (
-	leastShort = time.Second
-	mostShort  = 5 * time.Second
+	minOverload = time.Second
+	maxOverload = 5 * time.Second
 )
 
-// shorten notes that a server turns requests away for some time.
-func (h *Holder) shorten(now time.Time, id string, d time.Duration) {
+// markOverloaded records that a server rejects requests for some time.
+func (h *Holder) markOverloaded(now time.Time, id string, d time.Duration) {
 	s := h.servers[id]
 	if s == nil {
 		return
 	}
-	if !s.short(now) {
-		h.Logger.Info("server is short of room", "server", id, "models", len(s.holds), "for_ms", d.Milliseconds())
+	if !s.overloaded(now) {
+		h.Logger.Info("server is overloaded", "server", id, "models", len(s.holds), "for_ms", d.Milliseconds())
 	}
-	s.shortUntil = latest(s.shortUntil, now.Add(min(max(d, leastShort), mostShort)))
+	s.overloadedUntil = latest(s.overloadedUntil, now.Add(min(max(d, minOverload), maxOverload)))
 }
 
-// short tells whether the server turns requests away, by its limit or for a rest, so that another one is to
+// overloaded tells whether the server rejects requests, by its limit or as it backs off, so that another server must
 // hold what it holds.
-func (s *serverState) short(now time.Time) bool { return now.Before(s.shortUntil) }
+func (s *serverState) overloaded(now time.Time) bool { return now.Before(s.overloadedUntil) }
 
-// spared tells whether the server is to get no loads, and other servers are to hold what it holds.
-func (s *serverState) spared(now time.Time) bool { return s.member.Withdrawn() || s.short(now) }
+// excluded tells whether the server must get no loads, and other servers must hold what it holds.
+func (s *serverState) excluded(now time.Time) bool { return s.member.Withdrawn() || s.overloaded(now) }
--- a/pkg/coordinator/slots_test.go
+++ b/pkg/coordinator/slots_test.go
@@ -19,10 +19,11 @@
 	return reply.(SlotAnswer)
 }
 
-// beats has a node beat to its own holder until the test ends, as its member would.
-func (n *node) beats(t *testing.T, name string) {
+// sendHeartbeats sends heartbeats of a node to its own holder until the test ends, as its member
+// would.
+func (n *node) sendHeartbeats(t *testing.T, name string) {
 	go func() {
-		ticker := time.NewTicker(beatInterval)
+		ticker := time.NewTicker(heartbeatInterval)
 		defer ticker.Stop()
 		for {
 			_, _ = n.holder.HandleMessage(t.Context(), api.NodeRef{}, Beat{Node: Node{Name: name, Life: 1, Peers: name}})
@@ -35,17 +36,17 @@
 	}()
 }
 
-// TestAModelWhoseServerLimitsItsRequestsIsLoadedElsewhere: the only server with a model turns requests away
-// by its limit.
+// TestAModelWhoseServerLimitsItsRequestsIsLoadedElsewhere has the rate limit of a model's only
+// server refuse requests. The model must be loaded on another server.
 func TestAModelWhoseServerLimitsItsRequestsIsLoadedElsewhere(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		s := newSite(t, []string{"m0"}, nil)
 		n := s.start("a")
-		n.hold()
-		n.beats(t, "a")
-		time.Sleep(5 * time.Second) // what servers hold is learned
-		if answer := n.wish(t, "m0"); answer.Server != "server-0" {
-			t.Fatalf("it is said to be at %q", answer.Server)
+		n.waitForLease()
+		n.sendHeartbeats(t, "a")
+		time.Sleep(5 * time.Second) // until the holder knows what servers hold
+		if answer := n.requestLoad(t, "m0"); answer.Server != "server-0" {
+			t.Fatalf("the model is located at %q, want server-0", answer.Server)
 		}
 		granted, refused := 0, 0
 		for range 40 {
@@ -57,10 +58,10 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 		if granted < 3 || granted > 5 {
-			t.Errorf("%d slots were given out in 2 s at a limit of 2 a second", granted)
+			t.Errorf("%d slots were granted in 2 s at a limit of 2 per second", granted)
 		}
-		if answer := n.wish(t, "m0"); answer.Server != "" || answer.ReadyIn <= 0 {
-			t.Errorf("a request that was turned away is told %+v", answer)
+		if answer := n.requestLoad(t, "m0"); answer.Server != "" || answer.ReadyIn <= 0 {
+			t.Errorf("the answer to a refused request is %+v", answer)
 		}
 		for range 40 {
 			n.takeSlot(t, "server-0", 2)
@@ -70,17 +71,18 @@
 		if len(loads) != 1 || loads[0].server != "server-1" || loads[0].order.Need.Model != "m0" {
 			t.Fatalf("the loads are %+v", loads)
 		}
-		if answer := n.wish(t, "m0"); answer.Server != "server-1" {
-			t.Errorf("it is said to be at %q then", answer.Server)
+		if answer := n.requestLoad(t, "m0"); answer.Server != "server-1" {
+			t.Errorf("the model is then located at %q, want server-1", answer.Server)
 		}
 		time.Sleep(20 * time.Second)
-		if answer := n.wish(t, "m0"); answer.Server == "" {
-			t.Error("nobody is said to hold it after the limit")
+		if answer := n.requestLoad(t, "m0"); answer.Server == "" {
+			t.Error("the model is located nowhere after the refusals have ended")
 		}
 	})
 }
 
-// TestSlotsWithoutAHolder: a node that does not hold the lease gives out none.
+// TestSlotsWithoutAHolder checks that only a node that holds the lease, and to which nodes send
+// heartbeats, grants slots.
 func TestSlotsWithoutAHolder(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		s := newSite(t, []string{"m0"})
@@ -97,13 +99,13 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 		if answer := other.takeSlot(t, "server-0", 10); answer.Term != 0 {
-			t.Errorf("one that does not hold the lease answers %+v", answer)
+			t.Errorf("a node without the lease answers %+v", answer)
 		}
 		time.Sleep(2 * time.Second)
 		if answer := holder.takeSlot(t, "server-0", 10); answer.Term != 0 {
-			t.Errorf("a holder that no node beats to answers %+v", answer)
+			t.Errorf("a holder that gets no heartbeats answers %+v", answer)
 		}
-		holder.beats(t, "a")
+		holder.sendHeartbeats(t, "a")
 		time.Sleep(2 * time.Second)
 		if answer := holder.takeSlot(t, "server-0", 10); answer.Term == 0 || !answer.Slot.Granted {
 			t.Errorf("the holder answers %+v", answer)
@@ -111,13 +113,13 @@
 	})
 }
 
-// TestAModelWhoseServerIsAtRestIsLoadedElsewhere: a node tells that the only server with a model wants nothing
-// for some seconds.
-func TestAModelWhoseServerIsAtRestIsLoadedElsewhere(t *testing.T) {
+// TestAModelWhoseServerBacksOffIsLoadedElsewhere has a node report that the only server with a model
+// asked for a back-off of some seconds. The model must be loaded on another server.
+func TestAModelWhoseServerBacksOffIsLoadedElsewhere(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		s := newSite(t, []string{"m0"}, nil)
 		n := s.start("a")
-		n.hold()
+		n.waitForLease()
 		time.Sleep(5 * time.Second)
 		for range 10 {
 			reply, err := n.holder.HandleMessage(t.Context(), api.NodeRef{},
@@ -126,7 +128,7 @@
 				t.Fatal(err)
 			}
 			if answer := reply.(WishAnswer); answer.Server == "server-0" {
-				t.Fatalf("a request that it turned away is sent there again: %+v", answer)
+				t.Fatalf("a request is sent back to the server that refused it: %+v", answer)
 			}
 			time.Sleep(time.Second)
 		}
@@ -134,8 +136,8 @@
 		if len(loads) != 1 || loads[0].server != "server-1" {
 			t.Fatalf("the loads are %+v", loads)
 		}
-		if answer := n.wish(t, "m0"); answer.Server != "server-1" {
-			t.Errorf("it is said to be at %q then", answer.Server)
+		if answer := n.requestLoad(t, "m0"); answer.Server != "server-1" {
+			t.Errorf("the model is then located at %q, want server-1", answer.Server)
 		}
 	})
 }
--- a/pkg/coordinator/storelimit.go
+++ b/pkg/coordinator/storelimit.go
@@ -7,169 +7,165 @@
 	"time"
 )
 
-// How the number of loads at once is learned.
+// Parameters by which the number of concurrent loads is learned.
 const (
-	firstStoreLimit = 4                      // before anything is known, at most
-	firstStoreTime  = 28 * time.Second       // see first
-	storeGrowth     = 1.5                    // how many times more are tried while all go at full speed
-	firstProbe      = 12 * time.Second       // after a slow load, until more are tried again
-	longestProbe    = time.Minute            // it doubles up to this with each try that fails
-	slowMemory      = 3                      // slow loads of which the median counts
-	slowRatio       = 1.12                   // of the time told, beyond which a load was slow
-	kneeRounding    = 0.3                    // below a half: one load too few costs less than one too many
-	slowSlack       = 450 * time.Millisecond // by which the end of a load is seen late: report lag and pause
+	initialStoreLimit = 4                      // maximum before anything is known
+	initialStoreTime  = 28 * time.Second       // see initialLimit
+	storeGrowth       = 1.5                    // factor by which the number is raised while all loads run at full speed
+	minProbePause     = 12 * time.Second       // after a slow load, until a higher number is tried
+	maxProbePause     = time.Minute            // the pause doubles up to this with each try that fails
+	slowSamples       = 3                      // number of slow loads of which the median is used
+	slowRatio         = 1.12                   // a load that takes longer than this multiple of its nominal time is slow
+	kneeRounding      = 0.3                    // added before rounding down; below 0.5: one load too few costs less than one too many
+	slowSlack         = 450 * time.Millisecond // by which the end of a load is seen late: report lag and pause
 )
 
-// storeLimit learns how many loads from the weight store go at full speed at once. The
-// store does not tell; loads beyond that only take longer and keep their servers from
-// other loads. It starts careful and grows while loads are as fast as told. A slow load
-// shows the knee, since the time of a load grows in proportion beyond it; from then on
-// a few more are tried now and then.
+// storeLimit learns how many concurrent loads from the weight store run at full speed. The store does not report it;
+// additional loads only take longer and keep their servers from other loads. The number starts low and grows while
+// loads take their nominal time. A slow load shows the knee, since beyond it the time of a load grows in proportion to
+// their number; from then on slightly higher numbers are tried from time to time.
 type storeLimit struct {
-	loads   int       // at once at full speed, as far as is known; zero: nothing is
-	bound   bool      // more than that were slow
-	boundAt time.Time // when the last slow load was seen: loads that began before tell of more at once
-	slow    []float64 // knees that the last slow loads showed
-	fast    int       // most loads at once that were at full speed lately
-	fastAt  time.Time // when
-	more    int       // loads that the next try adds
-	tryAt   time.Time // when more are tried again
-	pause   time.Duration
-
-	term uint64        // of the holder that told what is known; zero: it was seen here
-	told time.Duration // that a load takes, the longest; zero: not known
+	loads       int       // number known to run at full speed at once; zero: not known
+	saturated   bool      // a higher number was slow
+	saturatedAt time.Time // when the last slow load was seen: loads that began earlier ran beside more
+	slowKnees   []float64 // knees computed from the last slow loads
+	fastLoads   int       // highest recent number at full speed
+	fastAt      time.Time // when fastLoads was seen
+	probeExtra  int       // loads that the next try adds
+	nextProbe   time.Time // when a higher number is tried
+	probePause  time.Duration
+
+	term    uint64        // of the holder that learned loads; zero: this one
+	nominal time.Duration // longest nominal time of a load; zero: not known
 }
 
-// first returns how many loads are begun at once before anything is known: as many as would
-// take firstStoreTime one after the other. If only one goes at full speed, that shows once
-// all of them are done; until then each keeps a server, and the copies on its disk, from
-// all other loads. With loads of 13 to 20 s, of which one goes at full speed, and 140
-// servers, four at the start left 3 of 4 unfinished after half a minute; with one the worth
-// of the users' days rose from 0.710 to 0.737 (five days, two seeds, strict accounting).
-// Loads of 7 s and less begin as before.
-func (l *storeLimit) first() int {
-	if l.told <= 0 {
-		return firstStoreLimit
-	}
-	return min(max(int(firstStoreTime/l.told), 1), firstStoreLimit)
+// initialLimit returns how many loads start at once before anything is known: as many as would take initialStoreTime
+// one after the other. If only one runs at full speed, that shows only when all are done; until then each of them
+// keeps a server, and the copies on its disk, from all other loads. With loads of 13 to 20 s, of which one runs at full
+// speed, and 140 servers, starting with four leaves 3 of 4 unfinished after half a minute; starting with one raises
+// the value of the simulated days from 0.710 to 0.737 (five days, two seeds, strict accounting). Loads of 7 s and less
+// start at initialStoreLimit.
+func (l *storeLimit) initialLimit() int {
+	if l.nominal <= 0 {
+		return initialStoreLimit
+	}
+	return min(max(int(initialStoreTime/l.nominal), 1), initialStoreLimit)
 }
 
-// StoreLimit is what a holder learned, as nodes keep it for the next one.
+// StoreLimit is what a holder learned, kept by the nodes for the next holder.
 type StoreLimit struct {
-	Loads int  // at once; zero: nothing is known
-	Bound bool // more than that were slow
+	Loads int  // concurrent loads at full speed; zero: not known
+	Bound bool // a higher number was slow
 	Term  uint64
 }
 
-// limit returns how many loads may be under way at once.
+// limit returns how many loads may run at once.
 func (l *storeLimit) limit(now time.Time) int {
-	known := cmp.Or(l.loads, l.first())
-	if l.bound && !now.Before(l.tryAt) {
-		return known + l.more
+	known := cmp.Or(l.loads, l.initialLimit())
+	if l.saturated && !now.Before(l.nextProbe) {
+		return known + l.probeExtra
 	}
 	return known
 }
 
-// take takes in what an earlier holder learned; the latest one counts, and what was
-// seen here before all.
-func (l *storeLimit) take(now time.Time, told StoreLimit) {
-	if told.Loads <= 0 || told.Term <= l.term || l.loads > 0 && l.term == 0 {
+// adopt takes over what an earlier holder learned. The latest term counts, but what this holder learned itself has
+// priority.
+func (l *storeLimit) adopt(now time.Time, learned StoreLimit) {
+	if learned.Loads <= 0 || learned.Term <= l.term || l.loads > 0 && l.term == 0 {
 		return
 	}
-	l.loads, l.bound, l.term = told.Loads, told.Bound, told.Term
-	l.more, l.pause, l.tryAt = 1, firstProbe, now.Add(firstProbe)
+	l.loads, l.saturated, l.term = learned.Loads, learned.Bound, learned.Term
+	l.probeExtra, l.probePause, l.nextProbe = 1, minProbePause, now.Add(minProbePause)
 }
 
-// tell returns what is known, for the next holder.
-func (l *storeLimit) tell(term uint64) StoreLimit {
+// export returns what is known, for the next holder.
+func (l *storeLimit) export(term uint64) StoreLimit {
 	if l.loads == 0 {
 		return StoreLimit{}
 	}
-	return StoreLimit{Loads: l.loads, Bound: l.bound, Term: cmp.Or(l.term, term)}
+	return StoreLimit{Loads: l.loads, Bound: l.saturated, Term: cmp.Or(l.term, term)}
 }
 
-// slow tells whether a load that took so long, or has run for so long, is slow.
-func slow(took, told time.Duration) bool {
-	return took-slowSlack > time.Duration(slowRatio*float64(told))
+// isSlow tells whether a load that took, or has run for, the given time is slow.
+func isSlow(took, nominal time.Duration) bool {
+	return took-slowSlack > time.Duration(slowRatio*float64(nominal))
 }
 
-// observe takes in a load that ended; beside is how many were under way when it began,
-// itself among them.
-func (l *storeLimit) observe(now time.Time, beside int, took, told time.Duration) {
-	if told <= 0 || beside <= 0 {
+// observe records a load that ended; concurrent is how many were under way when it began, including itself.
+func (l *storeLimit) observe(now time.Time, concurrent int, took, nominal time.Duration) {
+	if nominal <= 0 || concurrent <= 0 {
 		return
 	}
-	if slow(took, told) {
-		l.sawSlow(now, beside, (took-slowSlack/2).Seconds()/told.Seconds())
+	if isSlow(took, nominal) {
+		l.observeSlow(now, concurrent, (took-slowSlack/2).Seconds()/nominal.Seconds())
 		return
 	}
-	if began := now.Add(-took); !l.bound || !began.Before(l.boundAt) {
-		l.sawFast(now, beside, told)
+	if began := now.Add(-took); !l.saturated || !began.Before(l.saturatedAt) {
+		l.observeFast(now, concurrent, nominal)
 	}
 }
 
-// sawFast takes in a load at full speed.
-func (l *storeLimit) sawFast(now time.Time, beside int, told time.Duration) {
-	if beside >= l.fast || now.Sub(l.fastAt) > firstProbe {
-		l.fast, l.fastAt = beside, now
+// observeFast records a load at full speed.
+func (l *storeLimit) observeFast(now time.Time, concurrent int, nominal time.Duration) {
+	if concurrent >= l.fastLoads || now.Sub(l.fastAt) > minProbePause {
+		l.fastLoads, l.fastAt = concurrent, now
 	}
-	known := cmp.Or(l.loads, l.first())
+	known := cmp.Or(l.loads, l.initialLimit())
 	switch {
-	case beside < known, l.bound && beside == known:
-	case l.bound: // more than were known to be: the knee has moved
-		l.loads, l.term = beside, 0
-		if !now.Before(l.tryAt) {
-			l.more = min(2*l.more, max(beside/4, 1))
+	case concurrent < known, l.saturated && concurrent == known:
+	case l.saturated: // more than assumed run at full speed: the knee has moved
+		l.loads, l.term = concurrent, 0
+		if !now.Before(l.nextProbe) {
+			l.probeExtra = min(2*l.probeExtra, max(concurrent/4, 1))
 		}
-		l.slow, l.pause = nil, firstProbe
-		l.tryAt = now.Add(told + slowSlack) // when loads beside that many were seen
+		l.slowKnees, l.probePause = nil, minProbePause
+		l.nextProbe = now.Add(nominal + slowSlack) // by then, loads that ran beside that many have been seen
 	default:
-		l.loads, l.term = int(math.Ceil(storeGrowth*float64(beside))), 0
+		l.loads, l.term = int(math.Ceil(storeGrowth*float64(concurrent))), 0
 	}
 }
 
-// sawSlow takes in a load that took ratio times as long as told. One beside others that
-// were at full speed in the same number is the load's own: an order that was carried out
-// late, a busy server.
-func (l *storeLimit) sawSlow(now time.Time, beside int, ratio float64) {
-	if l.fast >= beside && now.Sub(l.fastAt) < firstProbe {
+// observeSlow records a load that took ratio times its nominal time. It is ignored if as many loads recently ran at full
+// speed: the cause is then specific to this load, such as an order that was carried out late or a busy server.
+func (l *storeLimit) observeSlow(now time.Time, concurrent int, ratio float64) {
+	if l.fastLoads >= concurrent && now.Sub(l.fastAt) < minProbePause {
 		return
 	}
-	l.slow = append(l.slow, float64(beside)/ratio)
-	if len(l.slow) > slowMemory {
-		l.slow = l.slow[1:]
+	l.slowKnees = append(l.slowKnees, float64(concurrent)/ratio)
+	if len(l.slowKnees) > slowSamples {
+		l.slowKnees = l.slowKnees[1:]
 	}
-	shown := slices.Sorted(slices.Values(l.slow))
-	l.loads, l.term = max(int(shown[len(shown)/2]+kneeRounding), 1), 0
-	if l.pause == 0 {
-		l.pause = firstProbe
+	knees := slices.Sorted(slices.Values(l.slowKnees))
+	l.loads, l.term = max(int(knees[len(knees)/2]+kneeRounding), 1), 0
+	if l.probePause == 0 {
+		l.probePause = minProbePause
 	}
-	if l.bound && !now.Before(l.tryAt) {
-		l.pause = min(2*l.pause, longestProbe)
+	if l.saturated && !now.Before(l.nextProbe) {
+		l.probePause = min(2*l.probePause, maxProbePause)
 	}
-	l.bound, l.boundAt, l.more, l.tryAt = true, now, 1, now.Add(l.pause)
+	l.saturated, l.saturatedAt, l.probeExtra, l.nextProbe = true, now, 1, now.Add(l.probePause)
 }
 
-// learnStore takes in a load from the weight store that was seen to its end.
-func (h *Holder) learnStore(now time.Time, op *operation) {
+// observeStoreLoad records a load from the weight store that was observed to its end.
+func (h *Holder) observeStoreLoad(now time.Time, op *operation) {
 	before := h.store.limit(now)
-	h.store.observe(now, op.beside, now.Sub(op.since), op.told)
+	h.store.observe(now, op.concurrentFetches, now.Sub(op.since), op.nominal)
 	if after := h.store.limit(now); after != before {
-		h.Logger.Info("loads from the store", "at_once", after, "before", before, "beside", op.beside,
-			"ms", now.Sub(op.since).Milliseconds(), "told_ms", op.told.Milliseconds())
+		h.Logger.Info("limit of loads from the weight store changed", "at_once", after, "before", before, "beside", op.concurrentFetches,
+			"ms", now.Sub(op.since).Milliseconds(), "told_ms", op.nominal.Milliseconds())
 	}
 }
 
-// fetching returns how many loads from the weight store are under way, and whether
-// one of them is overdue: until it ends, what it tells is that fewer would do.
-func (h *Holder) fetching(now time.Time) (count int, overdue bool) {
+// activeFetches returns how many loads from the weight store are under way, and whether one of them is overdue: until it
+// ends, it indicates that the number is too high.
+func (h *Holder) activeFetches(now time.Time) (count int, overdue bool) {
 	for _, s := range h.servers {
 		op := s.busy
 		if op == nil || !op.load || !op.fetch {
 			continue
 		}
 		count++
-		overdue = overdue || op.beside > 0 && s.doubt == nil && slow(now.Sub(op.since), op.told)
+		overdue = overdue || op.concurrentFetches > 0 && s.unresolved == nil && isSlow(now.Sub(op.since), op.nominal)
 	}
 	return count, overdue
 }
@@ -177,7 +173,7 @@
 // storeSlots returns how many loads from the weight store may be under way.
 func (h *Holder) storeSlots(now time.Time) int {
 	limit := h.store.limit(now)
-	if count, overdue := h.fetching(now); overdue {
+	if count, overdue := h.activeFetches(now); overdue {
 		return min(limit, count)
 	}
 	return limit
--- a/pkg/coordinator/storelimit_test.go
+++ b/pkg/coordinator/storelimit_test.go
@@ -14,33 +14,33 @@
 	"martenwheel.dev/pkg/quarantine"
 )
 
-// weightStore serves loads as one with a knee does: with more at once than that, the
-// time of each that begins grows in proportion.
+// weightStore simulates a weight store that serves up to knee concurrent loads at full speed. The
+// time of each load that starts beyond the knee grows in proportion to the number of loads.
 type weightStore struct {
-	knee    int           // zero: none
-	told    time.Duration // of a load at full speed
-	running []storeRun
+	knee        int           // zero means no limit
+	nominalTime time.Duration // of a load at full speed
+	running     []storeLoad
 }
 
-type storeRun struct {
+type storeLoad struct {
 	since, until time.Time
-	beside       int
+	concurrent   int
 }
 
-// begin starts a load.
+// begin starts a load. Its time depends on the loads in progress.
 func (s *weightStore) begin(now time.Time) {
 	beside := len(s.running) + 1
-	took := s.told
+	took := s.nominalTime
 	if s.knee > 0 && beside > s.knee {
-		took = time.Duration(float64(s.told) * float64(beside) / float64(s.knee))
+		took = time.Duration(float64(s.nominalTime) * float64(beside) / float64(s.knee))
 	}
-	s.running = append(s.running, storeRun{now, now.Add(took), beside})
+	s.running = append(s.running, storeLoad{now, now.Add(took), beside})
 }
 
-// end takes out the loads that are done by now.
-func (s *weightStore) end(now time.Time) []storeRun {
-	var done []storeRun
-	s.running = slices.DeleteFunc(s.running, func(r storeRun) bool {
+// end removes and returns the loads that are done.
+func (s *weightStore) end(now time.Time) []storeLoad {
+	var done []storeLoad
+	s.running = slices.DeleteFunc(s.running, func(r storeLoad) bool {
 		if r.until.After(now) {
 			return false
 		}
@@ -50,14 +50,14 @@
 	return done
 }
 
-// drive has loads wait for the store all the time and returns the limit at the end of
-// each second. Ends are seen late by lag.
-func drive(s *weightStore, l *storeLimit, servers int, from time.Time, span, lag time.Duration) []int {
+// simulateLoads keeps loads waiting for the store all the time and returns the limit at the end of
+// each second. The end of a load is noticed late by lag.
+func simulateLoads(s *weightStore, l *storeLimit, servers int, from time.Time, span, lag time.Duration) []int {
 	const step = 100 * time.Millisecond
 	var limits []int
 	for now := from; now.Before(from.Add(span)); now = now.Add(step) {
 		for _, r := range s.end(now.Add(-lag)) {
-			l.observe(now, r.beside, now.Sub(r.since), s.told)
+			l.observe(now, r.concurrent, now.Sub(r.since), s.nominalTime)
 		}
 		for len(s.running) < min(l.limit(now), servers) {
 			s.begin(now)
@@ -69,15 +69,15 @@
 	return limits
 }
 
-// TestStoreLimitFindsTheKnee: whatever number of loads goes at full speed at once, the
-// limit comes near it within some loads and stays there.
+// TestStoreLimitFindsTheKnee checks that the limit approaches the number of concurrent loads at full
+// speed within some loads and stays there.
 func TestStoreLimitFindsTheKnee(t *testing.T) {
 	const servers = 30
-	for _, told := range []time.Duration{700 * time.Millisecond, 3 * time.Second, 6 * time.Second} {
+	for _, nominal := range []time.Duration{700 * time.Millisecond, 3 * time.Second, 6 * time.Second} {
 		for _, knee := range []int{2, 4, 8, 11, 20, 0} {
-			t.Run(fmt.Sprintf("knee %d, loads of %v", knee, told), func(t *testing.T) {
+			t.Run(fmt.Sprintf("knee %d, loads of %v", knee, nominal), func(t *testing.T) {
 				const lag = 250 * time.Millisecond
-				limits := drive(&weightStore{knee: knee, told: told}, &storeLimit{}, servers, time.Now(), 20*told, lag)
+				limits := simulateLoads(&weightStore{knee: knee, nominalTime: nominal}, &storeLimit{}, servers, time.Now(), 20*nominal, lag)
 				settled := limits[len(limits)/2:]
 				low, high := slices.Min(settled), slices.Max(settled)
 				want := knee
@@ -85,10 +85,11 @@
 					want = servers
 				}
 				if low < want*3/4 {
-					t.Errorf("at most %d of %d loads are allowed: %v", low, want, limits)
+					t.Errorf("only %d of %d loads are allowed: %v", low, want, limits)
 				}
-				// Loads that end seen late by a third of their time can't tell a knee exactly.
-				if slack := max(want/4+1, int(float64(want)*slowSlack.Seconds()/told.Seconds())); knee > 0 && high > want+slack {
+				// If the end of a load is noticed late by a third of its time, the knee can't be
+				// measured exactly.
+				if slack := max(want/4+1, int(float64(want)*slowSlack.Seconds()/nominal.Seconds())); knee > 0 && high > want+slack {
 					t.Errorf("%d loads are allowed at a knee of %d: %v", high, want, limits)
 				}
 			})
@@ -96,13 +97,13 @@
 	}
 }
 
-// TestStoreLimitFollowsTheKnee: the limit follows a knee that moves either way.
+// TestStoreLimitFollowsTheKnee checks that the limit follows a knee that moves up or down.
 func TestStoreLimitFollowsTheKnee(t *testing.T) {
 	for _, test := range []struct{ before, after int }{{4, 12}, {12, 4}} {
-		s, l, now := &weightStore{knee: test.before, told: 2 * time.Second}, &storeLimit{}, time.Now()
-		drive(s, l, 30, now, time.Minute, 0)
+		s, l, now := &weightStore{knee: test.before, nominalTime: 2 * time.Second}, &storeLimit{}, time.Now()
+		simulateLoads(s, l, 30, now, time.Minute, 0)
 		s.knee = test.after
-		limits := drive(s, l, 30, now.Add(time.Minute), 4*time.Minute, 0)
+		limits := simulateLoads(s, l, 30, now.Add(time.Minute), 4*time.Minute, 0)
 		end := limits[len(limits)-1]
 		if end < test.after*3/4 || end > test.after+test.after/4+1 {
 			t.Errorf("%d loads are allowed after the knee moved from %d to %d: %v", end, test.before, test.after, limits)
@@ -110,8 +111,8 @@
 	}
 }
 
-// TestStoreLimitIgnoresALateLoad: one load that was carried out late does not lower the
-// limit while others beside it are at full speed.
+// TestStoreLimitIgnoresALateLoad checks that a single slow load does not lower the limit while
+// others beside it run at full speed.
 func TestStoreLimitIgnoresALateLoad(t *testing.T) {
 	l, now := &storeLimit{}, time.Now()
 	for range 5 {
@@ -124,21 +125,21 @@
 	}
 }
 
-// TestStoreLimitIsHandedOn: a new holder starts with what the last one learned, and the
-// word of an earlier one does not replace it.
+// TestStoreLimitIsHandedOn checks that a new holder starts with what the last one learned, and that
+// a report from an earlier term does not replace it.
 func TestStoreLimitIsHandedOn(t *testing.T) {
 	first, now := &storeLimit{}, time.Now()
 	first.observe(now, 10, 6*time.Second, 3*time.Second)
-	told := first.tell(7)
+	told := first.export(7)
 	if told != (StoreLimit{Loads: 5, Bound: true, Term: 7}) {
-		t.Fatalf("%+v is handed on, want 5 loads and no more of term 7", told)
+		t.Fatalf("%+v is handed on, want a bound of 5 loads of term 7", told)
 	}
 	next := &storeLimit{}
-	if got := next.tell(8); got.Loads != 0 {
+	if got := next.export(8); got.Loads != 0 {
 		t.Errorf("a holder that saw no load hands on %+v", got)
 	}
-	next.take(now, told)
-	next.take(now, StoreLimit{Loads: 20, Term: 3})
+	next.adopt(now, told)
+	next.adopt(now, StoreLimit{Loads: 20, Term: 3})
 	if got := next.limit(now); got != 5 {
 		t.Errorf("the next holder starts with %d loads, want 5", got)
 	}
@@ -148,15 +149,15 @@
 	}
 }
 
-// TestStoreLimitProperties: whatever is seen, one load may run and the limit is bounded
-// by what was seen.
+// TestStoreLimitProperties checks that, whatever loads are observed, at least one load may run and
+// the limit is bounded by the concurrency observed.
 func TestStoreLimitProperties(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(20261202)
 	parameters.MinSuccessfulTests = 500
 	properties := gopter.NewProperties(parameters)
 	properties.Property("the limit stays within bounds", prop.ForAll(
 		func(besides, millis []int) bool {
-			l, now, most := &storeLimit{}, time.Now(), firstStoreLimit
+			l, now, most := &storeLimit{}, time.Now(), initialStoreLimit
 			for i := range min(len(besides), len(millis)) {
 				now = now.Add(time.Duration(millis[i]) * time.Millisecond)
 				l.observe(now, besides[i], time.Duration(millis[i])*time.Millisecond, 2*time.Second)
@@ -172,99 +173,99 @@
 	properties.TestingRun(t)
 }
 
-// TestNewHolderIsToldTheStoreLimit: a node tells a holder that is new to it what the last
-// one learned, and keeps what it is told.
+// TestNewHolderIsToldTheStoreLimit checks that a node tells a new holder what the last one learned,
+// and keeps what it knows.
 func TestNewHolderIsToldTheStoreLimit(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		s := newSite(t, []string{"m0"})
 		n := s.start("a")
-		n.hold()
+		n.waitForLease()
 		m := &Member{Quarantine: new(quarantine.Table),
 			Self: Node{Name: "b", Peers: "a"}, Lease: n.lease, Holder: n.holder, Servers: n.servers,
-			Logger: hclog.NewNullLogger(), store: StoreLimit{Loads: 9, Term: 1},
+			Logger: hclog.NewNullLogger(), storeLimit: StoreLimit{Loads: 9, Term: 1},
 		}
-		if err := m.beat(t.Context()); err != nil {
+		if err := m.heartbeat(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 		if got := n.holder.store.limit(time.Now()); got != 9 {
 			t.Errorf("the holder starts with %d loads, want 9", got)
 		}
-		if m.storeTold == 0 || m.store.Loads != 9 {
-			t.Errorf("the node keeps %+v of term %d", m.store, m.storeTold)
+		if m.storeLimitTerm == 0 || m.storeLimit.Loads != 9 {
+			t.Errorf("the node keeps %+v of term %d", m.storeLimit, m.storeLimitTerm)
 		}
 		n.stop()
 	})
 }
 
-// TestLongLoadsBeginOneByOne: until it shows how many go at full speed, no more are begun
-// at once than would be done soon one after the other.
+// TestLongLoadsBeginOneByOne checks that, until the store's concurrency is known, no more loads are
+// started at once than would finish soon one after the other.
 func TestLongLoadsBeginOneByOne(t *testing.T) {
-	for told, want := range map[time.Duration]int{
-		0: firstStoreLimit, 600 * time.Millisecond: firstStoreLimit, 6900 * time.Millisecond: firstStoreLimit,
+	for nominal, want := range map[time.Duration]int{
+		0: initialStoreLimit, 600 * time.Millisecond: initialStoreLimit, 6900 * time.Millisecond: initialStoreLimit,
 		13200 * time.Millisecond: 2, 19800 * time.Millisecond: 1, time.Minute: 1,
 	} {
-		if got := (&storeLimit{told: told}).limit(time.Now()); got != want {
-			t.Errorf("of loads that take %v %d are begun at once, want %d", told, got, want)
+		if got := (&storeLimit{nominal: nominal}).limit(time.Now()); got != want {
+			t.Errorf("of loads that take %v, %d are started at once, want %d", nominal, got, want)
 		}
 	}
 }
 
-// TestServersStayFreeWhileTheStoreIsSlow plays the load: models without a copy are wished
-// for at the start, from a store that serves one at full speed. Servers stay free for loads
-// from their disks, and the first model from the store is ready in its time.
+// TestServersStayFreeWhileTheStoreIsSlow requests models that no server has on disk, from a store
+// that serves one load at full speed. Servers must stay free for loads from their own disks.
 func TestServersStayFreeWhileTheStoreIsSlow(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		s := longLoads(t, 0)
+		s := newSlowStoreSite(t, 0)
 		for i := range 4 {
-			s.engines.servers[fmt.Sprintf("server-%d", i)].disk = []string{fmt.Sprintf("m%d", 20+i)}
+			s.engines.servers[fmt.Sprintf("server-%d", i)].onDisk = []string{fmt.Sprintf("m%d", 20+i)}
 		}
 		n := s.start("a")
 		defer n.stop()
-		n.hold()
+		n.waitForLease()
 		time.Sleep(2 * time.Second)
 		for i := range 4 {
-			n.wish(t, fmt.Sprintf("m%d", 10+i)) // no server has a copy
+			n.requestLoad(t, fmt.Sprintf("m%d", 10+i)) // no server has it on disk
 		}
 		time.Sleep(3 * time.Second)
 		ready := 0
 		for i := range 4 {
-			if answer := n.wishWith(t, fmt.Sprintf("m%d", 20+i), 1); answer.ReadyIn < 4*time.Second {
+			if answer := n.requestLoadWithPriority(t, fmt.Sprintf("m%d", 20+i), 1); answer.ReadyIn < 4*time.Second {
 				ready++
 			}
 		}
 		if ready < 3 {
-			t.Errorf("%d of 4 models with a copy are ready within 4s; the store keeps the other servers", ready)
+			t.Errorf("%d of 4 models on disk are ready within 4s; loads from the store occupy the other servers", ready)
 		}
 	})
 }
 
-// longLoads is a site whose store serves one load of 20 s at full speed, with so many empty
-// servers beside four full ones.
-func longLoads(t *testing.T, empty int) *site {
+// newSlowStoreSite returns a site whose loads from the store take 20 s, with the given number of
+// empty servers beside four full ones.
+func newSlowStoreSite(t *testing.T, empty int) *site {
 	holds := [][]string{{"m0", "m1"}, {"m2", "m3"}, {"m4", "m5"}, {"m6", "m7"}}
 	s := newSite(t, append(holds, make([][]string, empty)...)...)
-	s.engines.load = 20 * time.Second
+	s.engines.loadDuration = 20 * time.Second
 	for _, m := range s.table.Service("s").Engine.Models {
-		m.LoadTime = s.engines.load
+		m.LoadTime = s.engines.loadDuration
 	}
 	return s
 }
 
-// TestNewHolderLoadsFromTheStoreOnceItKnows what the nodes ask for.
+// TestNewHolderLoadsFromTheStoreOnceItKnows checks that a new holder starts loads from the store
+// only once it has heard from the nodes which models are in use.
 func TestNewHolderLoadsFromTheStoreOnceItKnows(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		s := longLoads(t, 2)
-		s.nodes = []Node{{Name: "a"}, {Name: "b"}, {Name: "c"}, {Name: "d"}}
+		s := newSlowStoreSite(t, 2)
+		s.knownNodes = []Node{{Name: "a"}, {Name: "b"}, {Name: "c"}, {Name: "d"}}
 		n := s.start("a")
 		defer n.stop()
-		n.hold()
+		n.waitForLease()
 		began := time.Now()
 		for len(s.engines.loads()) == 0 && time.Since(began) < 10*time.Second {
-			n.wish(t, "m10")
+			n.requestLoad(t, "m10")
 			time.Sleep(20 * time.Millisecond)
 		}
-		if took := time.Since(began); took < learnTime-tickInterval || took > 2*learnTime+time.Second {
-			t.Errorf("the first load from the store began %v after the term, want it right after %v", took, learnTime)
+		if took := time.Since(began); took < learnPeriod-tickInterval || took > 2*learnPeriod+time.Second {
+			t.Errorf("the first load from the store started %v into the term, want right after %v", took, learnPeriod)
 		}
 	})
 }
--- /dev/null
+++ b/pkg/coordinator/suspicions.go
@@ -0,0 +1,130 @@
+package coordinator
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"github.com/sourcegraph/conc"
+
+	"martenwheel.dev/pkg/peer"
+	"martenwheel.dev/pkg/quarantine"
+)
+
+// DoubtNotice reports a suspicion to the holder, to be forwarded to all nodes: servers may have crashed under a
+// request.
+type DoubtNotice struct {
+	Evidence quarantine.Evidence
+}
+
+// DoubtAnswer tells that the holder has forwarded the suspicion.
+type DoubtAnswer struct {
+	Term uint64 // zero: not the holder
+}
+
+// DoubtNews is a suspicion that the holder forwards to the other nodes.
+type DoubtNews struct {
+	Evidence quarantine.Evidence
+}
+
+// DoubtTaken answers DoubtNews.
+type DoubtTaken struct{}
+
+// suspicionTimeout bounds how long the answer to a request whose connection broke, or its retry, waits until the
+// other nodes know: the most urgent requests must be answered within 100 ms.
+const suspicionTimeout = 50 * time.Millisecond
+
+// suspicionForwardTimeout bounds how long the holder waits for the nodes to which it forwards a suspicion.
+const suspicionForwardTimeout = 30 * time.Millisecond
+
+// Rate limit of the suspicions that a node sends, and that the holder forwards to each node. When a network resets
+// many connections at once, nearly all of them belong to harmless requests. A suspicion that is not sent is known at
+// one node only.
+const (
+	suspicionBurst = 16
+	suspicionRate  = 8.0 // per second
+)
+
+// suspicionLimit is a token bucket for suspicions. The zero value is ready. Safe for concurrent use.
+type suspicionLimit struct {
+	mu   sync.Mutex
+	used float64 // part of suspicionBurst in use
+	at   time.Time
+}
+
+// take returns whether another suspicion may be sent.
+func (l *suspicionLimit) take(now time.Time) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.used = max(l.used-suspicionRate*now.Sub(l.at).Seconds(), 0)
+	l.at = now
+	if l.used > suspicionBurst-1 {
+		return false
+	}
+	l.used++
+	return true
+}
+
+// Doubted implements relay.Quarantine. When it returns, the holder has forwarded the suspicion, unless it does not
+// answer in time: callers retry such a request within milliseconds, at any node.
+func (m *Member) Doubted(ctx context.Context, r quarantine.Run) {
+	now := m.Time.Now()
+	change := m.Quarantine.Suspect(now, r)
+	m.Logger.Info("server may have crashed under request", "fingerprint", r.Request.String(), "request_id", r.RequestID,
+		"service", r.Service, "server", r.Server, "round", r.Round, "rounds_in_doubt", r.Doubts, "ended_under_it", change.Servers(),
+		"in_doubt", len(change.Doubts), "standing", change.Now.String())
+	if !change.New || len(change.Doubts) == 0 || !m.suspicions.take(now) {
+		return
+	}
+	ctx, cancel := context.WithTimeout(ctx, suspicionTimeout)
+	defer cancel()
+	answer, err := callHolder[DoubtAnswer](ctx, m, DoubtNotice{change.Evidence})
+	if err == nil && answer.Term == 0 {
+		err = ErrNoHolder
+	}
+	if err != nil {
+		m.Logger.Warn("suspicion not sent to the lease holder", "fingerprint", r.Request.String(), "server", r.Server, "error", err)
+	}
+}
+
+// answerSuspicion handles a node's suspicion and answers once the other nodes know it: a caller that retries the
+// request at one of them right after must not find it unrestricted there.
+func (h *Holder) answerSuspicion(ctx context.Context, n DoubtNotice) (DoubtAnswer, error) {
+	taken, err := callOnLoop(ctx, h, func() acceptedSuspicion { return h.acceptSuspicion(h.Time.Now(), n) })
+	if err != nil {
+		return DoubtAnswer{}, err
+	}
+	ctx, cancel := context.WithTimeout(ctx, suspicionForwardTimeout)
+	defer cancel()
+	var wg conc.WaitGroup
+	for _, address := range taken.others {
+		wg.Go(func() {
+			if _, err := h.Transport.Call(ctx, address, DoubtNews(n)); err != nil {
+				h.Logger.Debug("suspicion not forwarded", "fingerprint", n.Evidence.Request.String(), "address", address, "error", err)
+			}
+		})
+	}
+	wg.Wait()
+	return DoubtAnswer{Term: taken.term}, nil
+}
+
+// acceptedSuspicion is the result of accepting a suspicion.
+type acceptedSuspicion struct {
+	term   uint64   // zero: not the holder
+	others []string // addresses of nodes to forward it to
+}
+
+// acceptSuspicion merges a node's suspicion. It is also forwarded if it was known here: the node may be this one.
+func (h *Holder) acceptSuspicion(now time.Time, n DoubtNotice) acceptedSuspicion {
+	if !h.ensureTerm() {
+		return acceptedSuspicion{}
+	}
+	taken := acceptedSuspicion{term: h.term}
+	h.Quarantine.Merge(now, n.Evidence)
+	if h.suspicions.take(now) {
+		taken.others = h.otherNodes()
+	}
+	return taken
+}
+
+func init() { peer.RegisterRecent(DoubtNotice{}, DoubtAnswer{}, DoubtNews{}, DoubtTaken{}) }
--- a/pkg/coordinator/uses.go
+++ b/pkg/coordinator/uses.go
@@ -7,7 +7,7 @@
 	"martenwheel.dev/pkg/policy"
 )
 
-// arrivals are requests for a model since the last beat.
+// arrivals counts requests for a model since the last heartbeat.
 type arrivals struct {
 	count  int
 	weight float64
@@ -32,8 +32,8 @@
 	m.arrivals[key] = arrivals{a.count + 1, a.weight + policy.UrgencyWeight(priority)}
 }
 
-// uses returns what this node serves, and starts to count anew. A holder that is
-// new to this node is told the rates of what came before.
+// uses returns what this node serves, and resets the counts. If this node has not reported to the holder before, it
+// includes the rates of earlier arrivals.
 func (m *Member) uses(now time.Time) []Use {
 	uses := make(map[demandKey]*Use)
 	of := func(key demandKey) *Use {
@@ -48,9 +48,9 @@
 	m.mu.Lock()
 	for key, r := range m.rates {
 		perSecond := r.count.at(now)
-		if perSecond < leastRate {
+		if perSecond < minRate {
 			delete(m.rates, key)
-		} else if record.Term != m.toldTerm {
+		} else if record.Term != m.ratesTerm {
 			of(key).Rate, of(key).WeightedRate = perSecond, r.weight.at(now)
 		}
 	}
@@ -73,7 +73,7 @@
 	return list
 }
 
-// rate returns the rate of a model, made if there is none. The caller holds mu.
+// rate returns the rates of a model, creating them if needed. The caller holds mu.
 func (m *Member) rate(key demandKey) *rates {
 	if m.rates == nil {
 		m.rates = make(map[demandKey]*rates)
