--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -15,35 +15,36 @@
 	"martenwheel.dev/pkg/traffic"
 )
 
-// attempt is one request to one engine. Its connection may break and the
-// answer be taken up again; the engine still runs the request once.
+// attempt is one try to run the request on one engine. If its connection breaks,
+// the answer is resumed; the engine still runs the request only once.
 type attempt struct {
 	call     *call
 	grant    traffic.Grant
-	movable  traffic.Movable // grant, if its stream can move to another replica
+	movable  traffic.Movable // grant, if it allows moving the stream; else nil
 	target   traffic.Target
-	engineID string // the request ID towards the engine, unique per attempt
+	engineID string // request ID sent to the engine, unique per attempt
 	context  context.Context
 	cancel   context.CancelFunc
-	ended    bool // the grant was given back
+	returned bool // the grant was returned
 
-	whole  *wholeAnswer // one of the two is set when run succeeds
-	stream *eventStream
+	whole  *wholeAnswer // set after run succeeded for a request without streaming
+	stream *eventStream // set after run succeeded for a streaming request
 }
 
-// attemptFailure tells how an attempt failed before the caller got any byte.
+// attemptFailure describes an attempt that failed before any byte was sent to the
+// caller.
 type attemptFailure struct {
-	outcome     traffic.OutcomeKind
-	apiError    *APIError
-	final       bool // another replica would not do better
-	broken      bool // the request was sent; its engine may still have the answer
-	unreachable bool // no connection to the engine came about
-	refused     bool // nobody listens any more where the engine did
-	engineEnded bool // it broke, and then nobody listened any more
-	leaving     bool // the engine said that it takes no new work
+	outcome       traffic.OutcomeKind
+	apiError      *APIError
+	final         bool // do not retry on another replica
+	broken        bool // the request was sent, and the engine may still have the answer
+	unreachable   bool // no connection to the engine was established
+	refused       bool // the engine's address refused the connection
+	engineCrashed bool // the exchange broke and then the engine's address refused a connection
+	leaving       bool // the engine reported that it is leaving and takes no new requests
 }
 
-// result returns the outcome for the dispatcher.
+// result returns the outcome to report to the dispatcher.
 func (f *attemptFailure) result() traffic.Outcome {
 	return traffic.Outcome{Kind: f.outcome, Leaving: f.leaving}
 }
@@ -59,33 +60,33 @@
 	}
 	a.movable, _ = grant.(traffic.Movable)
 	c.record.server = a.target.Server
-	a.context, a.cancel = c.caller, func() {} // which ends with the call
+	a.context, a.cancel = c.callerContext, func() {} // the context ends with the call
 	if c.request.Unsafe {
-		// The answer is kept for the caller's repeat, so the engine's work
-		// goes on when the caller has left.
-		a.context, a.cancel = context.WithCancel(c.gateway.stopping)
+		// The answer is kept for repeats of the request, so the attempt
+		// continues when the caller hangs up.
+		a.context, a.cancel = context.WithCancel(c.gateway.abortContext)
 	}
 	return a
 }
 
-// run sends the request and reads the answer so far that it can be vouched
-// for: all of it, or the first event of a stream. If the connection breaks, it
-// asks the same engine for the answer to the same request.
+// run sends the request and reads as much of the answer as is checked before the
+// caller gets anything: the whole answer, or the first event of a stream. If the
+// connection breaks, it asks the same engine for the answer to the same request.
 func (a *attempt) run() *attemptFailure {
-	if !a.call.mayStillRun() {
-		return &attemptFailure{outcome: traffic.OutcomeNotRun, apiError: claimLapsed(), final: true}
+	if !a.call.isClaimValid() {
+		return &attemptFailure{outcome: traffic.OutcomeNotRun, apiError: claimExpired(), final: true}
 	}
 	a.call.record.sentAt = a.call.gateway.config.Now()
 	failure := a.exchange(newRequest)
 	if failure == nil {
 		return nil
 	}
-	for resumes := 0; failure.broken && a.isInTime() && a.mayResume(resumes); resumes++ {
+	for resumes := 0; failure.broken && a.isBeforeDeadline() && a.waitToResume(resumes); resumes++ {
 		again := a.exchange(fromStart)
 		if again == nil {
 			return nil
 		}
-		failure.engineEnded = failure.engineEnded || again.refused
+		failure.engineCrashed = failure.engineCrashed || again.refused
 		if !again.broken && !(again.unreachable && a.call.request.Unsafe) {
 			break
 		}
@@ -96,9 +97,9 @@
 	return failure
 }
 
-// mayResume tells whether to take up the answer again after so many
-// resumptions, and pauses before all but the first.
-func (a *attempt) mayResume(resumes int) bool {
+// waitToResume reports whether another resume attempt is allowed after the given
+// number of them, and counts it. It pauses before all but the first.
+func (a *attempt) waitToResume(resumes int) bool {
 	if resumes >= a.call.gateway.config.Limits.Resumes {
 		return false
 	}
@@ -117,17 +118,18 @@
 	return true
 }
 
-// isInTime tells whether the start of the answer is still worth waiting for.
-func (a *attempt) isInTime() bool {
-	return a.call.gateway.config.Now().Before(a.call.firstByteBy())
+// isBeforeDeadline reports whether the deadline for the start of the answer is
+// still ahead.
+func (a *attempt) isBeforeDeadline() bool {
+	return a.call.gateway.config.Now().Before(a.call.headerDeadline())
 }
 
 // exchange sends the request, or asks for its answer from the start, and reads
-// the first part of the answer.
+// the whole answer or the first event of a stream.
 func (a *attempt) exchange(resumeFrom int) *attemptFailure {
-	answer, err := a.send(resumeFrom, a.call.firstByteBy())
+	answer, err := a.send(resumeFrom, a.call.headerDeadline())
 	if err != nil {
-		return a.failed(err)
+		return a.classifyError(err)
 	}
 	if failure := a.checkHeader(answer); failure != nil {
 		return failure
@@ -140,38 +142,39 @@
 	}
 	if err != nil {
 		answer.Close(false)
-		return a.failed(err)
+		return a.classifyError(err)
 	}
 	return nil
 }
 
-// firstByteBy is the time by which the answer's header must come.
-func (c *call) firstByteBy() time.Time {
+// headerDeadline returns the deadline for the header of the answer.
+func (c *call) headerDeadline() time.Time {
 	if c.parsed.Stream {
 		return c.request.Deadline
 	}
-	return c.request.Deadline.Add(c.wholeAnswerTime())
+	return c.request.Deadline.Add(c.wholeAnswerTimeout())
 }
 
-// wholeAnswerTime is the longest that an answer which is not streamed may take
-// after the deadline. Such an answer gives no sign of life before its end, so
-// the bound follows the tokens that were asked for.
-func (c *call) wholeAnswerTime() time.Duration {
+// wholeAnswerTimeout returns how long after the deadline an answer that is not
+// streamed may take. Such an answer shows no progress before it is complete, so
+// the limit depends on the number of requested tokens.
+func (c *call) wholeAnswerTimeout() time.Duration {
 	timeouts := c.gateway.config.Timeouts
 	if c.request.MaxTokens <= 0 {
 		return timeouts.WholeAnswer
 	}
-	return min(timeouts.WholeAnswer, timeouts.WholeStart+time.Duration(c.request.MaxTokens)*timeouts.Token)
+	return min(timeouts.WholeAnswer, timeouts.WholeAnswerBase+time.Duration(c.request.MaxTokens)*timeouts.WholeAnswerPerToken)
 }
 
-// Values of send's resumeFrom besides a number of events.
+// Special values of the resumeFrom parameter, which otherwise is a number of
+// events.
 const (
 	newRequest = -1
 	fromStart  = 0
 )
 
-// send sends the request to the engine or, unless resumeFrom is newRequest,
-// asks for the rest of the same request's answer after so many events.
+// send sends the request to the engine. If resumeFrom is not newRequest, it
+// instead asks for the answer to the same request after that many events.
 func (a *attempt) send(resumeFrom int, firstByteBy time.Time) (*upstream.Answer, error) {
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
@@ -192,8 +195,9 @@
 	return a.call.gateway.engines.Send(a.context, a.target.Address, request, firstByteBy)
 }
 
-// failed classifies an exchange that broke before the caller got any byte.
-func (a *attempt) failed(err error) *attemptFailure {
+// classifyError classifies the error of an exchange that failed before any byte
+// was sent to the caller.
+func (a *attempt) classifyError(err error) *attemptFailure {
 	if upstream.StageOf(err) == upstream.StageConnect {
 		return &attemptFailure{
 			outcome:     traffic.OutcomeNotRun,
@@ -202,10 +206,10 @@
 			refused:     errors.Is(err, syscall.ECONNREFUSED),
 		}
 	}
-	if a.call.isForNobody() {
+	if a.call.isAnswerUnwanted() {
 		return &attemptFailure{
 			outcome:  traffic.OutcomeCancelled,
-			apiError: callerLeft(false),
+			apiError: callerHungUp(false),
 			final:    true,
 		}
 	}
@@ -216,23 +220,23 @@
 	}
 }
 
-// done gives the grant back, once.
+// done returns the grant to the dispatcher. Further calls do nothing.
 func (a *attempt) done(outcome traffic.Outcome) {
 	a.cancel()
-	if !a.ended {
-		a.ended = true
+	if !a.returned {
+		a.returned = true
 		a.grant.Done(outcome)
 	}
 }
 
-// retry gives the grant back for one on another replica.
+// retry exchanges the grant for one on another replica.
 func (a *attempt) retry(outcome traffic.Outcome) (traffic.Grant, error) {
 	a.cancel()
-	a.ended = true
-	return a.grant.Retry(a.call.caller, outcome)
+	a.returned = true
+	return a.grant.Retry(a.call.callerContext, outcome)
 }
 
-// abandon makes the engine stop a request whose answer nobody waits for.
+// abandon cancels the attempt, also at the engine.
 func (a *attempt) abandon() {
 	a.cancel()
 	a.call.gateway.cancelAtEngine(a.target.Address, a.engineID)
--- a/pkg/gateway/bench_test.go
+++ b/pkg/gateway/bench_test.go
@@ -23,7 +23,7 @@
 	"martenwheel.dev/pkg/traffic"
 )
 
-// benchDispatcher grants one target at no cost.
+// benchDispatcher grants one target at minimal cost.
 type benchDispatcher struct{ target traffic.Target }
 
 func (d *benchDispatcher) Acquire(context.Context, traffic.Request) (traffic.Grant, error) {
@@ -35,8 +35,8 @@
 	return nil, &traffic.Refusal{Reason: traffic.ReasonEngineFailed}
 }
 
-// benchEngine answers with as little work as can be. It sends the next event
-// to all its streams at each tick, as an engine that batches does.
+// benchEngine is an engine that answers with as little work as possible. At each
+// tick it sends the next event to all its streams, like an engine that batches.
 type benchEngine struct {
 	address string
 
@@ -46,7 +46,7 @@
 
 type benchStream struct {
 	connection net.Conn
-	event      []byte // in its chunk
+	event      []byte // event with its HTTP chunk framing
 }
 
 func startBenchEngine(b *testing.B) *benchEngine {
@@ -88,7 +88,7 @@
 	}
 }
 
-// add begins a stream.
+// add starts a stream.
 func (e *benchEngine) add(connection net.Conn, id string) {
 	_, _ = fmt.Fprintf(connection, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nX-Request-Id: %s\r\nTransfer-Encoding: chunked\r\n\r\n", id)
 	event := tokenEvent(id, "ash", 1)
@@ -108,7 +108,7 @@
 	}
 }
 
-// end ends all streams.
+// end sends the end of all streams.
 func (e *benchEngine) end() {
 	for _, stream := range e.streams {
 		_, _ = stream.connection.Write(append(chunk("data: [DONE]\n\n"), "0\r\n\r\n"...))
@@ -124,10 +124,10 @@
 	return strings.TrimPrefix(url, "http://")
 }
 
-// benchPrompt is about the size of a short chat.
+// benchPrompt has about the size of a short chat.
 var benchPrompt = strings.Repeat("How long does a glaze firing to cone 6 take? ", 20)
 
-// newBenchRequest returns a request as a caller, or towards the engine.
+// newBenchRequest returns a request that both the gateway and the engine accept.
 func newBenchRequest(address string, stream bool) *fasthttp.Request {
 	request := &fasthttp.Request{}
 	request.Header.SetMethod(fasthttp.MethodPost)
@@ -138,7 +138,8 @@
 	return request
 }
 
-// BenchmarkWhole is one request after the other on one connection.
+// BenchmarkWhole sends sequential requests on one connection, directly and
+// through a gateway.
 func BenchmarkWhole(b *testing.B) {
 	for _, way := range []string{"direct", "gateway"} {
 		b.Run(way, func(b *testing.B) {
@@ -151,41 +152,42 @@
 			request := newBenchRequest(address, false)
 			var response fasthttp.Response
 			b.ReportAllocs()
-			before := processorTime()
+			before := cpuTime()
 			for b.Loop() {
 				if err := client.Do(request, &response); err != nil || response.StatusCode() != fasthttp.StatusOK {
 					b.Fatal(err, response.StatusCode())
 				}
 			}
-			b.ReportMetric(float64((processorTime()-before).Nanoseconds())/float64(b.N)/1000, "cpu-us/op")
+			b.ReportMetric(float64((cpuTime()-before).Nanoseconds())/float64(b.N)/1000, "cpu-us/op")
 		})
 	}
 }
 
-// pace is the time between requests of BenchmarkAddedLatency: 500 a second.
-const pace = 2 * time.Millisecond
+// addedLatencyInterval is the interval between requests of BenchmarkAddedLatency:
+// 500 per second.
+const addedLatencyInterval = 2 * time.Millisecond
 
-// BenchmarkAddedLatency sends requests at a fixed pace, in turn direct and
-// through a gateway, and reports the percentiles of both.
+// BenchmarkAddedLatency sends requests at a fixed rate, both directly and through
+// a gateway, and reports the latency percentiles of both.
 func BenchmarkAddedLatency(b *testing.B) {
 	address := startBenchEngine(b).address
-	ways := []*pacedCaller{newPacedCaller(address), newPacedCaller(benchGateway(b, address))}
+	callers := []*pacedCaller{newPacedCaller(address), newPacedCaller(benchGateway(b, address))}
 	defer func() {
-		for _, way := range ways {
+		for _, way := range callers {
 			way.client.CloseIdleConnections()
 		}
 	}()
 	var group conc.WaitGroup
 	start := time.Now()
 	for number := range b.N {
-		time.Sleep(time.Until(start.Add(time.Duration(number) * pace)))
-		for _, way := range ways {
+		time.Sleep(time.Until(start.Add(time.Duration(number) * addedLatencyInterval)))
+		for _, way := range callers {
 			group.Go(way.call)
 		}
 	}
 	group.Wait()
-	direct50, direct99 := ways[0].percentiles()
-	gateway50, gateway99 := ways[1].percentiles()
+	direct50, direct99 := callers[0].percentiles()
+	gateway50, gateway99 := callers[1].percentiles()
 	b.ReportMetric(direct50, "direct-p50-us")
 	b.ReportMetric(direct99, "direct-p99-us")
 	b.ReportMetric(gateway50, "gateway-p50-us")
@@ -194,13 +196,13 @@
 	b.ReportMetric(gateway99-direct99, "added-p99-us")
 }
 
-// pacedCaller measures requests to one address.
+// pacedCaller sends requests to one address and measures their latency.
 type pacedCaller struct {
 	client  *fasthttp.HostClient
 	request *fasthttp.Request
 
-	mutex sync.Mutex
-	taken []time.Duration
+	mutex     sync.Mutex
+	latencies []time.Duration
 }
 
 func newPacedCaller(address string) *pacedCaller {
@@ -214,23 +216,23 @@
 	p.request.CopyTo(request)
 	start := time.Now()
 	err := p.client.Do(request, response)
-	taken := time.Since(start)
+	latency := time.Since(start)
 	if err != nil || response.StatusCode() != fasthttp.StatusOK {
 		return
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.taken = append(p.taken, taken)
+	p.latencies = append(p.latencies, latency)
 }
 
 // percentiles returns the median and the 99th percentile in microseconds.
 func (p *pacedCaller) percentiles() (p50, p99 float64) {
-	if len(p.taken) == 0 {
+	if len(p.latencies) == 0 {
 		return 0, 0
 	}
-	sort.Slice(p.taken, func(i, j int) bool { return p.taken[i] < p.taken[j] })
+	sort.Slice(p.latencies, func(i, j int) bool { return p.latencies[i] < p.latencies[j] })
 	at := func(share float64) float64 {
-		return float64(p.taken[int(share*float64(len(p.taken)-1))].Nanoseconds()) / 1000
+		return float64(p.latencies[int(share*float64(len(p.latencies)-1))].Nanoseconds()) / 1000
 	}
 	return at(0.50), at(0.99)
 }
@@ -238,17 +240,17 @@
 // benchStreams is the number of streams of BenchmarkStreamTokens.
 const benchStreams = 500
 
-// BenchmarkStreamTokens relays streams whose events come one by one, at a
-// fixed pace or as fast as they are taken, and reports the processor time per
-// token of the whole process: the engine, the callers and, in one of the two
-// ways, the gateway. The difference of the two is the gateway's.
+// BenchmarkStreamTokens relays streams whose events come one by one, at a fixed
+// rate or as fast as they are read. It reports the CPU time per token of the
+// whole process: engine, callers and, in one of two variants, the gateway. The
+// difference between the variants is the cost of the gateway.
 func BenchmarkStreamTokens(b *testing.B) {
 	b.Run("paced", func(b *testing.B) { benchmarkTokens(b, 20*time.Millisecond) })
 	b.Run("saturated", func(b *testing.B) { benchmarkTokens(b, 0) })
 }
 
-// benchmarkTokens sends an event on each stream every pace.
-func benchmarkTokens(b *testing.B, pace time.Duration) {
+// benchmarkTokens sends an event on each stream at the given interval.
+func benchmarkTokens(b *testing.B, interval time.Duration) {
 	for _, way := range []string{"direct", "gateway"} {
 		b.Run(way, func(b *testing.B) {
 			e := startBenchEngine(b)
@@ -258,23 +260,23 @@
 			}
 			readers := openStreams(b, e, address)
 			b.ResetTimer()
-			before := processorTime()
+			before := cpuTime()
 			start := time.Now()
 			for number := range b.N {
-				time.Sleep(time.Until(start.Add(time.Duration(number) * pace)))
+				time.Sleep(time.Until(start.Add(time.Duration(number) * interval)))
 				e.tick()
 			}
 			e.end()
 			readers.Wait()
 			tokens := float64(b.N * benchStreams)
-			b.ReportMetric(float64((processorTime()-before).Nanoseconds())/tokens/1000, "cpu-us/token")
+			b.ReportMetric(float64((cpuTime()-before).Nanoseconds())/tokens/1000, "cpu-us/token")
 			b.ReportMetric(tokens/time.Since(start).Seconds(), "tokens/s")
 		})
 	}
 }
 
-// openStreams opens the streams, waits for the first event of each and reads
-// them on until they end.
+// openStreams opens the streams, sends the first event on each and starts to read
+// them until they end. The returned group waits for that.
 func openStreams(b *testing.B, e *benchEngine, address string) *conc.WaitGroup {
 	request := newBenchRequest(address, true)
 	connections := make([]net.Conn, benchStreams)
@@ -314,8 +316,8 @@
 	return &group
 }
 
-// processorTime is the processor time that this process has used.
-func processorTime() time.Duration {
+// cpuTime returns the CPU time that this process has used.
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0
@@ -323,7 +325,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkDecodeBody reads the body of a short chat.
+// BenchmarkDecodeBody decodes the body of a short chat.
 func BenchmarkDecodeBody(b *testing.B) {
 	body := []byte(chatBody("glaze-7b", benchPrompt, true))
 	b.ReportAllocs()
@@ -334,8 +336,8 @@
 	}
 }
 
-// BenchmarkDecodeManyFields reads a body of 4 MiB that is all field names, the
-// most that a caller can make a node hold for one.
+// BenchmarkDecodeManyFields decodes a body of 4 MiB that consists of tiny fields,
+// the body for which a node needs the most memory.
 func BenchmarkDecodeManyFields(b *testing.B) {
 	body := []byte(`{"model":"glaze-7b","messages":[]` + strings.Repeat(`,"":0`, DefaultBodyBytes/len(`,"":0`)-10) + "}")
 	b.ReportAllocs()
--- a/pkg/gateway/call.go
+++ b/pkg/gateway/call.go
@@ -18,46 +18,46 @@
 	"martenwheel.dev/pkg/tree"
 )
 
-// errCallerLeft ends the work for a caller that hung up.
-var errCallerLeft = errors.New("gateway: the caller hung up")
+// errCallerHungUp is the cancellation cause of calls whose caller hung up.
+var errCallerHungUp = errors.New("gateway: the caller hung up")
 
-// call is one request of a caller on its way. It holds no buffer of the HTTP
-// server: all that it needs was copied.
+// call is the state of one caller's request. It refers to no buffer of the HTTP
+// server, which reuses them: everything it needs is copied.
 type call struct {
 	gateway     *Gateway
 	endpoint    endpoint
 	options     requestOptions
 	body        []byte
 	parsed      requestBody
-	fingerprint quarantine.Fingerprint // of the request if it comes again
+	fingerprint quarantine.Fingerprint // identifies the request when it is sent again
 	model       tree.Model
 	request     traffic.Request
-	claim       *keeper.Claim // a granted claim
+	claim       *keeper.Claim // the granted claim; nil: none
 	decision    keeper.Decision
 
-	current    *attempt        // the last one
-	caller     context.Context // ends when the caller left or the node stops
-	leave      context.CancelCauseFunc
-	watch      *hangup.Watch
-	attempts   int
-	uncertain  bool // some attempt may have been run in part
-	record     record
-	over       bool // it was logged and counted
-	firstEvent time.Time
+	current       *attempt        // the latest attempt
+	callerContext context.Context // done when the caller hung up or requests are aborted at the end of Drain
+	cancelCaller  context.CancelCauseFunc
+	watch         *hangup.Watch
+	attempts      int
+	mayHaveRun    bool // an attempt may have been run, at least in part
+	record        record
+	ended         bool // already logged and counted
+	firstEvent    time.Time
 }
 
-// newCall starts the life of a request that arrived on connection.
+// newCall returns the call for a request that arrived on connection.
 func (g *Gateway) newCall(endpoint endpoint, connection net.Conn) *call {
 	c := &call{gateway: g, endpoint: endpoint}
 	c.record.arrived = g.config.Now()
-	c.caller, c.leave = context.WithCancelCause(g.stopping)
-	c.watch = g.hangups.Add(connection, func() { c.leave(errCallerLeft) })
+	c.callerContext, c.cancelCaller = context.WithCancelCause(g.abortContext)
+	c.watch = g.hangups.Add(connection, func() { c.cancelCaller(errCallerHungUp) })
 	g.metrics.inFlight.Inc()
 	return c
 }
 
-// resolve fills in the traffic request from the model's settings and the
-// caller's options.
+// resolve looks up the model and fills in the traffic request from the model's
+// settings and the caller's options.
 func (c *call) resolve() *APIError {
 	catalog, apiError := c.gateway.catalog()
 	if apiError != nil {
@@ -99,7 +99,8 @@
 	return nil
 }
 
-// defaultDeadline is the model's time to the first token.
+// defaultDeadline returns the time to the first token if the caller sets no
+// deadline.
 func (c *call) defaultDeadline() time.Duration {
 	if c.model.Settings.Deadline > 0 {
 		return c.model.Settings.Deadline
@@ -107,7 +108,7 @@
 	return c.gateway.config.Timeouts.FirstToken
 }
 
-// unknownModel refuses a request for a model that the settings don't have.
+// unknownModel returns the error for a model that is not in the settings.
 func unknownModel(name api.ModelName) *APIError {
 	return &APIError{
 		Status:  fiber.StatusNotFound,
@@ -118,71 +119,71 @@
 	}
 }
 
-// hasLeft tells whether the caller hung up.
-func (c *call) hasLeft() bool {
-	return context.Cause(c.caller) == errCallerLeft
+// hasHungUp reports whether the caller hung up.
+func (c *call) hasHungUp() bool {
+	return context.Cause(c.callerContext) == errCallerHungUp
 }
 
-// isForNobody tells whether the work may stop, since the caller hung up and
-// won't ask for a kept answer.
-func (c *call) isForNobody() bool {
-	return c.hasLeft() && !c.request.Unsafe
+// isAnswerUnwanted reports whether the work can stop because the caller hung up and
+// the answer is not kept for a repeat.
+func (c *call) isAnswerUnwanted() bool {
+	return c.hasHungUp() && !c.request.Unsafe
 }
 
-// dispatch gets a replica for the request and sends it, again if an attempt
-// fails and the dispatcher allows. It returns the answer of the attempt that
-// succeeded, which owns the grant.
+// dispatch gets a replica for the request and sends the request there. If the
+// attempt fails, it retries as long as the dispatcher allows. It returns the
+// successful attempt, which owns the grant.
 func (c *call) dispatch() (*attempt, *APIError) {
-	if apiError := c.quarantined(); apiError != nil {
+	if apiError := c.checkQuarantine(); apiError != nil {
 		return nil, apiError
 	}
-	waitFrom := c.gateway.config.Now()
-	grant, err := c.gateway.config.Dispatcher.Acquire(c.caller, c.request)
+	waitStart := c.gateway.config.Now()
+	grant, err := c.gateway.config.Dispatcher.Acquire(c.callerContext, c.request)
 	for {
-		c.record.waited += c.gateway.config.Now().Sub(waitFrom)
+		c.record.waitTime += c.gateway.config.Now().Sub(waitStart)
 		if err != nil {
-			return nil, c.refused(err)
+			return nil, c.toAPIError(err)
 		}
 		c.current = c.newAttempt(grant)
 		round := c.gateway.quarantine.NextRound(c.gateway.config.Now(), c.fingerprint)
 		failure := c.current.run()
 		if failure == nil {
-			c.ran()
+			c.recordAnswered()
 			return c.current, nil
 		}
-		if failure.engineEnded && !c.engineEnded(string(c.current.target.Server), round) {
+		if failure.engineCrashed && !c.recordCrash(string(c.current.target.Server), round) {
 			failure.final = true
 		}
-		c.uncertain = c.uncertain || !failure.apiError.NotRun
+		c.mayHaveRun = c.mayHaveRun || !failure.apiError.NotRun
 		if failure.final {
 			c.current.done(failure.result())
-			return nil, c.refused(failure.apiError)
+			return nil, c.toAPIError(failure.apiError)
 		}
-		waitFrom = c.gateway.config.Now()
+		waitStart = c.gateway.config.Now()
 		grant, err = c.current.retry(failure.result())
 	}
 }
 
-// refused turns err into the caller's error. It says "not run" only if that
-// holds for every attempt.
-func (c *call) refused(err error) *APIError {
+// toAPIError converts err into the error for the caller. The error says "not run"
+// only if that is true of every attempt.
+func (c *call) toAPIError(err error) *APIError {
 	var apiError *APIError
 	if !errors.As(err, &apiError) {
 		apiError = fromRefusal(err)
 	}
-	if context.Cause(c.caller) == errDrainTimeout {
+	if context.Cause(c.callerContext) == errDrainTimeout {
 		notRun := apiError.NotRun
-		apiError = stopping()
+		apiError = nodeStopping()
 		apiError.NotRun = notRun
 	}
-	if c.uncertain {
+	if c.mayHaveRun {
 		apiError.NotRun = false
 	}
 	return apiError
 }
 
-// stopping refuses a request on a node that stops.
-func stopping() *APIError {
+// nodeStopping returns the error for a request on a node that is stopping.
+func nodeStopping() *APIError {
 	return fromRefusal(&traffic.Refusal{
 		Reason:     traffic.ReasonStopping,
 		Message:    "this node is stopping",
@@ -191,7 +192,7 @@
 	})
 }
 
-// engineFailed is the error for a request that no engine answered.
+// engineFailed returns the error for a request that no engine answered completely.
 func engineFailed(notRun bool, cause error) *APIError {
 	failure := &APIError{
 		Status:  fiber.StatusBadGateway,
@@ -208,10 +209,10 @@
 	return failure
 }
 
-// callerLeft is recorded for a caller that hung up.
-func callerLeft(notRun bool) *APIError {
+// callerHungUp returns the error that is logged for a caller that hung up.
+func callerHungUp(notRun bool) *APIError {
 	return &APIError{
-		Status:  statusCallerLeft,
+		Status:  statusCallerHungUp,
 		Message: "the caller hung up",
 		Type:    typeInvalidRequest,
 		Code:    string(traffic.ReasonCallerLeft),
--- a/pkg/gateway/claim.go
+++ b/pkg/gateway/claim.go
@@ -12,15 +12,16 @@
 	"martenwheel.dev/pkg/traffic"
 )
 
-// Advice on when to come back, where nobody gives one.
+// Values of Retry-After where the refusal has none.
 const (
 	noSettingsRetry = 2 * time.Second
 	claimRetry      = time.Second
 	stoppingRetry   = time.Second
 )
 
-// claimOnce claims the right to run an unsafe request. It returns the kept
-// answer of an earlier run, or an error if the request may not be run now.
+// claimOnce claims the idempotency key of an unsafe request from the keepers.
+// It returns the kept answer of an earlier run, an error if the request may not
+// run now, or neither if the claim was granted.
 func (c *call) claimOnce() (*keeper.Answer, *APIError) {
 	claims := c.gateway.config.Claims
 	if claims == nil {
@@ -36,20 +37,21 @@
 		Attempt:   c.request.ID,
 		Retention: c.model.Settings.RepeatRetention,
 	}
-	ctx, cancel := context.WithDeadline(c.caller, c.request.Deadline)
+	ctx, cancel := context.WithDeadline(c.callerContext, c.request.Deadline)
 	defer cancel()
-	waitFrom := c.gateway.config.Now()
+	waitStart := c.gateway.config.Now()
 	decision := claims.Claim(ctx, claim)
-	c.record.waited += c.gateway.config.Now().Sub(waitFrom)
+	c.record.waitTime += c.gateway.config.Now().Sub(waitStart)
 	if decision.Verdict == keeper.VerdictGranted {
 		c.claim = &claim
 		c.decision = decision
 		return nil, nil
 	}
-	return decideRepeat(decision)
+	return answerRepeat(decision)
 }
 
-// digest identifies what an unsafe request asks for.
+// digest returns a hash of the endpoint and body. Keepers use it to detect a
+// key that is reused for another request.
 func (c *call) digest() [32]byte {
 	hash := sha256.New()
 	hash.Write([]byte(c.endpoint.path))
@@ -58,8 +60,9 @@
 	return [32]byte(hash.Sum(nil))
 }
 
-// decideRepeat tells what a caller gets whose claim was not granted.
-func decideRepeat(decision keeper.Decision) (*keeper.Answer, *APIError) {
+// answerRepeat returns the answer or error for a request whose claim was not
+// granted.
+func answerRepeat(decision keeper.Decision) (*keeper.Answer, *APIError) {
 	retry := decision.RetryAfter
 	if retry == 0 {
 		retry = claimRetry
@@ -86,12 +89,12 @@
 	}
 }
 
-// claimRefused is the error for an unsafe request that may not be run now.
+// claimRefused returns the error for an unsafe request that may not run now.
 func claimRefused(reason traffic.RefusalReason, message string, notRun bool, retry time.Duration) *APIError {
 	return fromRefusal(&traffic.Refusal{Reason: reason, Message: message, NotRun: notRun, RetryAfter: retry})
 }
 
-// replay answers with the kept answer of an earlier run.
+// replay sends the kept answer of an earlier run.
 func (c *call) replay(ctx *fiber.Ctx, kept *keeper.Answer) error {
 	c.record.replayed = true
 	c.end(traffic.OutcomeServed, nil)
@@ -100,19 +103,20 @@
 	return ctx.Status(kept.Status).Send(kept.Body)
 }
 
-// mayStillRun tells whether the keepers still remember the claim of an unsafe
-// request. A node that was frozen since the claim, or let the request wait too
-// long, must not send it on.
-func (c *call) mayStillRun() bool {
+// isClaimValid reports whether the claim of an unsafe request is still valid.
+// After the node was frozen or the request waited too long, the keepers may have
+// forgotten the claim, and sending the request could run it twice.
+func (c *call) isClaimValid() bool {
 	return c.claim == nil || c.decision.StillValid(c.gateway.config.Now())
 }
 
-// claimLapsed is the error for an unsafe request whose claim is too old.
-func claimLapsed() *APIError {
+// claimExpired returns the error for an unsafe request whose claim has expired.
+func claimExpired() *APIError {
 	return claimRefused(traffic.ReasonUnavailable, "the claim on the key became too old before the request could be sent; it was not run", true, claimRetry)
 }
 
-// completeClaim keeps the answer of a granted claim, in the background.
+// completeClaim stores the answer of a granted claim at the keepers, in the
+// background.
 func (c *call) completeClaim(answer keeper.Answer) {
 	if c.claim == nil {
 		return
@@ -121,27 +125,27 @@
 		answer.Body = nil
 	}
 	claim := *c.claim
-	c.gateway.tellKeepers(func(ctx context.Context, claims keeper.Claims) {
+	c.gateway.callKeepers(func(ctx context.Context, claims keeper.Claims) {
 		claims.Complete(ctx, claim, answer)
 	})
 }
 
-// releaseClaim gives a granted claim back if the request surely did not run.
+// releaseClaim releases a granted claim if the request certainly did not run.
 func (c *call) releaseClaim(notRun bool) {
 	if c.claim == nil || !notRun {
 		return
 	}
 	claim := *c.claim
-	c.gateway.tellKeepers(func(ctx context.Context, claims keeper.Claims) {
+	c.gateway.callKeepers(func(ctx context.Context, claims keeper.Claims) {
 		claims.Release(ctx, claim)
 	})
 }
 
-// tellKeepers talks to the keepers in the background.
-func (g *Gateway) tellKeepers(tell func(context.Context, keeper.Claims)) {
+// callKeepers runs fn in the background, with the timeout for calls to keepers.
+func (g *Gateway) callKeepers(fn func(context.Context, keeper.Claims)) {
 	g.background.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), g.config.Timeouts.Keepers)
 		defer cancel()
-		tell(ctx, g.config.Claims)
+		fn(ctx, g.config.Claims)
 	})
 }
--- a/pkg/gateway/claim_test.go
+++ b/pkg/gateway/claim_test.go
@@ -7,8 +7,8 @@
 	"martenwheel.dev/pkg/keeper"
 )
 
-// TestClaimVerdicts: what a caller gets whose claim is not granted; nothing
-// reaches the dispatcher.
+// TestClaimVerdicts checks the answer for each verdict other than granted, and
+// that the request does not reach the dispatcher.
 func TestClaimVerdicts(t *testing.T) {
 	kept := &keeper.Answer{Status: 200, ContentType: "application/json", Body: []byte(`{"id":"kept"}`)}
 	cases := []struct {
@@ -56,8 +56,9 @@
 	}
 }
 
-// TestLapsedClaim: a request whose claim became too old, as on a node that was
-// frozen, is not sent on, and its key is given back.
+// TestLapsedClaim checks that a request whose claim has expired, for example
+// because the node was frozen, is not sent to an engine, and that the claim is
+// released.
 func TestLapsedClaim(t *testing.T) {
 	engineServer := startEngine(t, 1)
 	claims := newFakeClaims(keeper.Decision{Verdict: keeper.VerdictGranted, DispatchBefore: time.Now().Add(-time.Second)})
@@ -66,22 +67,22 @@
 	if apiError := apiErrorOf(t, got); got.status != 503 || !apiError.NotRun || got.header.Get("Retry-After") == "" {
 		t.Errorf("status %d, error %+v", got.status, apiError)
 	}
-	<-claims.told
+	<-claims.notified
 	if claims.released != 1 || engineServer.requests() != 0 {
 		t.Errorf("%d released, %d requests reached the engine", claims.released, engineServer.requests())
 	}
 }
 
-// TestClaimCompleted: the answer of an unsafe request is kept, unless it is
-// too large; without keepers such a request is not run.
+// TestClaimCompleted checks that the answer of an unsafe request is kept unless it
+// is too large, and that such a request is not run without keepers.
 func TestClaimCompleted(t *testing.T) {
 	for _, stream := range []bool{false, true} {
 		for _, limit := range []int{0, 10} {
 			engineServer := startEngine(t, 4)
-			claims := granted()
+			claims := newGrantingClaims()
 			_, url := startGateway(t, Config{Dispatcher: engineServer.dispatcher(), Claims: claims, Limits: Limits{KeptAnswerBytes: limit}})
 			got := chat(t, url, chatBody("slots", "a", stream), map[string]string{HeaderIdempotencyKey: "k"})
-			<-claims.told
+			<-claims.notified
 			want := string(got.body)
 			if limit > 0 {
 				want = ""
--- a/pkg/gateway/config.go
+++ b/pkg/gateway/config.go
@@ -15,69 +15,69 @@
 	"martenwheel.dev/pkg/tree"
 )
 
-// Authenticator checks the keys of callers. Safe for concurrent use.
+// Authenticator checks the API keys of callers. It is safe for concurrent use.
 type Authenticator interface {
-	// Authenticate returns the name of the caller that owns key, and false if
-	// nobody does. It compares in constant time and does not keep key.
+	// Authenticate returns the name of the caller that owns key, or false if
+	// the key is unknown. It compares in constant time and does not retain key.
 	Authenticate(key []byte) (caller string, known bool)
 }
 
 // Catalog is one revision of the models that callers may ask for. *tree.Tree
-// is one.
+// implements it.
 type Catalog interface {
 	Model(name api.ModelName) (tree.Model, bool)
 	Models() []tree.Model
 	Revision() tree.Revision
 }
 
-// Limits bound what callers and engines can take up. A zero field selects its
-// default.
+// Limits bounds the resources that callers and engines can use. A zero field
+// selects its default.
 type Limits struct {
-	BodyBytes        int // of a request
-	HeaderBytes      int // of a request
-	AnswerBytes      int // of an answer that is not streamed
-	EventBytes       int // of one event of a stream
-	KeptAnswerBytes  int // of an answer kept for a repeat of an unsafe request
-	Connections      int // of all callers
-	ConnectionsPerIP int
-	ConnsPerEngine   int
-	Resumes          int // of one broken answer
-	Moves            int // of streams to other replicas, at once; negative: none
-	MoveTries        int // of one stream
-	MoveBytes        int // of a stream that is moved
+	BodyBytes        int // maximum size of a request body
+	HeaderBytes      int // maximum size of a request header
+	AnswerBytes      int // maximum size of an answer that is not streamed
+	EventBytes       int // maximum size of one stream event
+	KeptAnswerBytes  int // maximum size of an answer kept for repeats of an unsafe request
+	Connections      int // open connections of all callers
+	ConnectionsPerIP int // open connections from one IP address
+	ConnsPerEngine   int // connections to one engine
+	Resumes          int // resume attempts for one broken answer
+	Moves            int // streams moved to other replicas at a time; negative: moves are off
+	MoveTries        int // move attempts per stream
+	MoveBytes        int // maximum size of an exported stream
 }
 
-// Timeouts bound each step of a request. A zero field selects its default.
+// Timeouts bounds each step of a request. A zero field selects its default.
 type Timeouts struct {
-	Read           time.Duration // of a caller's request
-	Write          time.Duration // of a part of an answer, to a caller
-	Idle           time.Duration // of a caller's connection between requests
-	Connect        time.Duration // to an engine
-	EngineWrite    time.Duration // of a request, to an engine
-	EngineStall    time.Duration // between two events of a stream
-	ResumePause    time.Duration // before the second and later resumptions of an answer
-	EngineIdle     time.Duration // of an engine's connection between requests
-	WholeAnswer    time.Duration // after the deadline, longest for an answer that is not streamed
-	WholeStart     time.Duration // part of WholeAnswer that every answer gets
-	Token          time.Duration // part of WholeAnswer for each token asked for
-	FirstToken     time.Duration // deadline of a request for which nothing gives one
-	HangUpInterval time.Duration // between two looks for callers that left
-	MoveStep       time.Duration // for an export or import
-	MovePause      time.Duration // between two tries to move a stream
-	TurnAway       time.Duration // of a planned stop, in which new requests get a refusal
-	Keepers        time.Duration // for a claim's completion or release
+	Read                time.Duration // reading a caller's request
+	Write               time.Duration // each write of an answer to a caller
+	Idle                time.Duration // caller connection without a request
+	Connect             time.Duration // connecting to an engine
+	EngineWrite         time.Duration // writing a request to an engine
+	EngineStall         time.Duration // gap between two events of a stream
+	ResumePause         time.Duration // wait before the second and later resume attempts of an answer
+	EngineIdle          time.Duration // engine connection without a request
+	WholeAnswer         time.Duration // longest time after the deadline for an answer that is not streamed
+	WholeAnswerBase     time.Duration // fixed part of the time for an answer that is not streamed
+	WholeAnswerPerToken time.Duration // added to WholeAnswerBase for each requested token, up to WholeAnswer
+	FirstToken          time.Duration // deadline if neither the request nor the model sets one
+	HangUpInterval      time.Duration // interval of the checks for callers that hung up
+	MoveStep            time.Duration // one export or import
+	MovePause           time.Duration // wait between two attempts to move a stream
+	RefuseNew           time.Duration // how long Drain answers new requests with a refusal before it closes connections
+	Keepers             time.Duration // completing or releasing a claim
 }
 
-// Config is what a gateway is made of.
+// Config configures a gateway. Dispatcher, Catalog and Region are required.
 type Config struct {
-	Node          string // this node's name, for logs
-	Region        string // of this node, for the names of cells
+	Node          string // name of this node, for logs
+	Region        string // region of this node, part of cell names
 	Dispatcher    traffic.Dispatcher
-	Catalog       func() Catalog // the settings in force; nil while there are none
+	Catalog       func() Catalog // returns the current models, nil before the first settings arrive
 	Claims        keeper.Claims  // nil: requests that are unsafe to repeat are refused
 	Authenticator Authenticator  // nil: every caller is "anonymous"
 	Logger        hclog.Logger
-	Metrics       prometheus.Registerer // nil: none are registered
+	Metrics       prometheus.Registerer // nil: metrics are not registered
 	Now           func() time.Time      // nil: time.Now
 	TLS           *tls.Config           // nil: plain HTTP
 	Limits        Limits
@@ -102,26 +102,26 @@
 
 // Defaults of Timeouts.
 const (
-	DefaultRead           = 30 * time.Second
-	DefaultWrite          = 30 * time.Second
-	DefaultIdle           = 2 * time.Minute
-	DefaultConnect        = 2 * time.Second
-	DefaultEngineWrite    = 10 * time.Second
-	DefaultEngineStall    = 30 * time.Second
-	DefaultResumePause    = 100 * time.Millisecond
-	DefaultEngineIdle     = 30 * time.Second
-	DefaultWholeAnswer    = 5 * time.Minute
-	DefaultWholeStart     = 10 * time.Second
-	DefaultToken          = 250 * time.Millisecond
-	DefaultFirstToken     = 30 * time.Second
-	DefaultHangUpInterval = 100 * time.Millisecond
-	DefaultMoveStep       = 5 * time.Second
-	DefaultMovePause      = time.Second
-	DefaultTurnAway       = 300 * time.Millisecond
-	DefaultKeepers        = 2 * time.Second
+	DefaultRead                = 30 * time.Second
+	DefaultWrite               = 30 * time.Second
+	DefaultIdle                = 2 * time.Minute
+	DefaultConnect             = 2 * time.Second
+	DefaultEngineWrite         = 10 * time.Second
+	DefaultEngineStall         = 30 * time.Second
+	DefaultResumePause         = 100 * time.Millisecond
+	DefaultEngineIdle          = 30 * time.Second
+	DefaultWholeAnswer         = 5 * time.Minute
+	DefaultWholeAnswerBase     = 10 * time.Second
+	DefaultWholeAnswerPerToken = 250 * time.Millisecond
+	DefaultFirstToken          = 30 * time.Second
+	DefaultHangUpInterval      = 100 * time.Millisecond
+	DefaultMoveStep            = 5 * time.Second
+	DefaultMovePause           = time.Second
+	DefaultRefuseNew           = 300 * time.Millisecond
+	DefaultKeepers             = 2 * time.Second
 )
 
-// check reports all faults of the configuration.
+// check returns an error that lists all faults of the configuration.
 func (c Config) check() error {
 	var found findings.List
 	if c.Dispatcher == nil {
@@ -176,13 +176,13 @@
 	t.ResumePause = cmp.Or(t.ResumePause, DefaultResumePause)
 	t.EngineIdle = cmp.Or(t.EngineIdle, DefaultEngineIdle)
 	t.WholeAnswer = cmp.Or(t.WholeAnswer, DefaultWholeAnswer)
-	t.WholeStart = cmp.Or(t.WholeStart, DefaultWholeStart)
-	t.Token = cmp.Or(t.Token, DefaultToken)
+	t.WholeAnswerBase = cmp.Or(t.WholeAnswerBase, DefaultWholeAnswerBase)
+	t.WholeAnswerPerToken = cmp.Or(t.WholeAnswerPerToken, DefaultWholeAnswerPerToken)
 	t.FirstToken = cmp.Or(t.FirstToken, DefaultFirstToken)
 	t.HangUpInterval = cmp.Or(t.HangUpInterval, DefaultHangUpInterval)
 	t.MoveStep = cmp.Or(t.MoveStep, DefaultMoveStep)
 	t.MovePause = cmp.Or(t.MovePause, DefaultMovePause)
-	t.TurnAway = cmp.Or(t.TurnAway, DefaultTurnAway)
+	t.RefuseNew = cmp.Or(t.RefuseNew, DefaultRefuseNew)
 	t.Keepers = cmp.Or(t.Keepers, DefaultKeepers)
 	return t
 }
--- a/pkg/gateway/connection_test.go
+++ b/pkg/gateway/connection_test.go
@@ -15,7 +15,7 @@
 	"martenwheel.dev/pkg/security/securitytest"
 )
 
-// dialRaw opens a connection on which the test writes its own HTTP.
+// dialRaw opens a TCP connection on which the test writes raw HTTP.
 func dialRaw(t *testing.T, url string) net.Conn {
 	t.Helper()
 	connection, err := net.Dial("tcp", strings.TrimPrefix(url, "http://"))
@@ -26,14 +26,14 @@
 	return connection
 }
 
-// rawRequest is a completion request as it goes over the wire.
+// rawRequest returns the raw HTTP of a chat completion request.
 func rawRequest(body, header string) string {
 	return fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: gateway\r\nContent-Type: application/json\r\n%sContent-Length: %d\r\n\r\n%s",
 		header, len(body), body)
 }
 
-// TestConnectionLimits: connections above the limits are refused in words, and
-// closed ones make room.
+// TestConnectionLimits checks that connections above the limits get an error
+// answer, and that closing a connection admits another.
 func TestConnectionLimits(t *testing.T) {
 	for _, limits := range []Limits{{Connections: 2}, {ConnectionsPerIP: 2}} {
 		_, url := startGateway(t, Config{Dispatcher: &fakeDispatcher{}, Limits: limits})
@@ -52,11 +52,11 @@
 			t.Errorf("%+v: status %d, body %s", limits, response.StatusCode, body)
 		}
 		_ = first.Close()
-		waitForRoom(t, url)
+		waitForAdmission(t, url)
 	}
 }
 
-// getModels asks for the models on a connection and returns the status.
+// getModels requests the list of models on a connection and returns the status.
 func getModels(t *testing.T, connection net.Conn) int {
 	t.Helper()
 	_, _ = io.WriteString(connection, "GET /v1/models HTTP/1.1\r\nHost: gateway\r\n\r\n")
@@ -68,8 +68,8 @@
 	return response.StatusCode
 }
 
-// waitForRoom tries until a connection is let in.
-func waitForRoom(t *testing.T, url string) {
+// waitForAdmission connects repeatedly until a connection is admitted.
+func waitForAdmission(t *testing.T, url string) {
 	t.Helper()
 	for range 10_000 {
 		connection := dialRaw(t, url)
@@ -79,12 +79,13 @@
 			return
 		}
 	}
-	t.Error("a closed connection makes no room")
+	t.Error("no connection is admitted after another was closed")
 }
 
-// TestSlowCallerIsLeft: a caller that takes no bytes does not hold its place
-// for ever, and the engine is told.
-func TestSlowCallerIsLeft(t *testing.T) {
+// TestSlowReaderIsDisconnected checks that a caller that reads nothing is
+// disconnected after the write timeout, and that its request is cancelled at the
+// engine.
+func TestSlowReaderIsDisconnected(t *testing.T) {
 	engine := startEngine(t, 200_000)
 	_, url := startGateway(t, Config{
 		Dispatcher: engine.dispatcher(),
@@ -95,14 +96,14 @@
 	engine.waitCancelled(t, 1)
 }
 
-// TestTLS: requests are served over TLS, and a hang-up shows through it.
+// TestTLS checks that requests are served and hang-ups are detected over TLS.
 func TestTLS(t *testing.T) {
 	authority := securitytest.NewAuthority(t, time.Now())
 	certificate := authority.Issue(func(c *x509.Certificate) { c.IPAddresses = []net.IP{net.IPv4(127, 0, 0, 1)} })
 	trusted := authority.Pool()
 	engine := startEngine(t, 5)
 	paused := make(chan struct{}, 1)
-	engine.pauseAt(2, untilDropped(paused))
+	engine.pauseAt(2, waitForDisconnect(paused))
 	_, url := startGateway(t, Config{
 		Dispatcher: engine.dispatcher(),
 		TLS:        &tls.Config{Certificates: []tls.Certificate{certificate}},
@@ -124,8 +125,8 @@
 	engine.waitCancelled(t, 1)
 }
 
-// TestSlowRequestIsCut: a caller that sends its request too slowly does not
-// hold its connection for ever, before or within the header and body.
+// TestSlowRequestIsCut checks that a caller that sends its request too slowly is
+// disconnected, whether it stalls before the header, in it or in the body.
 func TestSlowRequestIsCut(t *testing.T) {
 	dispatcher := &fakeDispatcher{}
 	_, url := startGateway(t, Config{Dispatcher: dispatcher, Timeouts: Timeouts{Read: 100 * time.Millisecond, Idle: 100 * time.Millisecond}})
@@ -139,6 +140,6 @@
 		}
 	}
 	if len(dispatcher.requests) != 0 {
-		t.Error("dispatched")
+		t.Error("an incomplete request was dispatched")
 	}
 }
--- a/pkg/gateway/drain_test.go
+++ b/pkg/gateway/drain_test.go
@@ -17,8 +17,8 @@
 	"martenwheel.dev/pkg/traffic"
 )
 
-// TestDrainEndsStreamsWhole: a planned stop waits for the streams that run and
-// takes no new connection.
+// TestDrainEndsStreamsWhole checks that Drain waits until running streams are
+// complete and refuses new connections.
 func TestDrainEndsStreamsWhole(t *testing.T) {
 	engine := startEngine(t, 10)
 	paused, resume := make(chan struct{}, 1), make(chan struct{})
@@ -51,8 +51,8 @@
 	checkStream(t, got.body, "ash", 10)
 }
 
-// TestDrainBound: what outlasts the bound of a planned stop ends with an
-// explicit error.
+// TestDrainBound checks that streams still running when Drain times out end with
+// an explicit error.
 func TestDrainBound(t *testing.T) {
 	engine := startEngine(t, 10)
 	engine.pauseAt(5, func(r *http.Request) { <-r.Context().Done() })
@@ -74,7 +74,7 @@
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
 	if err := g.Drain(ended); err == nil {
-		t.Error("Drain reports no error")
+		t.Error("Drain returned no error after its timeout")
 	}
 	rest, err := io.ReadAll(response.Body)
 	if err != nil {
@@ -89,9 +89,9 @@
 	}
 }
 
-// TestDrainRefusesWhatWaits: requests that still wait for a replica when the
-// bound of a planned stop is over were not run, and are told so.
-func TestDrainRefusesWhatWaits(t *testing.T) {
+// TestDrainRefusesQueuedRequests checks that requests still waiting for a replica
+// when Drain times out are refused as not run.
+func TestDrainRefusesQueuedRequests(t *testing.T) {
 	queued := make(chan struct{})
 	dispatcher := &fakeDispatcher{acquire: func(ctx context.Context, _ traffic.Request) error {
 		close(queued)
@@ -116,8 +116,8 @@
 	}
 }
 
-// TestRequestWhileDraining: a request that arrives on an open connection
-// during a planned stop is refused as not run.
+// TestRequestWhileDraining checks that a request on an open connection is refused
+// as not run during Drain.
 func TestRequestWhileDraining(t *testing.T) {
 	dispatcher := &fakeDispatcher{}
 	g, url := startGateway(t, Config{Dispatcher: dispatcher})
@@ -134,20 +134,20 @@
 		t.Errorf("header %s, error %+v", header, apiError)
 	}
 	if len(dispatcher.requests) != 0 {
-		t.Error("dispatched")
+		t.Error("the request was dispatched")
 	}
 }
 
-// TestDrainTurnsNewCallersAway: at the beginning of a planned stop, callers on
-// kept and on new connections get an answer, not a connection that breaks, until
-// nobody can connect any more.
-func TestDrainTurnsNewCallersAway(t *testing.T) {
-	g, url := startGateway(t, Config{Dispatcher: &fakeDispatcher{}, Timeouts: Timeouts{TurnAway: time.Hour}})
+// TestDrainRefusesNewRequests checks that at the start of Drain, requests on
+// open and on new connections get an error answer instead of a broken
+// connection, until new connections are refused.
+func TestDrainRefusesNewRequests(t *testing.T) {
+	g, url := startGateway(t, Config{Dispatcher: &fakeDispatcher{}, Timeouts: Timeouts{RefuseNew: time.Hour}})
 	kept := dialRaw(t, url)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var group conc.WaitGroup
-	group.Go(func() { _ = g.Drain(ctx) }) // it is broken off below
+	group.Go(func() { _ = g.Drain(ctx) }) // times out by cancel below
 	for !g.draining.Load() {
 		runtime.Gosched()
 	}
@@ -155,11 +155,11 @@
 		_, _ = io.WriteString(connection, rawRequest(chatBody("glaze-7b", "ash", false), ""))
 		received, err := io.ReadAll(connection)
 		if err != nil || !strings.Contains(string(received), `"code":"stopping"`) {
-			t.Errorf("%v, %s", err, received)
+			t.Errorf("error %v, received %s", err, received)
 		}
 		connection, err = net.Dial("tcp", strings.TrimPrefix(url, "http://"))
 		if err != nil && !errors.Is(err, syscall.ECONNREFUSED) {
-			t.Errorf("a new caller gets %v", err)
+			t.Errorf("a new connection failed with %v, want ECONNREFUSED", err)
 		}
 		if err != nil {
 			break
@@ -167,5 +167,5 @@
 	}
 	cancel()
 	group.Wait()
-	g.config.Timeouts.TurnAway = time.Millisecond // of the stop at the test's end
+	g.config.Timeouts.RefuseNew = time.Millisecond // for Drain in the test's cleanup
 }
--- a/pkg/gateway/edge_test.go
+++ b/pkg/gateway/edge_test.go
@@ -23,7 +23,7 @@
 
 var _ Authenticator = (*security.Keys)(nil)
 
-// fakeKeys knows the keys of callers.
+// fakeKeys maps API keys to caller names.
 type fakeKeys map[string]string
 
 func (f fakeKeys) Authenticate(key []byte) (string, bool) {
@@ -31,8 +31,9 @@
 	return caller, known
 }
 
-// TestBadRequestsGoNowhere: what is malformed, cut, too large or not allowed
-// is refused as not run before a claim, a place in a queue or an engine.
+// TestBadRequestsGoNowhere checks that requests which are malformed, truncated,
+// too large or not authorized are refused as not run, and reach neither the
+// keepers, the dispatcher nor an engine.
 func TestBadRequestsGoNowhere(t *testing.T) {
 	good := chatBody("glaze-7b", "ash", false)
 	key := "Authorization: Bearer k1\r\n"
@@ -64,7 +65,7 @@
 		{"cut header", "POST /v1/chat/completions HTTP/1.1\r\nHost: g\r\n" + key, 0, ""},
 	}
 	engineServer := startEngine(t, 3)
-	claims := granted()
+	claims := newGrantingClaims()
 	dispatcher := engineServer.dispatcher()
 	_, url := startGateway(t, Config{
 		Dispatcher:    dispatcher,
@@ -77,7 +78,7 @@
 			connection := dialRaw(t, url)
 			_, _ = io.WriteString(connection, test.raw)
 			_ = connection.(*net.TCPConn).CloseWrite()
-			received, _ := io.ReadAll(connection) // a reset after the answer is no matter
+			received, _ := io.ReadAll(connection) // a connection reset after the answer is harmless
 			if test.status == 0 {
 				if bytes.Contains(received, []byte("200")) {
 					t.Errorf("answered %s", received)
@@ -98,7 +99,7 @@
 	}
 }
 
-// TestAllFindingsAtOnce: a caller sees everything that is wrong.
+// TestAllFindingsAtOnce checks that an error lists all faults of a request.
 func TestAllFindingsAtOnce(t *testing.T) {
 	_, url := startGateway(t, Config{Dispatcher: &fakeDispatcher{}})
 	got := post(t, newClient(t), url+"/v1/completions", `{"model":"glaze-7b","prompt":"a"}`,
@@ -106,12 +107,13 @@
 	message := apiErrorOf(t, got).Message
 	for _, header := range []string{HeaderPriority, HeaderUnsafe, HeaderDeadlineMillis} {
 		if !strings.Contains(message, header) {
-			t.Errorf("no word about %s in %q", header, message)
+			t.Errorf("%s is missing in the message %q", header, message)
 		}
 	}
 }
 
-// TestWhatTheEngineReceives: the body byte for byte, and the headers.
+// TestWhatTheEngineReceives checks that the engine gets the body unchanged and
+// only the headers meant for it.
 func TestWhatTheEngineReceives(t *testing.T) {
 	engineServer := startEngine(t, 1)
 	var header http.Header
@@ -154,7 +156,8 @@
 	}
 }
 
-// TestSameRequestID: two requests with one ID are two requests to engines.
+// TestSameRequestID checks that requests with the same ID from callers get
+// different IDs at engines.
 func TestSameRequestID(t *testing.T) {
 	engineServer := startEngine(t, 1)
 	dispatcher := engineServer.dispatcher()
@@ -163,7 +166,7 @@
 		chat(t, url, chatBody("glaze-7b", "a", false), map[string]string{HeaderRequestID: "same"})
 	}
 	if dispatcher.requests[0].ID == dispatcher.requests[1].ID {
-		t.Errorf("both are %s", dispatcher.requests[0].ID)
+		t.Errorf("both requests have the ID %s", dispatcher.requests[0].ID)
 	}
 }
 
@@ -171,18 +174,18 @@
 	c := &call{gateway: &Gateway{config: Config{}.withDefaults()}}
 	for tokens, want := range map[int]time.Duration{
 		0:       DefaultWholeAnswer,
-		12:      DefaultWholeStart + 12*DefaultToken,
+		12:      DefaultWholeAnswerBase + 12*DefaultWholeAnswerPerToken,
 		100_000: DefaultWholeAnswer,
 	} {
 		c.request.MaxTokens = tokens
-		if got := c.wholeAnswerTime(); got != want {
+		if got := c.wholeAnswerTimeout(); got != want {
 			t.Errorf("%d tokens: %s, want %s", tokens, got, want)
 		}
 	}
 }
 
-// TestDispatcherRefusal: the reason, advice and word on "not run" reach the
-// caller.
+// TestDispatcherRefusal checks that the reason, Retry-After and "not run" of a
+// refusal reach the caller.
 func TestDispatcherRefusal(t *testing.T) {
 	dispatcher := &fakeDispatcher{acquire: func(ctx context.Context, _ traffic.Request) error {
 		return &traffic.Refusal{Reason: traffic.ReasonQueueFull, Message: "the queue is full", NotRun: true, RetryAfter: 2200 * time.Millisecond}
@@ -198,8 +201,8 @@
 	}
 }
 
-// TestPanicEndsOneRequest: a fault of the node's own ends one request, gives
-// its place back and leaves the others alone.
+// TestPanicEndsOneRequest checks that a panic while a request is handled fails
+// only this request.
 func TestPanicEndsOneRequest(t *testing.T) {
 	engineServer := startEngine(t, 1)
 	dispatcher := engineServer.dispatcher()
@@ -220,7 +223,7 @@
 	}
 }
 
-// TestRecords: each request has one line in the log and counts once.
+// TestRecords checks that each request is logged in one line and counted once.
 func TestRecords(t *testing.T) {
 	engineServer := startEngine(t, 4)
 	var output bytes.Buffer
@@ -253,13 +256,13 @@
 		t.Errorf("second line %s", rest)
 	}
 	if count := testutil.ToFloat64(g.metrics.requests.WithLabelValues("glaze-7b", outcomeServed)); count != 1 {
-		t.Errorf("%v served", count)
+		t.Errorf("%v requests served, want 1", count)
 	}
 	if count := testutil.ToFloat64(g.metrics.requests.WithLabelValues("", outcomeInvalid)); count != 1 {
-		t.Errorf("%v invalid", count)
+		t.Errorf("%v requests invalid, want 1", count)
 	}
 	if inFlight := testutil.ToFloat64(g.metrics.inFlight); inFlight != 0 {
-		t.Errorf("%v in flight", inFlight)
+		t.Errorf("%v requests in flight, want 0", inFlight)
 	}
 }
 
@@ -267,7 +270,7 @@
 	_, err := New(Config{})
 	for _, field := range []string{"Dispatcher", "Catalog", "Region"} {
 		if err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("no word about %s in %v", field, err)
+			t.Errorf("%s is missing in the error %v", field, err)
 		}
 	}
 }
--- a/pkg/gateway/engine_answer.go
+++ b/pkg/gateway/engine_answer.go
@@ -20,17 +20,18 @@
 // mimeEventStream is the content type of a streamed answer.
 const mimeEventStream = "text/event-stream"
 
-// maxErrorBytes bounds the text that is read of an engine's error.
+// maxErrorBytes is the maximum size of the error answers that are read from
+// engines.
 const maxErrorBytes = 64 << 10
 
-// Faults of an engine's answer.
+// Errors for invalid answers of engines.
 var (
-	errCrossedAnswer = errors.New("the engine sent the answer to another request")
-	errNotJSON       = errors.New("the engine's answer is cut off or no JSON")
-	errWrongType     = errors.New("the engine's answer has an unexpected content type")
+	errOtherAnswer = errors.New("the engine sent the answer of another request")
+	errNotJSON     = errors.New("the engine's answer is truncated or not JSON")
+	errWrongType   = errors.New("the engine's answer has an unexpected content type")
 )
 
-// usage is the part of an answer that counts tokens.
+// usage holds the token counts of an answer.
 type usage struct {
 	CompletionTokens    int `json:"completion_tokens"`
 	PromptTokensDetails struct {
@@ -38,7 +39,7 @@
 	} `json:"prompt_tokens_details"`
 }
 
-// answerFields are the fields of an answer or event that are checked.
+// answerFields holds the fields of an answer or event that the gateway checks.
 type answerFields struct {
 	ID    string `json:"id"`
 	Usage *usage `json:"usage"`
@@ -55,24 +56,24 @@
 	usage usage
 }
 
-// belongsTo tells whether id, as an engine put it into an answer, is the
-// request's ID, after the prefix of the API if there is one.
+// belongsTo reports whether id, from an engine's answer, is engineID, possibly
+// with the ID prefix of the API endpoint.
 func belongsTo(id, engineID string) bool {
 	prefix, found := strings.CutSuffix(id, engineID)
 	return found && (prefix == "" || prefix == "chatcmpl-" || prefix == "cmpl-")
 }
 
-// checkHeader checks that the answer is this request's, and a success. An
-// answer that is not is closed.
+// checkHeader checks that the answer belongs to this request and is a success.
+// It closes any other answer.
 func (a *attempt) checkHeader(answer *upstream.Answer) *attemptFailure {
 	header := &answer.Response.Header
 	succeeded := answer.Response.StatusCode() == fasthttp.StatusOK
-	if !a.isAnswered(header.Peek(engine.HeaderRequestID), succeeded) {
+	if !a.isOwnAnswer(header.Peek(engine.HeaderRequestID), succeeded) {
 		answer.Close(false)
-		return a.failed(errCrossedAnswer)
+		return a.classifyError(errOtherAnswer)
 	}
 	if !succeeded {
-		return a.refusedByEngine(answer)
+		return a.readRefusal(answer)
 	}
 	want := fiber.MIMEApplicationJSON
 	if a.call.parsed.Stream {
@@ -80,23 +81,23 @@
 	}
 	if !bytes.HasPrefix(header.ContentType(), []byte(want)) {
 		answer.Close(false)
-		return a.failed(errWrongType)
+		return a.classifyError(errWrongType)
 	}
 	return nil
 }
 
-// isAnswered tells whether an answer with the given request ID is this
-// request's. An engine may leave the ID out of an error.
-func (a *attempt) isAnswered(id []byte, succeeded bool) bool {
+// isOwnAnswer reports whether an answer with the given request ID belongs to this
+// request. Engines may omit the ID in an error.
+func (a *attempt) isOwnAnswer(id []byte, succeeded bool) bool {
 	if len(id) == 0 {
 		return !succeeded
 	}
 	return string(id) == a.engineID
 }
 
-// refusedByEngine reads and classifies an answer that is an error. Only the
-// engine's own word makes it "not run".
-func (a *attempt) refusedByEngine(answer *upstream.Answer) *attemptFailure {
+// readRefusal reads and classifies an error answer. It counts as "not run"
+// only if the engine says so in a header.
+func (a *attempt) readRefusal(answer *upstream.Answer) *attemptFailure {
 	status := answer.Response.StatusCode()
 	header := &answer.Response.Header
 	leaving := isTrue(header.Peek(engine.HeaderLeaving))
@@ -110,7 +111,7 @@
 	if notRun {
 		failure.outcome = traffic.OutcomeNotRun
 	}
-	if isCallersFault(status) {
+	if isInvalidRequest(status) {
 		failure.final = true
 		failure.outcome = traffic.OutcomeServed
 		failure.apiError.Status = status
@@ -121,13 +122,14 @@
 	return failure
 }
 
-// isTrue tells whether a header says so.
+// isTrue reports whether a header has the value "true".
 func isTrue(value []byte) bool {
 	return string(value) == "true"
 }
 
-// isCallersFault tells whether every engine would refuse the request alike.
-func isCallersFault(status int) bool {
+// isInvalidRequest reports whether status means that every engine would refuse
+// the request.
+func isInvalidRequest(status int) bool {
 	switch status {
 	case fasthttp.StatusBadRequest, fasthttp.StatusRequestEntityTooLarge, fasthttp.StatusUnprocessableEntity:
 		return true
@@ -136,7 +138,7 @@
 	}
 }
 
-// errorText reads an engine's error to its end and returns its message.
+// errorText reads an error answer to its end, closes it and returns its message.
 func errorText(answer *upstream.Answer) string {
 	text, err := answer.ReadAll(maxErrorBytes)
 	answer.Close(err == nil)
@@ -150,8 +152,8 @@
 	return fields.Error.Message
 }
 
-// readWhole reads an answer that is not streamed and checks that it is
-// complete and this request's.
+// readWhole reads an answer that is not streamed and checks that it is complete
+// and belongs to this request.
 func (a *attempt) readWhole(answer *upstream.Answer) (*wholeAnswer, error) {
 	body, err := answer.ReadAll(a.call.gateway.config.Limits.AnswerBytes)
 	if err != nil {
@@ -162,7 +164,7 @@
 		return nil, errNotJSON
 	}
 	if !belongsTo(fields.ID, a.engineID) {
-		return nil, errCrossedAnswer
+		return nil, errOtherAnswer
 	}
 	answer.Close(true)
 	whole := &wholeAnswer{body: body}
@@ -172,10 +174,10 @@
 	return whole, nil
 }
 
-// cancelTimeout bounds a cancellation at an engine.
+// cancelTimeout is the timeout of a cancellation at an engine.
 const cancelTimeout = 2 * time.Second
 
-// cancelAtEngine tells an engine, in the background, to stop a request.
+// cancelAtEngine asks an engine, in the background, to cancel a request.
 func (g *Gateway) cancelAtEngine(address, engineID string) {
 	body, err := json.Marshal(engine.CancelRequest{RequestID: engineID})
 	if err != nil {
--- a/pkg/gateway/errors.go
+++ b/pkg/gateway/errors.go
@@ -12,7 +12,7 @@
 	"martenwheel.dev/pkg/traffic"
 )
 
-// Error types, as OpenAI-style APIs name them.
+// Error types of OpenAI-style APIs.
 const (
 	typeInvalidRequest = "invalid_request_error"
 	typeAuthentication = "authentication_error"
@@ -21,7 +21,7 @@
 	typeServer         = "server_error"
 )
 
-// Error codes besides those of traffic.RefusalReason.
+// Error codes of the gateway; other codes are values of traffic.RefusalReason.
 const (
 	codeInvalidKey     = "invalid_api_key"
 	codeInvalidHeader  = "invalid_header"
@@ -36,10 +36,11 @@
 	codeAnswerNotKept  = "answer_not_kept"
 )
 
-// statusCallerLeft is logged for a caller that hung up; nobody receives it.
-const statusCallerLeft = 499
+// statusCallerHungUp is the status in logs for a caller that hung up; it is never
+// sent.
+const statusCallerHungUp = 499
 
-// APIError is the error that a caller receives.
+// APIError is an error answer to a caller, in the JSON form of OpenAI-style APIs.
 type APIError struct {
 	Status     int           `json:"-"`
 	Message    string        `json:"message"`
@@ -47,11 +48,11 @@
 	Param      *string       `json:"param"`
 	Code       string        `json:"code"`
 	NotRun     bool          `json:"not_run"` // true only if no engine ran any part of the request
-	RetryAfter time.Duration `json:"-"`       // zero: no advice
-	cause      error         // for the log; callers don't learn it
+	RetryAfter time.Duration `json:"-"`       // value of Retry-After; zero: no such header
+	cause      error         // only for logs, never sent to callers
 }
 
-// Error describes the error for logs.
+// Error returns the message and the cause, for logs.
 func (e *APIError) Error() string {
 	if e.cause != nil {
 		return e.Message + ": " + e.cause.Error()
@@ -64,12 +65,12 @@
 	return e.cause
 }
 
-// errorEnvelope is the body of an error answer.
+// errorEnvelope is the JSON body of an error answer.
 type errorEnvelope struct {
 	Error *APIError `json:"error"`
 }
 
-// body returns the error as JSON.
+// body returns the error encoded as JSON.
 func (e *APIError) body() []byte {
 	encoded, err := json.Marshal(errorEnvelope{Error: e})
 	if err != nil {
@@ -78,7 +79,7 @@
 	return encoded
 }
 
-// send answers a caller with the error.
+// send writes the error as the answer to a caller.
 func (e *APIError) send(c *fiber.Ctx) error {
 	c.Set(fiber.HeaderContentType, fiber.MIMEApplicationJSON)
 	c.Set(HeaderNotRun, notRunValue(e.NotRun))
@@ -88,7 +89,7 @@
 	return c.Status(e.Status).Send(e.body())
 }
 
-// notRunValue is the value of HeaderNotRun.
+// notRunValue returns the value of HeaderNotRun.
 func notRunValue(notRun bool) string {
 	if notRun {
 		return "true"
@@ -96,12 +97,13 @@
 	return "unknown"
 }
 
-// retryAfterSeconds rounds up to whole seconds, as the header demands.
+// retryAfterSeconds returns wait rounded up to whole seconds, as Retry-After
+// requires.
 func retryAfterSeconds(wait time.Duration) string {
 	return strconv.Itoa(int(math.Ceil(wait.Seconds())))
 }
 
-// invalidRequest refuses a request for what it says.
+// invalidRequest returns the error for a request with invalid content.
 func invalidRequest(code, message string) *APIError {
 	return &APIError{
 		Status:  fiber.StatusBadRequest,
@@ -112,7 +114,7 @@
 	}
 }
 
-// refusalStatus is the HTTP status of each reason for a refusal.
+// refusalStatus maps each reason for a refusal to its HTTP status.
 var refusalStatus = map[traffic.RefusalReason]int{
 	traffic.ReasonUnknownModel:   fiber.StatusNotFound,
 	traffic.ReasonRateLimited:    fiber.StatusTooManyRequests,
@@ -121,7 +123,7 @@
 	traffic.ReasonLoadFailed:     fiber.StatusServiceUnavailable,
 	traffic.ReasonNoCapacity:     fiber.StatusServiceUnavailable,
 	traffic.ReasonStopping:       fiber.StatusServiceUnavailable,
-	traffic.ReasonCallerLeft:     statusCallerLeft,
+	traffic.ReasonCallerLeft:     statusCallerHungUp,
 	traffic.ReasonEngineFailed:   fiber.StatusBadGateway,
 	traffic.ReasonOutcomeUnknown: fiber.StatusBadGateway,
 	traffic.ReasonKeyInUse:       fiber.StatusConflict,
@@ -130,7 +132,7 @@
 	traffic.ReasonQuarantined:    fiber.StatusServiceUnavailable,
 }
 
-// errorType returns the type that goes with an HTTP status.
+// errorType returns the API error type for an HTTP status.
 func errorType(status int) string {
 	switch {
 	case status == fiber.StatusTooManyRequests:
@@ -144,8 +146,9 @@
 	}
 }
 
-// fromRefusal turns a dispatcher's refusal into the caller's error. An error
-// of another kind claims nothing about what was run.
+// fromRefusal converts a *traffic.Refusal into the error for the caller. Any
+// other error becomes an internal error that leaves open whether the request was
+// run.
 func fromRefusal(err error) *APIError {
 	var refusal *traffic.Refusal
 	if !errors.As(err, &refusal) {
--- a/pkg/gateway/fake_claims_test.go
+++ b/pkg/gateway/fake_claims_test.go
@@ -9,7 +9,7 @@
 	"martenwheel.dev/pkg/keeper"
 )
 
-// fakeClaims gives a fixed decision and records what it is told.
+// fakeClaims answers every claim with a fixed decision and records all calls.
 type fakeClaims struct {
 	decision keeper.Decision
 
@@ -17,14 +17,15 @@
 	claims    []keeper.Claim
 	completed []keeper.Answer
 	released  int
-	told      chan struct{} // one item for each completion or release
+	notified  chan struct{} // receives an item for each completion or release
 }
 
 func newFakeClaims(decision keeper.Decision) *fakeClaims {
-	return &fakeClaims{decision: decision, told: make(chan struct{}, 1000)}
+	return &fakeClaims{decision: decision, notified: make(chan struct{}, 1000)}
 }
 
-func granted() *fakeClaims {
+// newGrantingClaims returns a fakeClaims that grants every claim.
+func newGrantingClaims() *fakeClaims {
 	return newFakeClaims(keeper.Decision{Verdict: keeper.VerdictGranted, DispatchBefore: time.Now().Add(time.Hour)})
 }
 
@@ -39,21 +40,22 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.completed = append(f.completed, answer)
-	f.told <- struct{}{}
+	f.notified <- struct{}{}
 }
 
 func (f *fakeClaims) Release(context.Context, keeper.Claim) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.released++
-	f.told <- struct{}{}
+	f.notified <- struct{}{}
 }
 
-// checkReleased checks that the one claim was released, or that it stands.
+// checkReleased checks whether the claim was released exactly once, and that it
+// was not completed.
 func checkReleased(t *testing.T, claims *fakeClaims, want bool) {
 	t.Helper()
 	if want {
-		<-claims.told
+		<-claims.notified
 	}
 	claims.mutex.Lock()
 	defer claims.mutex.Unlock()
--- a/pkg/gateway/fake_dispatcher_test.go
+++ b/pkg/gateway/fake_dispatcher_test.go
@@ -7,11 +7,12 @@
 	"martenwheel.dev/pkg/traffic"
 )
 
-// fakeDispatcher grants the targets in turn and records the outcomes.
+// fakeDispatcher grants its first target, and the next one at each retry, and
+// records the outcomes.
 type fakeDispatcher struct {
 	targets []traffic.Target
-	retries int // allowed per request
-	acquire func(ctx context.Context, request traffic.Request) error
+	retries int                                                      // retries allowed per request
+	acquire func(ctx context.Context, request traffic.Request) error // if set, called first; its error refuses the request
 
 	mutex    sync.Mutex
 	requests []traffic.Request
--- a/pkg/gateway/fake_engine_test.go
+++ b/pkg/gateway/fake_engine_test.go
@@ -17,21 +17,21 @@
 	"martenwheel.dev/pkg/traffic"
 )
 
-// fakeEngine speaks the engine's completion API. Its answers repeat the mark
-// in the prompt, so that a mix-up shows.
+// fakeEngine implements the completion API of engines. Its answers repeat the
+// mark in the prompt, so that mixed-up answers are detected.
 type fakeEngine struct {
 	address string
 	tokens  int
-	// intercept may handle a request in place of the engine.
+	// intercept, if set, may handle a request and then returns true.
 	intercept func(w http.ResponseWriter, r *http.Request, body []byte) bool
-	// pause is called before each token of a stream.
+	// pause, if set, is called before each token of a stream.
 	pause func(r *http.Request, token int)
 
 	mutex     sync.Mutex
-	received  int // requests, without resumptions
-	resumed   int
-	cancelled map[string]bool
-	changed   chan struct{} // closed and replaced at each cancellation
+	received  int             // requests that do not resume an answer
+	resumed   int             // requests that resume an answer
+	cancelled map[string]bool // by request ID
+	changed   chan struct{}   // closed and replaced at each cancellation
 }
 
 func startEngine(t testing.TB, tokens int) *fakeEngine {
@@ -58,7 +58,7 @@
 	return &fakeDispatcher{targets: []traffic.Target{e.target()}}
 }
 
-// pauseAt calls hold before one token of each stream.
+// pauseAt makes each stream call hold before token at.
 func (e *fakeEngine) pauseAt(at int, hold func(*http.Request)) {
 	e.pause = func(r *http.Request, token int) {
 		if token == at {
@@ -83,7 +83,7 @@
 	e.answer(w, r, body)
 }
 
-// count counts a request or resumption.
+// count counts the request as a new request or a resumption.
 func (e *fakeEngine) count(r *http.Request) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -104,7 +104,7 @@
 	e.changed = make(chan struct{})
 }
 
-// waitCancelled waits until count requests were cancelled.
+// waitCancelled waits until the given number of requests were cancelled.
 func (e *fakeEngine) waitCancelled(t *testing.T, count int) {
 	t.Helper()
 	for {
@@ -128,13 +128,15 @@
 	return e.received
 }
 
-// engineRequest is what a fakeEngine reads of a body.
+// engineRequest holds the fields of a body that a fakeEngine uses.
 type engineRequest struct {
 	Model    string
 	Stream   bool
 	Messages []struct{ Content string }
 }
 
+// markOf returns the mark in a request's body and whether the request asks for a
+// stream.
 func markOf(body []byte) (string, bool) {
 	var request engineRequest
 	_ = json.Unmarshal(body, &request)
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -1,17 +1,16 @@
-// Package gateway is the callers' side of a node: an OpenAI-style HTTP API
-// whose requests it carries to engines. It checks requests, asks the
-// dispatcher for a replica, relays the answer and vouches for it: every
-// caller gets the whole answer to its own request, or an error that says
-// whether the request was run.
+// Package gateway is the HTTP edge of a node: an OpenAI-style API that forwards
+// requests to engines. It validates requests, asks the dispatcher for a
+// replica, relays the answer and checks it: every caller gets the complete
+// answer to its own request, or an error that says whether the request was run.
 //
-// A request's way, by file: handler.go takes it in and answers; request.go and
-// request_body.go check it; call.go finds its model and asks the dispatcher for
-// a replica; claim.go has the keepers grant it if it is unsafe to repeat;
-// attempt.go sends it to an engine and decides what a failure allows;
-// engine_answer.go and stream.go check that what comes back is its own answer;
-// stream_body.go passes a stream on; quarantine.go keeps requests from engines that end
-// them; move.go takes it to another replica;
-// record.go logs and counts its end.
+// A request passes through these files: handler.go receives and answers it;
+// request.go and request_body.go validate it; call.go looks up its model and
+// asks the dispatcher for a replica; claim.go claims its idempotency key from
+// the keepers if it is unsafe to repeat; quarantine.go refuses requests that
+// crash engines; attempt.go sends it to an engine and decides whether a failure
+// allows a retry; engine_answer.go and stream.go check that the answer belongs
+// to it; stream_body.go relays a stream to the caller; move.go moves a running
+// stream to another replica; record.go logs and counts the finished request.
 package gateway
 
 import (
@@ -32,43 +31,43 @@
 	"martenwheel.dev/pkg/quarantine"
 )
 
-// Gateway serves callers.
+// Gateway is the HTTP server of a node for callers.
 type Gateway struct {
 	config     Config
 	app        *fiber.App
 	engines    *upstream.Client
-	orders     engine.Client // exports and imports
-	moving     chan struct{} // holds one for each stream that moves
+	kvClient   engine.Client // for exports and imports of running streams
+	moveSlots  chan struct{} // semaphore: one element per stream being moved
 	quarantine quarantine.Table
 	hangups    *hangup.Watcher
 	metrics    *metrics
-	background conc.WaitGroup // completions of claims, cancellations, unfinished unsafe requests
+	background conc.WaitGroup // claim completions, cancellations, unsafe requests whose caller hung up
 
-	watching conc.WaitGroup // the hang-up watcher
+	hangupRun conc.WaitGroup // runs the hang-up watcher
 
 	mutex     sync.Mutex
 	listeners []*limitedListener
 
-	stopping context.Context // ends when requests in flight must end
-	stop     context.CancelCauseFunc
-	draining atomic.Bool
-	serial   atomic.Uint64 // of requests
-	epoch    string        // tells the requests of this process from others'
+	abortContext context.Context // done when requests in flight must be aborted
+	abort        context.CancelCauseFunc
+	draining     atomic.Bool
+	lastSerial   atomic.Uint64 // number of the last request ID
+	idPrefix     string        // random prefix of this process's request IDs
 }
 
-// errDrainTimeout ends the requests that outlast a planned stop.
-var errDrainTimeout = errors.New("gateway: the time for the planned stop is over")
+// errDrainTimeout aborts the requests that are still running when Drain times out.
+var errDrainTimeout = errors.New("gateway: drain timed out")
 
-// New returns a gateway that serves when Serve is called.
+// New returns a gateway. Call Serve to accept callers.
 func New(config Config) (*Gateway, error) {
 	if err := config.check(); err != nil {
 		return nil, err
 	}
 	config = config.withDefaults()
 	g := &Gateway{
-		config:  config,
-		hangups: hangup.NewWatcher(config.Timeouts.HangUpInterval),
-		epoch:   newEpoch(),
+		config:   config,
+		hangups:  hangup.NewWatcher(config.Timeouts.HangUpInterval),
+		idPrefix: newIDPrefix(),
 		engines: upstream.NewClient(upstream.Config{
 			ConnectTimeout:    config.Timeouts.Connect,
 			WriteTimeout:      config.Timeouts.EngineWrite,
@@ -77,19 +76,19 @@
 			MaxConnsPerEngine: config.Limits.ConnsPerEngine,
 		}),
 	}
-	g.orders = newOrders(config)
-	g.moving = make(chan struct{}, config.Limits.Moves)
+	g.kvClient = newKVClient(config)
+	g.moveSlots = make(chan struct{}, config.Limits.Moves)
 	var err error
 	if g.metrics, err = newMetrics(config.Metrics); err != nil {
 		return nil, err
 	}
-	g.stopping, g.stop = context.WithCancelCause(context.Background())
+	g.abortContext, g.abort = context.WithCancelCause(context.Background())
 	g.app = g.newApp()
-	g.watching.Go(func() { g.hangups.Run(g.stopping) })
+	g.hangupRun.Go(func() { g.hangups.Run(g.abortContext) })
 	return g, nil
 }
 
-// newApp returns the HTTP server with its routes and limits.
+// newApp returns the HTTP server with its routes, limits and timeouts.
 func (g *Gateway) newApp() *fiber.App {
 	limits, timeouts := g.config.Limits, g.config.Timeouts
 	app := fiber.New(fiber.Config{
@@ -111,56 +110,56 @@
 	return app
 }
 
-// Serve serves callers on listener until Drain. It returns nil after Drain.
+// Serve serves callers on listener until Drain is called, and then returns nil.
 func (g *Gateway) Serve(listener net.Listener) error {
 	limited := newLimitedListener(listener, g.config)
 	g.mutex.Lock()
 	g.listeners = append(g.listeners, limited)
 	g.mutex.Unlock()
-	if err := g.app.Listener(limited.secured(g.config.TLS)); err != nil {
+	if err := g.app.Listener(limited.withTLS(g.config.TLS)); err != nil {
 		return errors.Wrap(err, "gateway: serve callers")
 	}
 	return nil
 }
 
-// drainGrace is the time for requests to end after they were told to.
+// drainGrace is how long aborted requests have to send their error to the caller.
 const drainGrace = 2 * time.Second
 
-// Drain stops taking requests and waits until those in flight have ended; they
-// include those that wait for a replica. When ctx ends first, they end with an
-// error each, and Drain returns one.
+// Drain refuses new requests and waits until those in flight have ended,
+// including those that wait for a replica. If ctx ends first, each of them is
+// aborted with an error, and Drain returns an error too.
 func (g *Gateway) Drain(ctx context.Context) error {
 	g.draining.Store(true)
-	g.turnNewCallersAway(ctx)
+	g.refuseNewRequests(ctx)
 	err := g.app.ShutdownWithContext(ctx)
 	if err == nil {
 		err = g.waitBackground(ctx)
 	}
-	g.stop(errDrainTimeout)
+	g.abort(errDrainTimeout)
 	if err != nil {
-		err = errors.Wrap(err, "gateway: requests in flight were ended")
-		g.closeCallers()
+		err = errors.Wrap(err, "gateway: requests in flight were aborted")
+		g.closeCallerConnections()
 	}
 	g.background.Wait()
-	g.watching.Wait()
+	g.hangupRun.Wait()
 	g.engines.Close()
 	return err
 }
 
-// turnNewCallersAway lets nobody connect any more and, for a short time, answers
-// the new requests of those who are connected with a refusal, so that they learn
-// of the stop by an answer. Connections that are closed with a request under way
-// on them look cut off to their callers.
-func (g *Gateway) turnNewCallersAway(ctx context.Context) {
+// refuseNewRequests stops accepting connections. For a short time it still
+// answers new requests on open connections with a refusal, so that their callers
+// learn of the stop from an answer. If a connection were closed while a request
+// was being sent on it, its caller could not tell whether the request was run.
+func (g *Gateway) refuseNewRequests(ctx context.Context) {
 	g.mutex.Lock()
 	listeners := slices.Clone(g.listeners)
 	g.mutex.Unlock()
 	for _, listener := range listeners {
 		if err := listener.stopConnecting(); err != nil {
-			g.config.Logger.Warn("callers that are just connecting may be cut off", "error", err)
+			g.config.Logger.Warn("connections being established may be reset", "error", err)
 		}
 	}
-	pause := time.NewTimer(g.config.Timeouts.TurnAway)
+	pause := time.NewTimer(g.config.Timeouts.RefuseNew)
 	defer pause.Stop()
 	select {
 	case <-pause.C:
@@ -168,7 +167,7 @@
 	}
 }
 
-// waitBackground waits for the work that goes on without a caller.
+// waitBackground waits until ctx ends for background work, which has no caller.
 func (g *Gateway) waitBackground(ctx context.Context) error {
 	ended := make(chan struct{})
 	var group conc.WaitGroup
@@ -184,9 +183,9 @@
 	}
 }
 
-// closeCallers gives the requests that were told to end some time for their
-// last words and then closes the connections of all callers.
-func (g *Gateway) closeCallers() {
+// closeCallerConnections gives aborted requests drainGrace to send their errors,
+// then closes all caller connections.
+func (g *Gateway) closeCallerConnections() {
 	graceful, cancel := context.WithTimeout(context.Background(), drainGrace)
 	defer cancel()
 	if g.app.ShutdownWithContext(graceful) == nil {
@@ -197,5 +196,5 @@
 	for _, listener := range g.listeners {
 		listener.closeConnections()
 	}
-	_ = g.app.Shutdown() // returns when the handlers have seen it
+	_ = g.app.Shutdown() // returns when the handlers have noticed the closed connections
 }
--- a/pkg/gateway/gateway_test.go
+++ b/pkg/gateway/gateway_test.go
@@ -20,7 +20,7 @@
 		t.Fatalf("status %d, body %s", got.status, got.body)
 	}
 	if got.header.Get(HeaderRequestID) != "req-1" {
-		t.Errorf("request ID %q is not echoed", got.header.Get(HeaderRequestID))
+		t.Errorf("echoed request ID is %q, want req-1", got.header.Get(HeaderRequestID))
 	}
 	if kinds := dispatcher.kinds(); len(kinds) != 1 || kinds[0] != traffic.OutcomeServed {
 		t.Errorf("outcomes %v", kinds)
--- a/pkg/gateway/handler.go
+++ b/pkg/gateway/handler.go
@@ -14,7 +14,7 @@
 	"martenwheel.dev/pkg/traffic"
 )
 
-// anonymous is the caller's name when no keys are asked for.
+// anonymous is the name of every caller when there is no Authenticator.
 const anonymous = "anonymous"
 
 // handleCompletion returns the handler of an endpoint that runs a model.
@@ -23,12 +23,12 @@
 		call := g.newCall(endpoint, c.Context().Conn())
 		defer func() {
 			if fault := recover(); fault != nil {
-				err = call.refuse(c, call.crashed(fault))
+				err = call.refuse(c, call.panicked(fault))
 			}
 		}()
 		if g.draining.Load() {
 			c.Context().SetConnectionClose()
-			return call.refuse(c, stopping())
+			return call.refuse(c, nodeStopping())
 		}
 		apiError := call.accept(c)
 		if apiError == nil {
@@ -41,7 +41,7 @@
 	}
 }
 
-// accept copies and checks what the caller sent.
+// accept copies the headers and body of the request and validates them.
 func (c *call) accept(ctx *fiber.Ctx) *APIError {
 	var found findings.List
 	c.options = parseOptions(copyHeaders(ctx, &found), c.record.arrived, &found)
@@ -73,10 +73,10 @@
 	return nil
 }
 
-// bearer precedes the key in an Authorization header.
+// bearer is the prefix of the API key in an Authorization header.
 var bearer = []byte("Bearer ")
 
-// authenticate returns the name of the request's caller.
+// authenticate returns the name of the caller that sent the request.
 func (g *Gateway) authenticate(ctx *fiber.Ctx) (string, *APIError) {
 	if g.config.Authenticator == nil {
 		return anonymous, nil
@@ -96,7 +96,7 @@
 	}
 }
 
-// serve runs the request, once if it is unsafe to repeat, and answers.
+// serve runs the request and answers it. An unsafe request runs at most once.
 func (c *call) serve(ctx *fiber.Ctx) error {
 	if c.request.Unsafe {
 		kept, apiError := c.claimOnce()
@@ -124,16 +124,16 @@
 	return nil
 }
 
-// refuse answers with an error and ends the call.
+// refuse answers the caller with an error and ends the call.
 func (c *call) refuse(ctx *fiber.Ctx, apiError *APIError) error {
 	c.end(outcomeOf(apiError), apiError)
 	return apiError.send(ctx)
 }
 
-// crashed ends the attempt of a call whose handler panicked. The other calls
-// of the node go on.
-func (c *call) crashed(fault any) *APIError {
-	c.gateway.config.Logger.Error("panic in a request", telemetry.FieldRequestID, c.record.requestID, "panic", fmt.Sprint(fault), "stack", string(debug.Stack()))
+// panicked ends the attempt of a call whose handler panicked and returns the
+// error for its caller. Other calls are not affected.
+func (c *call) panicked(fault any) *APIError {
+	c.gateway.config.Logger.Error("request handler panicked", telemetry.FieldRequestID, c.record.requestID, "panic", fmt.Sprint(fault), "stack", string(debug.Stack()))
 	if c.current != nil {
 		c.current.abandon()
 		c.current.done(traffic.Outcome{Kind: traffic.OutcomeUnknown})
@@ -148,7 +148,7 @@
 }
 
 // handleError answers a request that did not reach a handler or whose handler
-// failed. Nothing of it was run.
+// failed. Such a request was not run.
 func (g *Gateway) handleError(c *fiber.Ctx, err error) error {
 	apiError := &APIError{
 		Status:  fiber.StatusBadRequest,
@@ -167,7 +167,7 @@
 	return apiError.send(c)
 }
 
-// statusCode is the error code for a status that the HTTP server chose.
+// statusCode returns the API error code for a status set by the HTTP server.
 func statusCode(status int) string {
 	switch status {
 	case fiber.StatusRequestEntityTooLarge:
--- a/pkg/gateway/hangup_test.go
+++ b/pkg/gateway/hangup_test.go
@@ -11,17 +11,17 @@
 	"martenwheel.dev/pkg/traffic"
 )
 
-// untilDropped returns a pause that reports itself and lasts until the gateway
-// closes the connection.
-func untilDropped(paused chan<- struct{}) func(*http.Request) {
+// waitForDisconnect returns a pause hook that signals paused and waits until the
+// gateway closes the connection.
+func waitForDisconnect(paused chan<- struct{}) func(*http.Request) {
 	return func(r *http.Request) {
 		paused <- struct{}{}
 		<-r.Context().Done()
 	}
 }
 
-// TestHangUpWhileQueued: the request of a caller that left is taken out of
-// the queue and never reaches an engine.
+// TestHangUpWhileQueued checks that the queued request of a caller that hangs up
+// is cancelled and never reaches an engine.
 func TestHangUpWhileQueued(t *testing.T) {
 	engine := startEngine(t, 3)
 	queued, left := make(chan struct{}), make(chan error, 1)
@@ -32,14 +32,14 @@
 		left <- context.Cause(ctx)
 		return &traffic.Refusal{Reason: traffic.ReasonCallerLeft, Message: "left", NotRun: true}
 	}
-	claims := granted()
+	claims := newGrantingClaims()
 	_, url := startGateway(t, Config{Dispatcher: dispatcher, Claims: claims})
 	connection := dialRaw(t, url)
 	_, _ = io.WriteString(connection, rawRequest(chatBody("slots", "ash", false), "Idempotency-Key: key\r\n"))
 	<-queued
 	_ = connection.Close()
-	if cause := <-left; cause != errCallerLeft {
-		t.Errorf("the wait ended by %v", cause)
+	if cause := <-left; cause != errCallerHungUp {
+		t.Errorf("the wait was cancelled with cause %v", cause)
 	}
 	checkReleased(t, claims, true)
 	if engine.requests() != 0 {
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestHangUpWhileAnswered: the engine's work for a caller that left is
-// cancelled, before and after the first token, streamed or not.
+// TestHangUpWhileAnswered checks that a request is cancelled at the engine when
+// its caller hangs up, before and after the first token, streamed or not.
 func TestHangUpWhileAnswered(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -62,7 +62,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			engine := startEngine(t, 5)
 			paused := make(chan struct{}, 1)
-			hold := untilDropped(paused)
+			hold := waitForDisconnect(paused)
 			engine.pauseAt(test.pauseAt, hold)
 			if !test.stream {
 				engine.intercept = func(_ http.ResponseWriter, r *http.Request, _ []byte) bool {
@@ -80,8 +80,8 @@
 	}
 }
 
-// TestHangUpUnsafe: an unsafe request that was sent goes on without its
-// caller, so that the repeat gets the answer.
+// TestHangUpUnsafe checks that an unsafe request that was sent continues after
+// its caller hangs up, so that a repeat gets the answer.
 func TestHangUpUnsafe(t *testing.T) {
 	for _, stream := range []bool{false, true} {
 		t.Run(fmt.Sprintf("stream %t", stream), func(t *testing.T) {
@@ -98,15 +98,15 @@
 				}
 				return false
 			}
-			claims := granted()
+			claims := newGrantingClaims()
 			g, url := startGateway(t, Config{Dispatcher: engine.dispatcher(), Claims: claims})
 			connection := dialRaw(t, url)
 			_, _ = io.WriteString(connection, rawRequest(chatBody("slots", "ash", stream), "Idempotency-Key: key\r\n"))
 			<-paused
 			_ = connection.Close()
-			g.hangups.Look()
+			g.hangups.Poll()
 			close(resume)
-			<-claims.told
+			<-claims.notified
 			if len(claims.completed) != 1 || !strings.Contains(string(claims.completed[0].Body), "ash") {
 				t.Fatalf("completed %+v", claims.completed)
 			}
--- a/pkg/gateway/identity.go
+++ b/pkg/gateway/identity.go
@@ -6,24 +6,24 @@
 	"strconv"
 )
 
-// uniqueID makes the request ID that engines see: the caller's with a part
-// that no other request has, so that two callers with the same ID can't reach
-// each other's streams.
+// uniqueID returns the request ID that engines see: requestID with a unique
+// suffix, so that two callers that send the same ID can't resume or cancel each
+// other's streams.
 func (g *Gateway) uniqueID(requestID string) string {
 	return requestID + "." + g.newRequestID()
 }
 
-// newRequestID returns an ID that no other request has.
+// newRequestID returns a request ID that is unique across nodes and restarts.
 func (g *Gateway) newRequestID() string {
-	return g.epoch + strconv.FormatUint(g.serial.Add(1), 36)
+	return g.idPrefix + strconv.FormatUint(g.lastSerial.Add(1), 36)
 }
 
-// epochBytes is the length of the random part of request IDs.
-const epochBytes = 6
+// idPrefixBytes is the length of the random prefix of request IDs before encoding.
+const idPrefixBytes = 6
 
-// newEpoch returns a random prefix for the request IDs of this process.
-func newEpoch() string {
-	var random [epochBytes]byte
+// newIDPrefix returns a random prefix for the request IDs of this process.
+func newIDPrefix() string {
+	var random [idPrefixBytes]byte
 	_, _ = rand.Read(random[:]) // never fails
 	return hex.EncodeToString(random[:])
 }
--- a/pkg/gateway/internal/hangup/watcher.go
+++ b/pkg/gateway/internal/hangup/watcher.go
@@ -1,6 +1,6 @@
-// Package hangup notices callers that hang up while their request waits or is
-// being answered, which an HTTP server that serves one request after the
-// other does not.
+// Package hangup detects callers that hang up while their request waits or is
+// being answered. The HTTP server does not: it reads from a connection only
+// between requests.
 package hangup
 
 import (
@@ -13,7 +13,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Watcher looks at all watched connections at intervals, from one goroutine.
+// Watcher polls all watched connections at intervals, in one goroutine.
 type Watcher struct {
 	interval time.Duration
 
@@ -21,19 +21,19 @@
 	watched map[*Watch]struct{}
 }
 
-// Watch is one connection under watch.
+// Watch is the registration of one watched connection.
 type Watch struct {
-	watcher *Watcher
-	raw     syscall.RawConn
-	left    func()
+	watcher  *Watcher
+	raw      syscall.RawConn
+	onHangUp func() // called when the peer hung up
 }
 
-// NewWatcher returns a watcher that looks every interval while it runs.
+// NewWatcher returns a watcher whose Run polls the connections every interval.
 func NewWatcher(interval time.Duration) *Watcher {
 	return &Watcher{interval: interval, watched: make(map[*Watch]struct{})}
 }
 
-// Run watches until ctx ends.
+// Run polls until ctx ends.
 func (w *Watcher) Run(ctx context.Context) {
 	ticker := time.NewTicker(w.interval)
 	defer ticker.Stop()
@@ -42,27 +42,27 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			w.Look()
+			w.Poll()
 		}
 	}
 }
 
-// Add watches connection and calls left once if its peer hangs up before
-// Stop. It returns nil for a connection without a socket, which can't be
+// Add watches connection and calls onHangUp once if the peer hangs up before Stop is
+// called. It returns nil for a connection without a socket, which cannot be
 // watched.
-func (w *Watcher) Add(connection net.Conn, left func()) *Watch {
+func (w *Watcher) Add(connection net.Conn, onHangUp func()) *Watch {
 	raw := rawConn(connection)
 	if raw == nil {
 		return nil
 	}
-	watch := &Watch{watcher: w, raw: raw, left: left}
+	watch := &Watch{watcher: w, raw: raw, onHangUp: onHangUp}
 	w.mutex.Lock()
 	w.watched[watch] = struct{}{}
 	w.mutex.Unlock()
 	return watch
 }
 
-// Stop ends the watch. It is safe on nil, and more than once.
+// Stop ends the watch. It may be called on nil and more than once.
 func (w *Watch) Stop() {
 	if w == nil {
 		return
@@ -72,8 +72,9 @@
 	w.watcher.mutex.Unlock()
 }
 
-// Look reports and forgets the connections whose peer has left.
-func (w *Watcher) Look() {
+// Poll checks all connections once. It reports those whose peer has hung up and
+// stops watching them.
+func (w *Watcher) Poll() {
 	w.mutex.Lock()
 	watches := make([]*Watch, 0, len(w.watched))
 	for watch := range w.watched {
@@ -81,14 +82,14 @@
 	}
 	w.mutex.Unlock()
 	for _, watch := range watches {
-		if hungUp(watch.raw) {
+		if isHungUp(watch.raw) {
 			watch.Stop()
-			watch.left()
+			watch.onHangUp()
 		}
 	}
 }
 
-// rawConn finds the socket below connection.
+// rawConn returns the socket of connection, unwrapping it if necessary, or nil.
 func rawConn(connection net.Conn) syscall.RawConn {
 	for connection != nil {
 		if holder, ok := connection.(syscall.Conn); ok {
@@ -107,15 +108,15 @@
 	return nil
 }
 
-// hungUp asks the kernel whether the peer has closed its side. Unlike a peek
-// at the next byte, the answer does not depend on bytes that were not read,
-// such as a pipelined request or the farewell of TLS.
-func hungUp(raw syscall.RawConn) bool {
-	gone := false
+// isHungUp asks the kernel whether the peer has closed its side. Unlike peeking at
+// the next byte, this also works when there are unread bytes, such as a pipelined
+// request or a TLS close alert.
+func isHungUp(raw syscall.RawConn) bool {
+	hungUp := false
 	err := raw.Control(func(descriptor uintptr) {
 		poll := []unix.PollFd{{Fd: int32(descriptor), Events: unix.POLLRDHUP}}
 		ready, err := unix.Poll(poll, 0)
-		gone = err == nil && ready > 0 && poll[0].Revents != 0
+		hungUp = err == nil && ready > 0 && poll[0].Revents != 0
 	})
-	return gone || err != nil
+	return hungUp || err != nil
 }
--- a/pkg/gateway/internal/hangup/watcher_test.go
+++ b/pkg/gateway/internal/hangup/watcher_test.go
@@ -9,7 +9,7 @@
 	"github.com/sourcegraph/conc"
 )
 
-// connect returns both ends of a TCP connection.
+// connect returns the two ends of a TCP connection.
 func connect(t *testing.T) (near, far net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -31,13 +31,13 @@
 	return near, far
 }
 
-// lookUntil looks until the watch has reported.
-func lookUntil(t *testing.T, watcher *Watcher, reported *bool) {
+// pollUntil calls Look until the hang-up is reported.
+func pollUntil(t *testing.T, watcher *Watcher, reported *bool) {
 	t.Helper()
 	for start := time.Now(); !*reported; {
-		watcher.Look()
+		watcher.Poll()
 		if time.Since(start) > 20*time.Second {
-			t.Fatal("the hang-up is not seen")
+			t.Fatal("the hang-up was not detected")
 		}
 	}
 }
@@ -59,13 +59,13 @@
 				reports++
 				reported = true
 			})
-			watcher.Look()
+			watcher.Poll()
 			if reported {
 				t.Fatal("reported too early")
 			}
 			hangUp(far)
-			lookUntil(t, watcher, &reported)
-			watcher.Look()
+			pollUntil(t, watcher, &reported)
+			watcher.Poll()
 			if reports != 1 {
 				t.Errorf("reported %d times", reports)
 			}
@@ -73,14 +73,15 @@
 	}
 }
 
-// TestBytesAreNoHangUp: a pipelined request is left for the server to read.
+// TestBytesAreNoHangUp checks that unread bytes are not taken for a hang-up and
+// stay readable.
 func TestBytesAreNoHangUp(t *testing.T) {
 	near, far := connect(t)
 	watcher := NewWatcher(time.Hour)
 	watcher.Add(near, func() { t.Error("reported") })
 	_, _ = far.Write([]byte("next"))
 	for range 100 {
-		watcher.Look()
+		watcher.Poll()
 	}
 	buffer := make([]byte, 4)
 	if _, err := near.Read(buffer); err != nil || string(buffer) != "next" {
@@ -88,14 +89,15 @@
 	}
 }
 
-// TestPassedReadDeadline: the server's deadline for the request, long past
-// while the request waits, does not look like a hang-up.
+// TestPassedReadDeadline checks that an expired read deadline on the connection is
+// not taken for a hang-up. The HTTP server's read deadline expires while a request
+// waits.
 func TestPassedReadDeadline(t *testing.T) {
 	near, _ := connect(t)
 	_ = near.SetReadDeadline(time.Now().Add(-time.Hour))
 	watcher := NewWatcher(time.Hour)
 	watcher.Add(near, func() { t.Error("reported") })
-	watcher.Look()
+	watcher.Poll()
 }
 
 func TestStoppedWatchIsSilent(t *testing.T) {
@@ -105,7 +107,7 @@
 	watch.Stop()
 	watch.Stop()
 	_ = far.Close()
-	watcher.Look()
+	watcher.Poll()
 }
 
 func TestSocketBelowTLS(t *testing.T) {
@@ -114,7 +116,7 @@
 	reported := false
 	watcher.Add(tls.Server(near, &tls.Config{}), func() { reported = true })
 	_ = far.Close()
-	lookUntil(t, watcher, &reported)
+	pollUntil(t, watcher, &reported)
 }
 
 func TestConnectionWithoutSocket(t *testing.T) {
@@ -123,7 +125,7 @@
 	defer func() { _ = far.Close() }()
 	watch := NewWatcher(time.Hour).Add(near, func() {})
 	if watch != nil {
-		t.Error("watched")
+		t.Error("a connection without a socket is watched")
 	}
 	watch.Stop()
 }
--- a/pkg/gateway/internal/sse/reader.go
+++ b/pkg/gateway/internal/sse/reader.go
@@ -1,5 +1,5 @@
-// Package sse reads server-sent events, as OpenAI-style APIs stream them, one
-// whole event at a time.
+// Package sse reads the server-sent events of OpenAI-style APIs, one complete
+// event at a time.
 package sse
 
 import (
@@ -9,43 +9,43 @@
 	"github.com/pkg/errors"
 )
 
-// Done is the data of the event that ends a complete stream.
+// Done is the data of the last event of a complete stream.
 const Done = "[DONE]"
 
-// initialBuffer is the size that a Reader's buffer starts with, in bytes.
+// initialBuffer is the initial size of a Reader's buffer in bytes.
 const initialBuffer = 8 << 10
 
-// ErrEventTooLarge means that an event exceeds the reader's limit.
+// ErrEventTooLarge reports that an event exceeds the reader's limit.
 var ErrEventTooLarge = errors.New("sse: event too large")
 
-// Reader splits a stream into its events. It is for one goroutine.
+// Reader splits a stream into events. It must not be used concurrently.
 type Reader struct {
 	source   io.Reader
 	buffer   []byte
-	start    int // of the first event that was not returned
-	scanned  int // no event's end lies before it
-	end      int // of the bytes read
-	maxEvent int
-	err      error // of the source, returned once the buffer holds no event
+	start    int   // offset of the first event that was not returned
+	scanned  int   // offset up to which no event after start ends
+	end      int   // offset of the end of the bytes read
+	maxEvent int   // limit of an event in bytes
+	err      error // error of the source, returned when no complete event is buffered
 }
 
-// NewReader returns a reader of source's events of at most maxEvent bytes.
+// NewReader returns a reader for the events of source, each of at most maxEvent
+// bytes.
 func NewReader(source io.Reader, maxEvent int) *Reader {
 	return &Reader{source: source, buffer: make([]byte, initialBuffer), maxEvent: maxEvent}
 }
 
-// Reset makes the reader read from source. Bytes of an event that was not
-// whole are dropped.
+// Reset makes the reader read from source. It discards all buffered bytes.
 func (r *Reader) Reset(source io.Reader) {
 	r.source = source
 	r.start, r.scanned, r.end = 0, 0, 0
 	r.err = nil
 }
 
-// Next returns the next event with the blank line that ends it. The bytes are
-// valid until the next call. The error is io.EOF when the stream ends between
-// events, io.ErrUnexpectedEOF when it ends within one, ErrEventTooLarge, or
-// that of the source.
+// Next returns the next event including the blank line that ends it. The bytes
+// are valid until the next call. The error is io.EOF if the stream ended between
+// events, io.ErrUnexpectedEOF if it ended within an event, ErrEventTooLarge, or
+// the error of the source.
 func (r *Reader) Next() ([]byte, error) {
 	for {
 		if event := r.buffered(); event != nil {
@@ -66,12 +66,12 @@
 	}
 }
 
-// HasEvent tells whether Next returns an event without reading the source.
+// HasEvent reports whether Next returns an event without reading from the source.
 func (r *Reader) HasEvent() bool {
 	return r.buffered() != nil
 }
 
-// buffered returns the first whole event in the buffer, or nil.
+// buffered returns the first complete event in the buffer, or nil.
 func (r *Reader) buffered() []byte {
 	for {
 		newline := bytes.IndexByte(r.buffer[r.scanned:r.end], '\n')
@@ -87,7 +87,7 @@
 	}
 }
 
-// endsBlankLine tells whether the newline at position follows another one.
+// endsBlankLine reports whether the newline at position ends an empty line.
 func (r *Reader) endsBlankLine(position int) bool {
 	before := position - 1
 	if before >= r.start && r.buffer[before] == '\r' {
@@ -96,21 +96,22 @@
 	return before >= r.start && r.buffer[before] == '\n'
 }
 
-// fill reads from the source once, making room first.
+// fill reads from the source once, after freeing buffer space if necessary.
 func (r *Reader) fill() {
 	if r.start == r.end {
 		r.start, r.scanned, r.end = 0, 0, 0
 	}
 	if r.end == len(r.buffer) {
-		r.makeRoom()
+		r.growBuffer()
 	}
 	n, err := r.source.Read(r.buffer[r.end:])
 	r.end += n
 	r.err = err
 }
 
-// makeRoom moves the unread bytes to the front, or doubles a full buffer.
-func (r *Reader) makeRoom() {
+// growBuffer moves the unread bytes to the front of the buffer, or doubles a full
+// buffer.
+func (r *Reader) growBuffer() {
 	target := r.buffer
 	if r.start == 0 {
 		target = make([]byte, 2*len(r.buffer))
@@ -122,7 +123,8 @@
 	r.start = 0
 }
 
-// endError returns the error of the source as seen by the reader of events.
+// endError returns the error of the source, as io.ErrUnexpectedEOF if it ended
+// within an event.
 func (r *Reader) endError() error {
 	if r.err == io.EOF && r.end > r.start {
 		return io.ErrUnexpectedEOF
@@ -130,8 +132,8 @@
 	return r.err
 }
 
-// Data returns the data of an event, and false if it has none. For several
-// data lines, which no OpenAI-style API sends, it returns empty data.
+// Data returns the data of an event, or false if it has none. For several data
+// lines, which no OpenAI-style API sends, it returns empty data.
 func Data(event []byte) ([]byte, bool) {
 	var data []byte
 	found := false
--- a/pkg/gateway/internal/sse/reader_test.go
+++ b/pkg/gateway/internal/sse/reader_test.go
@@ -13,7 +13,7 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// readAll returns copies of the events of source, and the error that ended it.
+// readAll returns copies of all events of source and the final error.
 func readAll(source io.Reader, maxEvent int) ([]string, error) {
 	reader := NewReader(source, maxEvent)
 	var events []string
@@ -52,7 +52,8 @@
 	}
 }
 
-// TestSplits: events do not depend on how the bytes arrive.
+// TestSplits checks that events do not depend on how the bytes are split between
+// reads.
 func TestSplits(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(20)
 	properties := gopter.NewProperties(parameters)
@@ -89,7 +90,8 @@
 	}
 }
 
-// FuzzReader: the events and what is left over are the stream, byte for byte.
+// FuzzReader checks that the events together are a prefix of the stream, byte for
+// byte.
 func FuzzReader(f *testing.F) {
 	for _, seed := range []string{"", "data: a\n\n", "data: a\r\n\r\n: c\n\n", "\n\n\n", "\r\n\n", "data: [DONE]"} {
 		f.Add([]byte(seed))
@@ -106,7 +108,7 @@
 			joined = append(joined, event...)
 		}
 		if !bytes.HasPrefix(stream, joined) {
-			t.Errorf("events %q are no beginning of %q", joined, stream)
+			t.Errorf("events %q are not a prefix of %q", joined, stream)
 		}
 	})
 }
--- a/pkg/gateway/internal/upstream/answer.go
+++ b/pkg/gateway/internal/upstream/answer.go
@@ -11,37 +11,38 @@
 	"github.com/valyala/fasthttp"
 )
 
-// readBufferSize holds the header of an answer and several events, in bytes.
+// readBufferSize is the size in bytes of read buffers: enough for an answer's
+// header and several events.
 const readBufferSize = 16 << 10
 
-// bodyReader is the body of an answer.
+// bodyReader reads the body of an answer.
 type bodyReader = io.Reader
 
-// readers are spare buffers for answers.
-var readers = sync.Pool{
+// readerPool is a pool of read buffers for answers.
+var readerPool = sync.Pool{
 	New: func() any { return bufio.NewReaderSize(nil, readBufferSize) },
 }
 
-// exchange writes the request and reads the header of the answer.
+// exchange writes the request and reads the header of the answer until firstByteBy.
 func (a *Answer) exchange(request *fasthttp.Request, firstByteBy time.Time, writeTimeout time.Duration) error {
 	if err := a.write(request, writeTimeout); err != nil {
 		return err
 	}
-	a.conn.readBy = firstByteBy
-	a.reader = readers.Get().(*bufio.Reader)
+	a.conn.readDeadline = firstByteBy
+	a.reader = readerPool.Get().(*bufio.Reader)
 	a.reader.Reset(a.conn)
 	a.Response = fasthttp.AcquireResponse()
 	a.Response.StreamBody = true
 	if err := a.Response.ReadLimitBody(a.reader, 0); err != nil {
 		return err
 	}
-	a.conn.readBy = time.Time{}
+	a.conn.readDeadline = time.Time{}
 	a.body = a.Response.BodyStream()
 	a.ended = a.body == nil
 	return nil
 }
 
-// write sends the request in as few writes as its size allows.
+// write sends the request in as few writes as possible.
 func (a *Answer) write(request *fasthttp.Request, timeout time.Duration) error {
 	if err := a.conn.SetWriteDeadline(time.Now().Add(timeout)); err != nil {
 		return err
@@ -50,8 +51,8 @@
 	return err
 }
 
-// Read reads from the body. It returns io.EOF only at the end that the answer
-// itself declared; a body without one ends with its connection.
+// Read reads from the body. It returns io.EOF at the end given by the body's
+// length or last chunk; a body with neither ends when its connection closes.
 func (a *Answer) Read(p []byte) (int, error) {
 	if a.ended {
 		return 0, io.EOF
@@ -63,22 +64,23 @@
 	return n, err
 }
 
-// ErrTooLarge means that an answer exceeds the limit given.
+// ErrTooLarge reports that an answer exceeds the given limit.
 var ErrTooLarge = errors.New("upstream: answer too large")
 
-// firstReadBytes is the room for an answer of unknown length, in bytes.
-const firstReadBytes = 4 << 10
+// initialBodyBytes is the initial buffer size in bytes for an answer of unknown
+// length.
+const initialBodyBytes = 4 << 10
 
-// ReadAll returns the whole body, which may have limit bytes.
+// ReadAll returns the whole body, or ErrTooLarge if it has more than limit bytes.
 func (a *Answer) ReadAll(limit int) ([]byte, error) {
 	length := a.Response.Header.ContentLength()
 	if length > limit {
 		return nil, ErrTooLarge
 	}
 	if length < 0 {
-		length = firstReadBytes
+		length = initialBodyBytes
 	}
-	// With room to spare, the end shows without a larger buffer.
+	// The spare capacity lets ReadFrom detect the end without growing the buffer.
 	body := bytes.NewBuffer(make([]byte, 0, length+bytes.MinRead))
 	if _, err := body.ReadFrom(io.LimitReader(a, int64(limit)+1)); err != nil {
 		return nil, err
@@ -89,51 +91,52 @@
 	return body.Bytes(), nil
 }
 
-// ReadBy sets the time by which reads must succeed. The zero time brings back
-// the stall time per read.
-func (a *Answer) ReadBy(deadline time.Time) {
-	a.conn.readBy = deadline
+// SetReadDeadline sets the deadline for reads. The zero time restores the stall
+// timeout for each read.
+func (a *Answer) SetReadDeadline(deadline time.Time) {
+	a.conn.readDeadline = deadline
 }
 
-// ChunkBuffered tells whether bytes of the body have come that Read can return
-// without waiting: the buffer ends where a chunk does.
+// ChunkBuffered reports whether Read can return bytes of the body without
+// waiting. This is so if the buffered bytes end with the end of a chunk.
 func (a *Answer) ChunkBuffered() bool {
 	if a.reader == nil || a.ended {
 		return false
 	}
-	buffered, _ := a.reader.Peek(a.reader.Buffered()) // never waits
+	buffered, _ := a.reader.Peek(a.reader.Buffered()) // buffered bytes only, so it does not block
 	return bytes.HasSuffix(buffered, []byte("\r\n"))
 }
 
-// EndBuffered tells whether the rest of the answer's bytes, up to its end,
-// has come.
+// EndBuffered reports whether the end of a stream whose last event was read is
+// already buffered.
 func (a *Answer) EndBuffered() bool {
 	return a.ended || a.ChunkBuffered()
 }
 
-// Close gives the connection back if the body was read to its end and reuse
-// is true; else the connection closes, so that nothing of this answer can
-// reach another request.
+// Close releases the connection for reuse if reuse is true and the body was read
+// to its end. Otherwise it closes the connection, so that no byte of this answer
+// can reach another request.
 func (a *Answer) Close(reuse bool) {
 	if a.finish == nil {
 		return
 	}
 	reuse = a.stopAbort() && reuse && a.reusable()
 	if a.Response != nil {
-		_ = a.Response.CloseBodyStream() // the connection is dealt with below
+		_ = a.Response.CloseBodyStream() // the connection is closed or released below
 		fasthttp.ReleaseResponse(a.Response)
 		a.Response = nil
 	}
 	if a.reader != nil {
 		a.reader.Reset(nil)
-		readers.Put(a.reader)
+		readerPool.Put(a.reader)
 		a.reader = nil
 	}
 	a.finish(reuse)
 	a.finish = nil
 }
 
-// reusable tells whether the connection is exactly between two answers.
+// reusable reports whether the answer was read exactly to its end and the
+// connection stays open.
 func (a *Answer) reusable() bool {
 	return a.ended && a.Response != nil && !a.Response.ConnectionClose() && a.reader.Buffered() == 0
 }
--- a/pkg/gateway/internal/upstream/client.go
+++ b/pkg/gateway/internal/upstream/client.go
@@ -1,6 +1,6 @@
 // Package upstream sends requests to engines over pooled connections. Each
-// request is written once and on a connection that it has to itself; nothing
-// is repeated. Errors tell how far a request came.
+// request has a connection to itself and is written once, never retried. Errors
+// carry the stage that the request had reached.
 package upstream
 
 import (
@@ -14,34 +14,34 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Config bounds the connections to engines. All fields must be set.
+// Config limits the connections to engines. All fields except Dial must be set.
 type Config struct {
-	ConnectTimeout    time.Duration // for a connection to stand
-	WriteTimeout      time.Duration // for a request to be written
-	StallTimeout      time.Duration // between two reads of an answer's body
-	IdleTimeout       time.Duration // after which an unused connection closes
-	MaxConnsPerEngine int
-	// Dial opens a connection; by TCP if nil.
+	ConnectTimeout    time.Duration // for establishing a connection
+	WriteTimeout      time.Duration // for writing a request
+	StallTimeout      time.Duration // for each read of an answer's body
+	IdleTimeout       time.Duration // after which an idle connection is closed
+	MaxConnsPerEngine int           // open connections to one engine
+	// Dial opens a connection. If nil, TCP with ConnectTimeout is used.
 	Dial func(address string) (net.Conn, error)
 }
 
-// Stage tells how far a request came.
+// Stage is the progress of a request when it failed.
 type Stage uint8
 
-// The stages, in order.
+// Stages of a request, in order.
 const (
-	StageConnect Stage = iota + 1 // no byte left this process
-	StageSent                     // some byte was sent, no answer came
-	StageAnswer                   // the answer's header came
+	StageConnect Stage = iota + 1 // no byte was sent
+	StageSent                     // at least one byte was sent; no answer header was received
+	StageAnswer                   // the answer's header was received
 )
 
-// Error is a failed exchange.
+// Error describes a failed exchange.
 type Error struct {
 	Stage Stage
 	cause error
 }
 
-// Error describes the failure.
+// Error returns the stage and the cause as text.
 func (e *Error) Error() string {
 	switch e.Stage {
 	case StageConnect:
@@ -58,8 +58,8 @@
 	return e.cause
 }
 
-// StageOf returns the stage at which err happened. An error of another kind
-// counts as sent, which claims the least.
+// StageOf returns the stage at which err happened. For errors of other types it
+// returns StageSent, which leaves open whether the request was run.
 func StageOf(err error) Stage {
 	var failure *Error
 	if errors.As(err, &failure) {
@@ -68,7 +68,7 @@
 	return StageSent
 }
 
-// Client holds the connections to all engines. Safe for concurrent use.
+// Client holds the connections to all engines. It is safe for concurrent use.
 type Client struct {
 	config Config
 
@@ -76,7 +76,7 @@
 	hosts map[string]*fasthttp.HostClient
 }
 
-// NewClient returns a client without connections.
+// NewClient returns a client that connects on demand.
 func NewClient(config Config) *Client {
 	if config.Dial == nil {
 		config.Dial = func(address string) (net.Conn, error) {
@@ -86,7 +86,7 @@
 	return &Client{config: config, hosts: make(map[string]*fasthttp.HostClient)}
 }
 
-// Close closes the idle connections.
+// Close closes all idle connections.
 func (c *Client) Close() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -95,21 +95,21 @@
 	}
 }
 
-// host returns the connections to the engine at address.
+// host returns the connection pool for the engine at address.
 func (c *Client) host(address string) *fasthttp.HostClient {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	host, known := c.hosts[address]
 	if !known {
-		c.dropUnused()
+		c.removeUnusedHosts()
 		host = c.newHost(address)
 		c.hosts[address] = host
 	}
 	return host
 }
 
-// dropUnused forgets engines to which no connection stands.
-func (c *Client) dropUnused() {
+// removeUnusedHosts removes the pools without connections.
+func (c *Client) removeUnusedHosts() {
 	for address, host := range c.hosts {
 		if host.ConnsCount() == 0 {
 			delete(c.hosts, address)
@@ -117,7 +117,7 @@
 	}
 }
 
-// newHost returns a pool of connections that never repeats a request.
+// newHost returns a connection pool that never retries a request.
 func (c *Client) newHost(address string) *fasthttp.HostClient {
 	return &fasthttp.HostClient{
 		Addr:                      address,
@@ -132,18 +132,18 @@
 	}
 }
 
-// dial opens a connection that counts what is written.
+// dial opens a connection that counts the bytes written.
 func (c *Client) dial(address string) (net.Conn, error) {
 	raw, err := c.config.Dial(address)
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: raw, stall: c.config.StallTimeout}, nil
+	return &conn{Conn: raw, stallTimeout: c.config.StallTimeout}, nil
 }
 
-// Send writes request to the engine at address and waits for the header of its
-// answer until firstByteBy. When ctx ends, the connection closes. The answer
-// must be closed.
+// Send writes request to the engine at address and waits until firstByteBy for
+// the header of the answer. When ctx ends, the connection is closed, also while
+// the body is read. The caller must close the answer.
 func (c *Client) Send(ctx context.Context, address string, request *fasthttp.Request, firstByteBy time.Time) (*Answer, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, &Error{Stage: StageConnect, cause: err}
@@ -167,7 +167,7 @@
 	return answer, nil
 }
 
-// connect takes an idle connection that still stands, or opens one.
+// connect returns an idle connection that is still usable, or opens a new one.
 func (c *Client) connect(address string) (*Answer, error) {
 	host := c.host(address)
 	for {
@@ -180,7 +180,7 @@
 			host.CloseConn(pooled)
 			return nil, errors.Errorf("upstream: connection of type %T", pooled.Conn())
 		}
-		if engineConn.used && engineConn.stale() {
+		if engineConn.used && engineConn.isStale() {
 			host.CloseConn(pooled)
 			continue
 		}
@@ -198,14 +198,14 @@
 	}
 }
 
-// Answer is the answer of an engine; its body is read from it. It is for one
-// goroutine.
+// Answer is the answer of an engine, from which the body is read. It must not be
+// used concurrently.
 type Answer struct {
-	Response  *fasthttp.Response // header only
+	Response  *fasthttp.Response // header without body
 	conn      *conn
 	reader    *bufio.Reader
 	body      bodyReader
-	ended     bool // the body was read to its end
-	stopAbort func() bool
-	finish    func(reuse bool)
+	ended     bool             // the body was read to its end
+	stopAbort func() bool      // stops the watch on the context
+	finish    func(reuse bool) // releases or closes the connection
 }
--- a/pkg/gateway/internal/upstream/client_test.go
+++ b/pkg/gateway/internal/upstream/client_test.go
@@ -16,15 +16,15 @@
 
 var errBroken = errors.New("broken")
 
-// brokenConn fails its writes after it has taken some bytes.
+// brokenConn fails each write, after accepting some bytes.
 type brokenConn struct {
 	net.Conn
-	takes int
+	acceptBytes int
 }
 
 func (c *brokenConn) Write(p []byte) (int, error) {
-	n := min(c.takes, len(p))
-	c.takes -= n
+	n := min(c.acceptBytes, len(p))
+	c.acceptBytes -= n
 	return n, errBroken
 }
 
@@ -52,8 +52,8 @@
 	return request
 }
 
-// TestStageOfFailure: only a request of which no byte left the process counts
-// as not sent.
+// TestStageOfFailure checks that only a request of which no byte was sent fails at
+// StageConnect.
 func TestStageOfFailure(t *testing.T) {
 	cases := []struct {
 		name string
@@ -62,8 +62,8 @@
 	}{
 		{"no connection", func(string) (net.Conn, error) { return nil, errBroken }, StageConnect},
 		{"connected, nothing written", func(string) (net.Conn, error) { return &brokenConn{}, nil }, StageConnect},
-		{"one byte written", func(string) (net.Conn, error) { return &brokenConn{takes: 1}, nil }, StageSent},
-		{"half of the request written", func(string) (net.Conn, error) { return &brokenConn{takes: 5000}, nil }, StageSent},
+		{"one byte written", func(string) (net.Conn, error) { return &brokenConn{acceptBytes: 1}, nil }, StageSent},
+		{"half of the request written", func(string) (net.Conn, error) { return &brokenConn{acceptBytes: 5000}, nil }, StageSent},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -81,7 +81,7 @@
 func TestEndedContextSendsNothing(t *testing.T) {
 	config := testConfig()
 	config.Dial = func(string) (net.Conn, error) {
-		t.Error("dialled")
+		t.Error("a connection was opened")
 		return nil, errBroken
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -92,7 +92,8 @@
 	}
 }
 
-// serve answers each connection with script, and counts the connections.
+// serve starts a server that runs script on each connection. The channel receives
+// an item per connection.
 func serve(t *testing.T, script func(net.Conn, *bufio.Reader)) (address string, connections chan struct{}) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -121,14 +122,14 @@
 	return listener.Addr().String(), connections
 }
 
-// readRequest reads one request and tells whether there was one.
+// readRequest reads one request and reports whether that succeeded.
 func readRequest(reader *bufio.Reader) bool {
 	var request fasthttp.Request
 	return request.Read(reader) == nil
 }
 
-// TestConnectionReuse: a connection is used again only after exactly one whole
-// answer was read from it.
+// TestConnectionReuse checks that a connection is reused only after exactly one
+// complete answer was read from it.
 func TestConnectionReuse(t *testing.T) {
 	const whole = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 	cases := []struct {
@@ -191,14 +192,14 @@
 			t.Fatal(err)
 		}
 		if body, err := got.ReadAll(100); err == nil {
-			t.Errorf("%q: body %q passed as whole", answer, body)
+			t.Errorf("%q: truncated body %q accepted as complete", answer, body)
 		}
 		got.Close(true)
 	}
 }
 
-// TestCancelClosesConnection: an engine that holds its answer back is left at
-// once when the caller is gone.
+// TestCancelClosesConnection checks that the connection to an engine that has not
+// answered is closed immediately when the context is cancelled.
 func TestCancelClosesConnection(t *testing.T) {
 	left := make(chan struct{})
 	received := make(chan struct{})
@@ -223,8 +224,8 @@
 	<-left
 }
 
-// TestClosedIdleConnection: a connection that the engine closed while it was
-// idle is not used for a request, whose outcome would then be unknown.
+// TestClosedIdleConnection checks that a connection which the engine closed while
+// it was idle is not used for a request, whose outcome would then be unknown.
 func TestClosedIdleConnection(t *testing.T) {
 	closed := make(chan struct{}, 10)
 	address, connections := serve(t, func(connection net.Conn, reader *bufio.Reader) {
@@ -247,6 +248,6 @@
 		answer.Close(true)
 	}
 	if len(connections) != 3 {
-		t.Errorf("%d connections", len(connections))
+		t.Errorf("%d connections, want 3", len(connections))
 	}
 }
--- a/pkg/gateway/internal/upstream/conn.go
+++ b/pkg/gateway/internal/upstream/conn.go
@@ -7,42 +7,42 @@
 	"golang.org/x/sys/unix"
 )
 
-// conn is a connection to an engine that knows whether the current request
-// has left this process, and that bounds each read.
+// conn is a connection to an engine that records whether any byte of the current
+// request was sent, and that limits the time of each read.
 type conn struct {
 	net.Conn
-	stall   time.Duration
-	readBy  time.Time // overrides stall when set
-	limit   time.Time // the deadline that the socket has
-	written int64     // of the current request
-	used    bool      // for an earlier request
+	stallTimeout time.Duration // timeout of each read when readDeadline is zero
+	readDeadline time.Time     // read deadline; overrides stallTimeout if not zero
+	deadline     time.Time     // read deadline currently set on the socket
+	written      int64         // bytes of the current request handed to the kernel
+	used         bool          // carried an earlier request
 }
 
-// begin starts a new request on the connection.
+// begin prepares the connection for a new request.
 func (c *conn) begin() {
 	c.written = 0
-	c.readBy = time.Time{}
+	c.readDeadline = time.Time{}
 	c.used = true
 }
 
-// sent tells whether a byte of the current request was handed to the kernel.
+// sent reports whether any byte of the current request was handed to the kernel.
 func (c *conn) sent() bool {
 	return c.written > 0
 }
 
-// abort closes the connection while another goroutine uses it.
+// abort closes the connection, possibly while another goroutine uses it.
 func (c *conn) abort() {
-	_ = c.Conn.Close() // the user of the connection sees the error
+	_ = c.Conn.Close() // the goroutine that uses the connection gets an error
 }
 
-// Write counts what is written.
+// Write writes p and counts the written bytes.
 func (c *conn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.written += int64(n)
 	return n, err
 }
 
-// Read reads until the deadline of the header or for the stall time.
+// Read reads until readDeadline if that is set, else with the stall timeout.
 func (c *conn) Read(p []byte) (int, error) {
 	if err := c.setDeadline(); err != nil {
 		return 0, err
@@ -50,28 +50,28 @@
 	return c.Conn.Read(p)
 }
 
-// deadlineSlack is the part of the stall time by which a read may be given
-// up early, so that not each read has to set a deadline.
+// deadlineSlack is the divisor of the stall timeout that gives how much too early
+// a read may time out. It saves setting the socket's deadline for every read.
 const deadlineSlack = 8
 
-// setDeadline sets the deadline of the next read if it has moved.
+// setDeadline sets the deadline of the next read if it has changed by enough.
 func (c *conn) setDeadline() error {
-	deadline := c.readBy
+	deadline := c.readDeadline
 	if deadline.IsZero() {
-		deadline = time.Now().Add(c.stall)
-		if ahead := deadline.Sub(c.limit); ahead >= 0 && ahead < c.stall/deadlineSlack {
+		deadline = time.Now().Add(c.stallTimeout)
+		if ahead := deadline.Sub(c.deadline); ahead >= 0 && ahead < c.stallTimeout/deadlineSlack {
 			return nil
 		}
-	} else if deadline.Equal(c.limit) {
+	} else if deadline.Equal(c.deadline) {
 		return nil
 	}
-	c.limit = deadline
+	c.deadline = deadline
 	return c.Conn.SetReadDeadline(deadline)
 }
 
-// stale tells whether an idle connection was closed by the engine or carries
-// bytes that nobody asked for.
-func (c *conn) stale() bool {
+// isStale reports whether an idle connection was closed by the engine or has
+// unexpected bytes to read.
+func (c *conn) isStale() bool {
 	tcp, isTCP := c.Conn.(*net.TCPConn)
 	if !isTCP {
 		return true
@@ -80,11 +80,11 @@
 	if err != nil {
 		return true
 	}
-	quiet := false
+	idle := false
 	err = raw.Control(func(descriptor uintptr) {
 		var probe [1]byte
 		_, _, err := unix.Recvfrom(int(descriptor), probe[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = err == unix.EAGAIN
+		idle = err == unix.EAGAIN
 	})
-	return err != nil || !quiet
+	return err != nil || !idle
 }
--- a/pkg/gateway/listener.go
+++ b/pkg/gateway/listener.go
@@ -14,38 +14,38 @@
 // limitedListener refuses connections above its limits.
 type limitedListener struct {
 	net.Listener
-	total        int
-	perIP        int
+	maxTotal     int
+	maxPerIP     int
 	writeTimeout time.Duration
-	plain        bool // a refusal can be written as plain HTTP
+	plainHTTP    bool // no TLS: a refusal can be written as plain HTTP
 
-	stopping atomic.Bool   // nobody connects any more
-	waiting  chan net.Conn // accepted by stopConnecting
-	closed   chan struct{}
-	closing  sync.Once
+	stopping   atomic.Bool   // no new connections are accepted by the kernel
+	handedOver chan net.Conn // connections accepted by stopConnecting, for Accept
+	closed     chan struct{} // closed by Close
+	closeOnce  sync.Once
 
 	mutex sync.Mutex
 	open  map[*callerConn]struct{}
-	byIP  map[string]int // number of open connections
+	byIP  map[string]int // number of open connections per IP address
 }
 
-// newLimitedListener returns listener with the limits of config.
+// newLimitedListener wraps listener with the connection limits of config.
 func newLimitedListener(listener net.Listener, config Config) *limitedListener {
 	return &limitedListener{
 		Listener:     listener,
-		total:        config.Limits.Connections,
-		perIP:        config.Limits.ConnectionsPerIP,
+		maxTotal:     config.Limits.Connections,
+		maxPerIP:     config.Limits.ConnectionsPerIP,
 		writeTimeout: config.Timeouts.Write,
-		plain:        config.TLS == nil,
-		waiting:      make(chan net.Conn),
+		plainHTTP:    config.TLS == nil,
+		handedOver:   make(chan net.Conn),
 		closed:       make(chan struct{}),
 		open:         make(map[*callerConn]struct{}),
 		byIP:         make(map[string]int),
 	}
 }
 
-// secured returns the listener with TLS if there is a configuration for it.
-func (l *limitedListener) secured(config *tls.Config) net.Listener {
+// withTLS wraps the listener with TLS unless config is nil.
+func (l *limitedListener) withTLS(config *tls.Config) net.Listener {
 	if config == nil {
 		return l
 	}
@@ -54,12 +54,12 @@
 	return tls.NewListener(l, config)
 }
 
-// Accept returns the next connection within the limits.
+// Accept returns the next connection within the limits and refuses those above.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		accepted, err := l.Listener.Accept()
 		if err != nil && l.stopping.Load() {
-			accepted, err = l.takeWaiting()
+			accepted, err = l.nextHandedOver()
 		}
 		if err != nil {
 			return nil, err
@@ -68,11 +68,11 @@
 		if l.admit(connection) {
 			return connection, nil
 		}
-		l.turnAway(accepted)
+		l.refuse(accepted)
 	}
 }
 
-// ipOf returns the IP address of a connection's other side.
+// ipOf returns the remote IP address of a connection.
 func ipOf(connection net.Conn) string {
 	host, _, err := net.SplitHostPort(connection.RemoteAddr().String())
 	if err != nil {
@@ -81,11 +81,12 @@
 	return host
 }
 
-// admit counts a connection unless it exceeds a limit.
+// admit counts the connection and returns true, or returns false if a limit is
+// reached.
 func (l *limitedListener) admit(connection *callerConn) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if len(l.open) >= l.total || l.byIP[connection.ip] >= l.perIP {
+	if len(l.open) >= l.maxTotal || l.byIP[connection.ip] >= l.maxPerIP {
 		return false
 	}
 	l.open[connection] = struct{}{}
@@ -93,8 +94,8 @@
 	return true
 }
 
-// leave gives back the place of a connection, once.
-func (l *limitedListener) leave(connection *callerConn) {
+// release removes a connection from the counts. Further calls do nothing.
+func (l *limitedListener) release(connection *callerConn) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if _, isOpen := l.open[connection]; !isOpen {
@@ -112,18 +113,18 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for connection := range l.open {
-		_ = connection.Conn.Close() // its user sees the error
+		_ = connection.Conn.Close() // the goroutine that uses it gets an error
 	}
 }
 
-// turnAwayTimeout bounds the writing of a refusal, which fits the socket's
-// buffer.
-const turnAwayTimeout = 100 * time.Millisecond
+// refuseTimeout is the timeout for writing a refusal. The refusal fits into the
+// socket buffer, so the write does not normally wait.
+const refuseTimeout = 100 * time.Millisecond
 
-// turnAway refuses a connection above the limits.
-func (l *limitedListener) turnAway(connection net.Conn) {
+// refuse sends status 429 on a connection above the limits and closes it.
+func (l *limitedListener) refuse(connection net.Conn) {
 	defer func() { _ = connection.Close() }()
-	if !l.plain {
+	if !l.plainHTTP {
 		return
 	}
 	refusal := &APIError{
@@ -133,35 +134,35 @@
 		NotRun:  true,
 	}
 	body := refusal.body()
-	_ = connection.SetWriteDeadline(time.Now().Add(turnAwayTimeout))
+	_ = connection.SetWriteDeadline(time.Now().Add(refuseTimeout))
 	_, _ = fmt.Fprintf(connection, "HTTP/1.1 %d Too Many Requests\r\nContent-Type: %s\r\n%s: true\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s",
 		fiber.StatusTooManyRequests, fiber.MIMEApplicationJSON, HeaderNotRun, len(body), body)
 }
 
-// callerConn is a caller's connection, with a time-out for each write: that
-// of the HTTP server would end streams that last longer.
+// callerConn is a caller's connection with a timeout for each write. The write
+// timeout of the HTTP server covers the whole answer and would cut long streams.
 type callerConn struct {
 	net.Conn
-	listener *limitedListener
-	ip       string
-	limit    time.Time // the deadline that the socket has for writes
+	listener      *limitedListener
+	ip            string
+	writeDeadline time.Time // write deadline currently set on the socket
 }
 
-// NetConn returns the connection below.
+// NetConn returns the wrapped connection.
 func (c *callerConn) NetConn() net.Conn {
 	return c.Conn
 }
 
-// deadlineSlack is the part of the time-out by which a write may be given up
-// early, so that not each write has to set a deadline.
+// deadlineSlack is the divisor of the write timeout that gives how much too early
+// a write may time out. It saves setting the socket's deadline for every write.
 const deadlineSlack = 8
 
-// Write writes p within the time-out. There is one writer at a time.
+// Write writes p within the write timeout. It must not be called concurrently.
 func (c *callerConn) Write(p []byte) (int, error) {
 	timeout := c.listener.writeTimeout
 	deadline := time.Now().Add(timeout)
-	if deadline.Sub(c.limit) >= timeout/deadlineSlack {
-		c.limit = deadline
+	if deadline.Sub(c.writeDeadline) >= timeout/deadlineSlack {
+		c.writeDeadline = deadline
 		if err := c.Conn.SetWriteDeadline(deadline); err != nil {
 			return 0, err
 		}
@@ -169,8 +170,8 @@
 	return c.Conn.Write(p)
 }
 
-// Close closes the connection and gives its place back.
+// Close closes the connection and removes it from the listener's counts.
 func (c *callerConn) Close() error {
-	c.listener.leave(c)
+	c.listener.release(c)
 	return c.Conn.Close()
 }
--- a/pkg/gateway/marked_test.go
+++ b/pkg/gateway/marked_test.go
@@ -16,9 +16,10 @@
 	"martenwheel.dev/pkg/traffic"
 )
 
-// TestMarkedContents: many callers at once on reused connections, streamed and
-// not, with streams that break and are resumed, answers that are mixed up or
-// late, and callers that leave. Each gets its own whole answer or an error.
+// TestMarkedContents runs many concurrent callers on reused connections, with and
+// without streaming. Streams break and are resumed, answers are mixed up or
+// truncated, and callers hang up. Each caller must get its own complete answer or
+// an error.
 func TestMarkedContents(t *testing.T) {
 	const (
 		callers  = 64
@@ -76,11 +77,12 @@
 	t.Logf("%d attempts, %d served", len(dispatcher.kinds()), served)
 }
 
-// markedRequest sends the caller's next request and checks its answer.
+// markedRequest sends one request and checks that the answer is complete and
+// carries mark.
 func markedRequest(client *http.Client, url, mark string, number int) error {
 	url += "/v1/chat/completions"
 	if number%5 == 4 {
-		return leaveEarly(client, url, mark)
+		return hangUpEarly(client, url, mark)
 	}
 	stream := number%2 == 0
 	got, err := tryPost(client, url, chatBody("glaze-7b", mark, stream), nil)
@@ -89,7 +91,7 @@
 	}
 	if got.status != http.StatusOK {
 		if strings.Contains(string(got.body), "no retry") {
-			return nil // an honest error after as many faults as there are retries
+			return nil // each allowed retry hit a fault, so an error is correct
 		}
 		return fmt.Errorf("status %d: %s", got.status, got.body)
 	}
@@ -106,8 +108,8 @@
 	return checkTokens(result, mark, 12)
 }
 
-// leaveEarly hangs up in the middle of a stream.
-func leaveEarly(client *http.Client, url, mark string) error {
+// hangUpEarly hangs up in the middle of a stream.
+func hangUpEarly(client *http.Client, url, mark string) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(chatBody("glaze-7b", mark, true)))
--- a/pkg/gateway/metrics.go
+++ b/pkg/gateway/metrics.go
@@ -7,18 +7,18 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// metrics are the gateway's figures.
+// metrics holds the Prometheus metrics of the gateway.
 type metrics struct {
-	requests   *prometheus.CounterVec // by model and outcome
-	tokens     prometheus.Counter
-	resumes    prometheus.Counter
-	moves      *prometheus.CounterVec // by outcome
-	inFlight   prometheus.Gauge
-	firstToken prometheus.Histogram // seconds since arrival
-	added      prometheus.Histogram // seconds from arrival to the engine, without waiting for a replica
+	requests   *prometheus.CounterVec // ended requests by model and outcome
+	tokens     prometheus.Counter     // tokens passed on to callers
+	resumes    prometheus.Counter     // attempts to resume broken answers
+	moves      *prometheus.CounterVec // attempts to move a stream, by outcome
+	inFlight   prometheus.Gauge       // requests that have not ended
+	firstToken prometheus.Histogram   // seconds from arrival to the first token of a stream
+	overhead   prometheus.Histogram   // seconds from arrival to sending, without the wait for a replica or a claim
 }
 
-// newMetrics makes the metrics and registers them.
+// newMetrics creates the metrics and registers them with registerer.
 func newMetrics(registerer prometheus.Registerer) (*metrics, error) {
 	m := &metrics{
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -46,7 +46,7 @@
 			Help:    "Time from arrival to the first token of streams.",
 			Buckets: prometheus.ExponentialBuckets(0.005, 2, 15),
 		}),
-		added: prometheus.NewHistogram(prometheus.HistogramOpts{
+		overhead: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name:    "martenwheel_gateway_added_seconds",
 			Help:    "Time from arrival until the request was sent on, without waiting for a replica.",
 			Buckets: prometheus.ExponentialBuckets(0.00002, 2, 15),
@@ -55,12 +55,12 @@
 	return m, m.register(registerer)
 }
 
-// register registers the metrics, unless registerer is nil.
+// register registers all metrics; it does nothing if registerer is nil.
 func (m *metrics) register(registerer prometheus.Registerer) error {
 	if registerer == nil {
 		return nil
 	}
-	for _, collector := range []prometheus.Collector{m.requests, m.tokens, m.resumes, m.moves, m.inFlight, m.firstToken, m.added} {
+	for _, collector := range []prometheus.Collector{m.requests, m.tokens, m.resumes, m.moves, m.inFlight, m.firstToken, m.overhead} {
 		if err := registerer.Register(collector); err != nil {
 			return errors.Wrap(err, "gateway: register metrics")
 		}
@@ -68,8 +68,8 @@
 	return nil
 }
 
-// observe counts a request that ended at now. Models that the settings don't
-// have get no label, since callers make up their names.
+// observe counts a request that ended at now. The model label stays empty for
+// models that are not in the settings: callers can invent any number of names.
 func (m *metrics) observe(c *call, outcome string, now time.Time) {
 	m.inFlight.Dec()
 	m.requests.WithLabelValues(string(c.model.Name), outcome).Inc()
@@ -78,6 +78,6 @@
 		m.firstToken.Observe(c.firstEvent.Sub(c.record.arrived).Seconds())
 	}
 	if c.attempts == 1 {
-		m.added.Observe((c.record.sentAt.Sub(c.record.arrived) - c.record.waited).Seconds())
+		m.overhead.Observe((c.record.sentAt.Sub(c.record.arrived) - c.record.waitTime).Seconds())
 	}
 }
--- a/pkg/gateway/models.go
+++ b/pkg/gateway/models.go
@@ -11,7 +11,7 @@
 	"martenwheel.dev/pkg/tree"
 )
 
-// modelObject is a model in the API's shape.
+// modelObject is the API representation of a model.
 type modelObject struct {
 	ID      api.ModelName `json:"id"`
 	Object  string        `json:"object"`
@@ -20,7 +20,7 @@
 	Parent  api.ModelName `json:"parent,omitempty"` // the base model of an adapter
 }
 
-// modelList is a list of models in the API's shape.
+// modelList is the API representation of a list of models.
 type modelList struct {
 	Object string        `json:"object"`
 	Data   []modelObject `json:"data"`
@@ -30,7 +30,7 @@
 	return modelObject{ID: model.Name, Object: "model", OwnedBy: model.Service, Parent: model.Base}
 }
 
-// handleModels lists the models and adapters of the settings.
+// handleModels lists the models and adapters in the settings.
 func (g *Gateway) handleModels(c *fiber.Ctx) error {
 	catalog, apiError := g.readableCatalog(c)
 	if apiError != nil {
@@ -44,7 +44,7 @@
 	return c.JSON(list)
 }
 
-// handleModel describes one model or adapter.
+// handleModel returns one model or adapter.
 func (g *Gateway) handleModel(c *fiber.Ctx) error {
 	catalog, apiError := g.readableCatalog(c)
 	if apiError != nil {
@@ -61,7 +61,7 @@
 	return c.JSON(toModelObject(model))
 }
 
-// readableCatalog returns the models for a caller with a key.
+// readableCatalog authenticates the caller and returns the current models.
 func (g *Gateway) readableCatalog(c *fiber.Ctx) (Catalog, *APIError) {
 	if _, apiError := g.authenticate(c); apiError != nil {
 		return nil, apiError
@@ -69,7 +69,7 @@
 	return g.catalog()
 }
 
-// catalog returns the settings in force.
+// catalog returns the current models, or an error if the node has no settings yet.
 func (g *Gateway) catalog() (Catalog, *APIError) {
 	catalog := g.config.Catalog()
 	if catalog == nil {
--- a/pkg/gateway/move_bench_test.go
+++ b/pkg/gateway/move_bench_test.go
@@ -16,11 +16,11 @@
 	"martenwheel.dev/pkg/standin"
 )
 
-// BenchmarkMoveStream measures what the caller of a running stream waits when
-// the stream moves to another engine: by export, import and resumption
-// ("move-ms"), with more bytes of KV cache than the stand-in's own, or as a new
-// request whose prompt has the text so far ("recompute-ms"). finish-ms is what
-// 1,000 more tokens take where the stream is.
+// BenchmarkMoveStream measures how long a running stream pauses when it moves to
+// another engine: by export, import and resumption ("move-ms"), with the export
+// padded to the size of a real KV cache, or as a new request whose prompt includes
+// the text so far ("recompute-ms"). "finish-ms" is the time for 1,000 more tokens
+// at the old engine.
 func BenchmarkMoveStream(b *testing.B) {
 	for _, promptTokens := range []int{500, 8000, 32000} {
 		for _, soFar := range []int{30, 240} {
@@ -37,7 +37,8 @@
 	}
 }
 
-// benchmarkMove moves a stream from an engine that has others.
+// benchmarkMove moves a stream from an engine that runs the given number of other
+// streams.
 func benchmarkMove(b *testing.B, promptTokens, soFar, padding, others int) {
 	from, to, other := startRealTimeStandIn(b), startRealTimeStandIn(b), startRealTimeStandIn(b)
 	for number := range others {
@@ -83,8 +84,8 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// startPaddedExporter passes exports of an engine on with more data, over which
-// the stand-in reads, and returns its address.
+// startPaddedExporter starts a proxy that adds padding to an engine's exports,
+// which the stand-in ignores on import, and returns its address.
 func startPaddedExporter(b *testing.B, client engine.Client, from string, padding int) string {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var request engine.KVExportRequest
@@ -102,8 +103,8 @@
 	return server.Listener.Addr().String()
 }
 
-// startRealTimeStandIn starts an engine stand-in that runs in real time and
-// caches no prompts.
+// startRealTimeStandIn starts an engine stand-in that runs in real time without a
+// prompt cache.
 func startRealTimeStandIn(b *testing.B) *standin.EngineServer {
 	config := standin.DefaultEngineConfig()
 	config.ID = "server"
@@ -120,7 +121,7 @@
 	return server
 }
 
-// standInStream is a stream read straight from an engine stand-in.
+// standInStream is a stream read directly from an engine stand-in.
 type standInStream struct {
 	response *http.Response
 	lines    *bufio.Scanner
@@ -143,7 +144,7 @@
 	return &standInStream{response: response, lines: bufio.NewScanner(response.Body)}
 }
 
-// skip reads so many events.
+// skip reads and discards the given number of events.
 func (s *standInStream) skip(b *testing.B, events int) {
 	for events > 0 {
 		if !s.lines.Scan() {
--- a/pkg/gateway/move_router_test.go
+++ b/pkg/gateway/move_router_test.go
@@ -12,7 +12,8 @@
 	"martenwheel.dev/pkg/tree"
 )
 
-// fixedControl is a control side with one model on the given engines.
+// fixedControl is a traffic.Router's control interface with one model, ready on
+// the given engines.
 type fixedControl struct {
 	tree      *tree.Tree
 	directory *traffic.Directory
@@ -44,30 +45,30 @@
 	return api.LoadEstimate{}, false
 }
 
-// leavingSoon is a router that hears of each request's engine that it leaves,
-// just after the request got its place there.
-type leavingSoon struct {
+// leavingRouter is a router that learns that the engine of a request is leaving,
+// immediately after it granted the request there.
+type leavingRouter struct {
 	*traffic.Router
-	left api.ServerID
+	leavingServer api.ServerID
 }
 
-func (l *leavingSoon) Acquire(ctx context.Context, request traffic.Request) (traffic.Grant, error) {
+func (l *leavingRouter) Acquire(ctx context.Context, request traffic.Request) (traffic.Grant, error) {
 	granted, err := l.Router.Acquire(ctx, request)
 	if err == nil {
-		l.left = granted.Target().Server
-		l.ObserveLeaving(l.left, "one")
+		l.leavingServer = granted.Target().Server
+		l.ObserveLeaving(l.leavingServer, "one")
 	}
 	return granted, err
 }
 
-// TestMoveByRouter: with the router's own grants, a stream on an engine that
-// leaves ends whole at the other one, which alone is free afterwards.
+// TestMoveByRouter checks with the grants of the real router that a stream on a
+// leaving engine is completed at the other one.
 func TestMoveByRouter(t *testing.T) {
 	servers := map[api.ServerID]*standin.EngineServer{"server-1": startStandIn(t), "server-2": startStandIn(t)}
 	control := newFixedControl(t, servers)
 	router := traffic.New(traffic.Config{Control: control})
 	t.Cleanup(router.Close)
-	dispatcher := &leavingSoon{Router: router}
+	dispatcher := &leavingRouter{Router: router}
 	g, url := startGateway(t, Config{Dispatcher: dispatcher, Catalog: func() Catalog { return control.tree }})
 	text, complete, err := standInText(postMoving(t, url, glaze), true)
 	if err != nil || !complete {
@@ -77,8 +78,8 @@
 		t.Error(err)
 	}
 	for id, server := range servers {
-		if ran := len(server.Executed()) == 1; ran != (id == dispatcher.left) {
-			t.Errorf("%s left, request started on %s: %t", dispatcher.left, id, ran)
+		if ran := len(server.Executed()) == 1; ran != (id == dispatcher.leavingServer) {
+			t.Errorf("engine %s is leaving, request started on %s: %t", dispatcher.leavingServer, id, ran)
 		}
 	}
 	if moved := testutil.ToFloat64(g.metrics.moves.WithLabelValues(moveDone)); moved != 1 {
--- a/pkg/gateway/move_support_test.go
+++ b/pkg/gateway/move_support_test.go
@@ -13,17 +13,17 @@
 	"martenwheel.dev/pkg/traffic"
 )
 
-// leavingDispatcher grants a place on an engine that leaves in the middle of
-// its stream, and places to move to on another.
+// leavingDispatcher grants requests on engine "from", which starts leaving during
+// the streams, and moves of streams to engine "to".
 type leavingDispatcher struct {
-	from, to *standin.EngineServer
-	streams  int                          // that begin before the engine leaves
-	leaveAt  int                          // asks of Leaving after which it leaves
-	onAsk    func(name string, asked int) // called at each ask
+	from, to      *standin.EngineServer
+	streams       int                          // number of streams that reach event leaveAtCall before the engine leaves
+	leaveAtCall   int                          // call of Leaving per stream, from 1, at which the engine leaves
+	onLeavingCall func(name string, asked int) // called at each call of Leaving
 
-	mutex                sync.Mutex
-	begun                int
-	taken, ended, served map[string]int // grants by server
+	mutex                     sync.Mutex
+	reachedLeave              int            // streams that have reached leaveAtCall
+	granted, returned, served map[string]int // numbers of grants by server: granted, returned, returned as served
 }
 
 func (d *leavingDispatcher) Acquire(context.Context, traffic.Request) (traffic.Grant, error) {
@@ -33,15 +33,15 @@
 func (d *leavingDispatcher) grant(name string, server *standin.EngineServer) *leavingGrant {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.taken[name]++
+	d.granted[name]++
 	return &leavingGrant{dispatcher: d, name: name, address: server.Address()}
 }
 
 type leavingGrant struct {
-	dispatcher *leavingDispatcher
-	name       string
-	address    string
-	asked      int
+	dispatcher   *leavingDispatcher
+	name         string
+	address      string
+	leavingCalls int
 }
 
 func (g *leavingGrant) Target() traffic.Target {
@@ -51,7 +51,7 @@
 func (g *leavingGrant) Done(outcome traffic.Outcome) {
 	g.dispatcher.mutex.Lock()
 	defer g.dispatcher.mutex.Unlock()
-	g.dispatcher.ended[g.name]++
+	g.dispatcher.returned[g.name]++
 	if outcome.Kind == traffic.OutcomeServed {
 		g.dispatcher.served[g.name]++
 	}
@@ -62,25 +62,26 @@
 }
 
 func (g *leavingGrant) Leaving() bool {
-	g.asked++
-	if g.dispatcher.onAsk != nil {
-		g.dispatcher.onAsk(g.name, g.asked)
+	g.leavingCalls++
+	if g.dispatcher.onLeavingCall != nil {
+		g.dispatcher.onLeavingCall(g.name, g.leavingCalls)
 	}
-	if g.name == "to" || g.asked < g.dispatcher.leaveAt || !g.dispatcher.allBegun(g.asked) {
+	if g.name == "to" || g.leavingCalls < g.dispatcher.leaveAtCall || !g.dispatcher.allReachedLeave(g.leavingCalls) {
 		return false
 	}
 	g.dispatcher.from.Leave()
 	return true
 }
 
-// allBegun counts the streams that come to the event at which they would move.
-func (d *leavingDispatcher) allBegun(asked int) bool {
+// allReachedLeave counts the streams that reach leaveAtCall and reports whether
+// all of them have.
+func (d *leavingDispatcher) allReachedLeave(calls int) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if asked == d.leaveAt {
-		d.begun++
+	if calls == d.leaveAtCall {
+		d.reachedLeave++
 	}
-	return d.begun >= d.streams
+	return d.reachedLeave >= d.streams
 }
 
 func (g *leavingGrant) Move() (traffic.Movable, error) {
@@ -90,20 +91,20 @@
 	return g.dispatcher.grant("to", g.dispatcher.to), nil
 }
 
-// faultyOrders stands between the gateway and the engines' exports and imports.
-type faultyOrders struct {
+// faultyKVClient is an engine client that injects faults into exports and imports.
+type faultyKVClient struct {
 	engine.Client
-	beforeExport, afterExport error // before: nothing reaches the engine
+	beforeExport, afterExport error // before: the order does not reach the engine; after: its answer is lost
 	beforeImport, afterImport error
 	imported                  func()
 }
 
-func (f *faultyOrders) ExportKV(ctx context.Context, address string, request engine.KVExportRequest) (engine.KVExport, error) {
+func (f *faultyKVClient) ExportKV(ctx context.Context, address string, request engine.KVExportRequest) (engine.KVExport, error) {
 	if f.beforeExport != nil {
 		return engine.KVExport{}, f.beforeExport
 	}
 	if !request.Cancel {
-		return engine.KVExport{}, errors.New("the request would go on at both engines")
+		return engine.KVExport{}, errors.New("the export does not cancel the request, which would run at both engines")
 	}
 	export, err := f.Client.ExportKV(ctx, address, request)
 	if f.afterExport != nil {
@@ -112,7 +113,7 @@
 	return export, err
 }
 
-func (f *faultyOrders) ImportKV(ctx context.Context, address string, export engine.KVExport) error {
+func (f *faultyKVClient) ImportKV(ctx context.Context, address string, export engine.KVExport) error {
 	if f.beforeImport != nil {
 		return f.beforeImport
 	}
@@ -126,49 +127,50 @@
 	return err
 }
 
-// Ways in which a step of a move fails.
+// Errors with which a step of a move fails.
 var (
-	refusedStep = &engine.StatusError{Code: 409, Detail: "no"}
-	lostAnswer  = errors.Wrap(engine.ErrUnknownOutcome, "lost")
+	errStepRefused = &engine.StatusError{Code: 409, Detail: "no"}
+	errAnswerLost  = errors.Wrap(engine.ErrUnknownOutcome, "lost")
 )
 
-// movedTokens is the length of the streams that are moved.
+// movedTokens is the number of tokens of each moved stream.
 const movedTokens = 300
 
 func newLeavingDispatcher(t *testing.T) *leavingDispatcher {
 	return &leavingDispatcher{
-		from: startStandIn(t), to: startStandIn(t), leaveAt: 20,
-		taken: map[string]int{}, ended: map[string]int{}, served: map[string]int{},
+		from: startStandIn(t), to: startStandIn(t), leaveAtCall: 20,
+		granted: map[string]int{}, returned: map[string]int{}, served: map[string]int{},
 	}
 }
 
-// closeAt returns an onAsk that closes a server at an ask of the named grant.
+// closeAt returns an onLeavingCall hook that closes server at call number at of
+// Leaving for the named engine.
 func closeAt(name string, at int, server *standin.EngineServer) func(string, int) {
-	return func(asking string, asked int) {
-		if asking == name && asked == at {
+	return func(grantName string, calls int) {
+		if grantName == name && calls == at {
 			server.Close()
 		}
 	}
 }
 
-// postMoving asks for a stream of movedTokens.
+// postMoving requests a stream of movedTokens tokens.
 func postMoving(t *testing.T, url, model string) reply {
 	t.Helper()
 	return chat(t, url, boundedBody(model, "kiln 4", true, movedTokens), map[string]string{HeaderIdempotencyKey: "key"})
 }
 
-// check checks that every grant was given back once.
+// check checks that every grant was returned, and at which engine the stream ended.
 func (d *leavingDispatcher) check(t *testing.T, moved, complete bool) {
 	t.Helper()
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for _, name := range []string{"from", "to"} {
-		if d.taken[name] != d.ended[name] {
-			t.Errorf("%d grants of %q taken, %d given back", d.taken[name], name, d.ended[name])
+		if d.granted[name] != d.returned[name] {
+			t.Errorf("%d grants of %q taken, %d returned", d.granted[name], name, d.returned[name])
 		}
 	}
-	if moved && d.taken["to"] != 1 {
-		t.Errorf("%d places taken to move to, want 1", d.taken["to"])
+	if moved && d.granted["to"] != 1 {
+		t.Errorf("%d grants taken at the new engine, want 1", d.granted["to"])
 	}
 	if complete && d.served["from"]+d.served["to"] != 1 || moved && d.served["from"] != 0 {
 		t.Errorf("moved: %t, complete: %t, served: %v", moved, complete, d.served)
--- a/pkg/gateway/move_test.go
+++ b/pkg/gateway/move_test.go
@@ -15,30 +15,31 @@
 	"martenwheel.dev/pkg/tree"
 )
 
-// TestMoveStream: a stream on an engine that leaves goes on at another replica,
-// with each event once and in order, and is run once, whichever step fails.
+// TestMoveStream checks that a stream on a leaving engine continues at another
+// replica with each event once and in order, and that the request is run only
+// once, whichever step of the move fails.
 func TestMoveStream(t *testing.T) {
 	for _, test := range []struct {
-		name    string
-		orders  faultyOrders
-		faults  standin.Faults // of the new engine, after the import
-		dies    bool           // the new engine, after the import
-		later   bool           // the new engine dies, after some of its events
-		bytes   int            // the most that an export may have
-		nowhere bool
-		moved   bool
-		broken  []bool // by unsafe: ends with an explicit error
+		name     string
+		kvClient faultyKVClient
+		faults   standin.Faults // faults of the new engine after the import
+		dies     bool           // the new engine stops after the import
+		later    bool           // the new engine stops after some of its events
+		bytes    int            // Limits.MoveBytes; zero: default
+		nowhere  bool           // no other replica is available
+		moved    bool           // whether the stream is expected to move
+		broken   []bool         // for safe and unsafe requests: the stream ends with an error event
 	}{
 		{name: "no fault", moved: true},
 		{name: "no other replica", nowhere: true},
-		{name: "export refused", orders: faultyOrders{beforeExport: refusedStep}},
-		{name: "old engine unreachable for the export", orders: faultyOrders{beforeExport: engine.ErrUnreachable}},
-		{name: "export lost", orders: faultyOrders{beforeExport: lostAnswer}},
-		{name: "answer to the export lost", orders: faultyOrders{afterExport: lostAnswer}},
+		{name: "export refused", kvClient: faultyKVClient{beforeExport: errStepRefused}},
+		{name: "old engine unreachable for the export", kvClient: faultyKVClient{beforeExport: engine.ErrUnreachable}},
+		{name: "export lost", kvClient: faultyKVClient{beforeExport: errAnswerLost}},
+		{name: "answer to the export lost", kvClient: faultyKVClient{afterExport: errAnswerLost}},
 		{name: "export too large", bytes: 64},
-		{name: "import refused", orders: faultyOrders{beforeImport: refusedStep}},
-		{name: "import lost", orders: faultyOrders{beforeImport: lostAnswer}},
-		{name: "answer to the import lost", orders: faultyOrders{afterImport: lostAnswer}},
+		{name: "import refused", kvClient: faultyKVClient{beforeImport: errStepRefused}},
+		{name: "import lost", kvClient: faultyKVClient{beforeImport: errAnswerLost}},
+		{name: "answer to the import lost", kvClient: faultyKVClient{afterImport: errAnswerLost}},
 		{name: "new engine dies after the import", dies: true},
 		{name: "new engine refuses the resumption", faults: standin.Faults{Refuse: true}, broken: []bool{false, true}},
 		{name: "new engine loses the answer", faults: standin.Faults{LoseAnswers: 1}},
@@ -53,20 +54,20 @@
 					d.to = nil
 				}
 				if test.later {
-					d.onAsk = closeAt("to", 10, to)
+					d.onLeavingCall = closeAt("to", 10, to)
 				}
 				complete := false
-				t.Cleanup(func() { d.check(t, test.moved, complete) }) // when the gateway has ended
-				g, url := startGateway(t, Config{Dispatcher: d, Claims: granted(), Limits: Limits{MoveBytes: test.bytes}})
-				orders := test.orders
-				orders.Client = g.orders
-				orders.imported = func() {
+				t.Cleanup(func() { d.check(t, test.moved, complete) }) // runs after the gateway has stopped
+				g, url := startGateway(t, Config{Dispatcher: d, Claims: newGrantingClaims(), Limits: Limits{MoveBytes: test.bytes}})
+				kvClient := test.kvClient
+				kvClient.Client = g.kvClient
+				kvClient.imported = func() {
 					to.SetFaults(standin.PartRequests, test.faults)
 					if test.dies {
 						to.Close()
 					}
 				}
-				g.orders = &orders
+				g.kvClient = &kvClient
 
 				model := glaze
 				if unsafe {
@@ -82,8 +83,8 @@
 				if broken := test.broken != nil && test.broken[number]; complete == broken {
 					t.Errorf("complete: %t", complete)
 				}
-				if said := strings.Contains(string(got.body), codeStreamBroken); said == complete {
-					t.Errorf("error event: %t, complete: %t", said, complete)
+				if hasErrorEvent := strings.Contains(string(got.body), codeStreamBroken); hasErrorEvent == complete {
+					t.Errorf("error event: %t, complete: %t", hasErrorEvent, complete)
 				}
 				if err := checkStandInTokens(model, text, "kiln 4", movedTokens, complete); err != nil {
 					t.Error(err)
@@ -100,8 +101,9 @@
 	slots = "slots"
 )
 
-// TestMoveOutlastsEngine: a stream survives the end of the engine that left,
-// unless moves are off or it was expected to end in time.
+// TestMoveOutlastsEngine checks that a stream survives the stop of its leaving
+// engine, unless moves are off or the stream was expected to end within the drain
+// time.
 func TestMoveOutlastsEngine(t *testing.T) {
 	for _, test := range []struct {
 		name      string
@@ -115,11 +117,12 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			d := newLeavingDispatcher(t)
-			// The cut makes sure that the engine has not sent all before it ends.
+			// The cut ensures that the engine has not sent all events before it
+			// stops.
 			d.from.SetFaults(standin.PartRequests, standin.Faults{CutAnswers: 1})
-			d.onAsk = func(name string, asked int) {
-				closeAt("from", 40, d.from)(name, asked)
-				closeAt("to", 20, d.from)(name, asked)
+			d.onLeavingCall = func(name string, calls int) {
+				closeAt("from", 40, d.from)(name, calls)
+				closeAt("to", 20, d.from)(name, calls)
 			}
 			catalog := fakeCatalog{{Name: glaze, Settings: tree.Settings{DrainTime: test.drainTime}}}
 			_, url := startGateway(t, Config{
@@ -141,8 +144,8 @@
 	}
 }
 
-// TestMoveManyStreams: many streams that move at once are each whole, and none
-// has a part of another's.
+// TestMoveManyStreams checks that many streams that move at the same time are
+// complete and not mixed up.
 func TestMoveManyStreams(t *testing.T) {
 	const streams = 48
 	d := newLeavingDispatcher(t)
@@ -150,8 +153,8 @@
 	t.Cleanup(func() {
 		d.mutex.Lock()
 		defer d.mutex.Unlock()
-		if d.taken["to"] != d.ended["to"] || d.served["to"] == 0 || d.served["from"]+d.served["to"] != streams {
-			t.Errorf("places taken %v, given back %v, served %v", d.taken, d.ended, d.served)
+		if d.granted["to"] != d.returned["to"] || d.served["to"] == 0 || d.served["from"]+d.served["to"] != streams {
+			t.Errorf("grants taken %v, returned %v, served %v", d.granted, d.returned, d.served)
 		}
 	})
 	_, url := startGateway(t, Config{Dispatcher: d})
@@ -169,7 +172,7 @@
 				return err
 			}
 			if !complete {
-				return errors.Errorf("stream %d broke", number)
+				return errors.Errorf("stream %d is not complete", number)
 			}
 			return checkStandInTokens(glaze, text, prompt, movedTokens, complete)
 		})
@@ -179,27 +182,28 @@
 	}
 }
 
-// TestExpectedRest: the rest of a stream by its bound and its pace so far.
-func TestExpectedRest(t *testing.T) {
+// TestExpectedRemaining checks the estimate from the token limit and the speed so
+// far.
+func TestExpectedRemaining(t *testing.T) {
 	start := time.Unix(0, 0)
 	for _, test := range []struct {
 		maxTokens, events int
 		want              time.Duration
 	}{
-		{maxTokens: 0, events: 11, want: endless},
-		{maxTokens: math.MaxInt, events: 11, want: endless},
+		{maxTokens: 0, events: 11, want: unlimitedTime},
+		{maxTokens: math.MaxInt, events: 11, want: unlimitedTime},
 		{maxTokens: 111, events: 11, want: 10 * time.Second},
 		{maxTokens: 5, events: 11, want: 0},
 	} {
 		s := &eventStream{attempt: &attempt{call: &call{firstEvent: start}}, events: test.events}
 		s.attempt.call.parsed.MaxTokens = test.maxTokens
-		if rest := s.expectedRest(start.Add(time.Second)); rest != test.want {
+		if rest := s.expectedRemaining(start.Add(time.Second)); rest != test.want {
 			t.Errorf("max_tokens %d, %d events in a second: %v, want %v", test.maxTokens, test.events, rest, test.want)
 		}
 	}
 }
 
-// checkOneRun checks that the engines together ran one request once.
+// checkOneRun checks that the engines together ran exactly one request, once.
 func checkOneRun(t *testing.T, servers ...*standin.EngineServer) {
 	t.Helper()
 	runs := 0
--- a/pkg/gateway/not_run_test.go
+++ b/pkg/gateway/not_run_test.go
@@ -13,10 +13,11 @@
 	"martenwheel.dev/pkg/traffic"
 )
 
-// abort breaks the connection of a request.
+// abort makes a handler break the connection of its request.
 func abort() { panic(http.ErrAbortHandler) }
 
-// answerError is an engine's error without a word on whether it ran.
+// answerError returns an interceptor that answers with an error status and sets
+// the given headers to "true".
 func answerError(status int, header ...string) func(http.ResponseWriter, *http.Request, []byte) bool {
 	return func(w http.ResponseWriter, _ *http.Request, _ []byte) bool {
 		for _, name := range header {
@@ -28,8 +29,8 @@
 	}
 }
 
-// answerText is a success with the given content type and body, in which ID
-// stands for the request's.
+// answerText returns an interceptor that answers with status 200 and the given
+// content type and body, in which ID is replaced by the request ID.
 func answerText(contentType, body string) func(http.ResponseWriter, *http.Request, []byte) bool {
 	return func(w http.ResponseWriter, r *http.Request, _ []byte) bool {
 		id := r.Header.Get(engine.HeaderRequestID)
@@ -40,8 +41,8 @@
 	}
 }
 
-// faultCases are the steps at which a request can fail before its caller gets
-// any part of an answer.
+// faultCases lists the ways in which a request can fail at the engine before the
+// caller gets any part of an answer.
 var faultCases = []struct {
 	name      string
 	stream    bool
@@ -94,15 +95,15 @@
 	w.Header().Set("Content-Type", contentType)
 }
 
-// TestNotRunIsTrue: an error says "not run" only if the engine did not get the
-// request or says so itself. The claim of an unsafe request is given back in
-// just these cases, and only then the dispatcher learns of a sure "not run".
+// TestNotRunIsTrue checks that an error says "not run" only if the engine did not
+// get the request or reports it as not run. The claim of an unsafe request must
+// be released in exactly these cases.
 func TestNotRunIsTrue(t *testing.T) {
 	for _, test := range faultCases {
 		t.Run(test.name, func(t *testing.T) {
 			engine := startEngine(t, 3)
 			engine.intercept = test.intercept
-			claims := granted()
+			claims := newGrantingClaims()
 			_, url := startGateway(t, Config{Dispatcher: engine.dispatcher(), Claims: claims})
 			client := newClient(t)
 
@@ -128,7 +129,7 @@
 	}
 }
 
-// TestNotRunAtConnection has the faults below HTTP.
+// TestNotRunAtConnection checks "not run" for faults of the TCP connection.
 func TestNotRunAtConnection(t *testing.T) {
 	refusing := listen(t)
 	refusingAddress := refusing.Addr().String()
@@ -144,7 +145,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			claims := granted()
+			claims := newGrantingClaims()
 			dispatcher := &fakeDispatcher{targets: []traffic.Target{{Server: "server-1", Address: test.address}}}
 			_, url := startGateway(t, Config{Dispatcher: dispatcher, Claims: claims})
 			got := chat(t, url, chatBody("slots", test.body, false),
@@ -157,8 +158,8 @@
 	}
 }
 
-// startResetting accepts connections and resets them in the middle of a large
-// request.
+// startResetting starts a server that resets each connection in the middle of a
+// large request, and returns its address.
 func startResetting(t *testing.T) string {
 	listener := listen(t)
 	group := pool.New()
@@ -180,9 +181,10 @@
 	return listener.Addr().String()
 }
 
-// TestUncertaintyStays: once an attempt may have been run, no later "not run"
-// makes the request not run; and an unsafe request is not sent again.
-func TestUncertaintyStays(t *testing.T) {
+// TestUnknownOutcomeStaysUnknown checks that once an attempt may have been run, a
+// later attempt that was not run does not make the request "not run", and that an
+// unsafe request is not sent again.
+func TestUnknownOutcomeStaysUnknown(t *testing.T) {
 	failing, leaving, healthy := startEngine(t, 2), startEngine(t, 2), startEngine(t, 2)
 	failing.intercept = answerError(500)
 	leaving.intercept = answerError(503, engine.HeaderLeaving)
@@ -205,7 +207,7 @@
 			for _, engine := range test.engines {
 				dispatcher.targets = append(dispatcher.targets, engine.target())
 			}
-			_, url := startGateway(t, Config{Dispatcher: dispatcher, Claims: granted()})
+			_, url := startGateway(t, Config{Dispatcher: dispatcher, Claims: newGrantingClaims()})
 			served := healthy.requests()
 			got := chat(t, url, chatBody(test.model, "ash", false),
 				map[string]string{HeaderIdempotencyKey: "key"})
@@ -217,7 +219,7 @@
 					t.Errorf("error %+v", apiError)
 				}
 				if healthy.requests() != served {
-					t.Error("sent again")
+					t.Error("the request was sent to another engine")
 				}
 			}
 		})
--- a/pkg/gateway/quarantine.go
+++ b/pkg/gateway/quarantine.go
@@ -7,10 +7,11 @@
 	"martenwheel.dev/pkg/traffic"
 )
 
-// quarantined refuses a request under which engines ended. Each node goes by what it saw
-// itself: a request that ends engines ends three at each node that it comes to, where without
-// it each try ends one or more, for ever.
-func (c *call) quarantined() *APIError {
+// checkQuarantine returns a refusal if the request is quarantined for crashing
+// engines. Each node counts only the crashes that it saw itself, so a crashing
+// request crashes three engines per node; without the quarantine, every repeat of
+// it would crash at least one more.
+func (c *call) checkQuarantine() *APIError {
 	if c.gateway.quarantine.Standing(c.gateway.config.Now(), c.fingerprint) != quarantine.Quarantined {
 		return nil
 	}
@@ -21,18 +22,20 @@
 	})
 }
 
-// engineEnded notes that an engine ended while the request ran on it, before the caller got
-// any of its answer. It tells whether the request may go to another engine: one that is
-// suspected runs at one engine in each try.
-func (c *call) engineEnded(server string, round int) bool {
+// recordCrash records that an engine crashed while it ran the request, before the
+// caller got any part of the answer. It reports whether the request may be
+// retried on another engine: a suspected request gets only one engine each time
+// that a caller sends it.
+func (c *call) recordCrash(server string, round int) bool {
 	run := quarantine.Run{Request: c.fingerprint, Service: string(c.model.Service), Server: server, Round: round}
 	change := c.gateway.quarantine.Merge(c.gateway.config.Now(), run.CrashEvidence())
-	c.gateway.config.Logger.Warn("engine ended under request", "request_id", c.record.requestID, "fingerprint", c.fingerprint.String(),
+	c.gateway.config.Logger.Warn("engine crashed while running a request", "request_id", c.record.requestID, "fingerprint", c.fingerprint.String(),
 		"server", server, "ended_under_it", change.Servers(), "standing", change.Now.String())
 	return change.Now == quarantine.Free
 }
 
-// ran notes that an engine ran the request, or began to and lives.
-func (c *call) ran() {
+// recordAnswered records that an engine started to answer the request without
+// crashing.
+func (c *call) recordAnswered() {
 	c.gateway.quarantine.Completed(c.gateway.config.Now(), c.fingerprint)
 }
--- a/pkg/gateway/quarantine_test.go
+++ b/pkg/gateway/quarantine_test.go
@@ -11,8 +11,9 @@
 	"martenwheel.dev/pkg/traffic"
 )
 
-// startFatalEngine starts an engine that ends when it begins to run a request with a mark.
-func startFatalEngine(t *testing.T, mark string, ended *atomic.Int32) string {
+// startCrashingEngine starts an engine that crashes when it begins to run a
+// request with the given mark.
+func startCrashingEngine(t *testing.T, mark string, crashed *atomic.Int32) string {
 	t.Helper()
 	listener := listen(t)
 	e := &fakeEngine{tokens: 3}
@@ -21,7 +22,7 @@
 		if got, _ := markOf(body); got != mark {
 			return false
 		}
-		ended.Add(1)
+		crashed.Add(1)
 		_ = listener.Close()
 		connection, _, err := w.(http.Hijacker).Hijack()
 		if err != nil {
@@ -32,27 +33,28 @@
 		return true
 	}
 	server.Handler = e
-	go func() { _ = server.Serve(listener) }() // ends with the listener
+	go func() { _ = server.Serve(listener) }() // returns when the listener closes
 	t.Cleanup(func() { _ = server.Close() })
 	return listener.Addr().String()
 }
 
-// TestARequestThatEndsEnginesIsStopped has it come four times at a node whose dispatcher would
-// give it to five engines in a row. Another request is served beside it.
-func TestARequestThatEndsEnginesIsStopped(t *testing.T) {
+// TestCrashingRequestIsQuarantined sends a crashing request four times to a node
+// whose dispatcher allows five engines per request. It may crash three engines in
+// total, and then must be refused. Other requests are still served.
+func TestCrashingRequestIsQuarantined(t *testing.T) {
 	const fatal = "ends engines"
-	var ended atomic.Int32
+	var crashed atomic.Int32
 	dispatcher := &fakeDispatcher{retries: 4}
 	var addresses []string
 	for range 30 {
-		addresses = append(addresses, startFatalEngine(t, fatal, &ended))
+		addresses = append(addresses, startCrashingEngine(t, fatal, &crashed))
 	}
-	// Each request begins with engines that live.
+	// Only engines that have not crashed are targets.
 	dispatcher.acquire = func(context.Context, traffic.Request) error {
 		dispatcher.mutex.Lock()
 		defer dispatcher.mutex.Unlock()
 		dispatcher.targets = nil
-		for _, address := range addresses[ended.Load():] {
+		for _, address := range addresses[crashed.Load():] {
 			dispatcher.targets = append(dispatcher.targets, traffic.Target{Server: api.ServerID(address), Address: address})
 		}
 		return nil
@@ -61,16 +63,16 @@
 	for try, want := range []int{http.StatusBadGateway, http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusServiceUnavailable} {
 		got := chat(t, url, chatBody("glaze-7b", fatal, false), nil)
 		if got.status != want {
-			t.Errorf("try %d got %d %s, want %d", try, got.status, got.body, want)
+			t.Errorf("attempt %d: status %d, body %s, want status %d", try, got.status, got.body, want)
 		}
 		if got.status == http.StatusServiceUnavailable && got.header.Get("Retry-After") != "" {
-			t.Errorf("try %d is told to come back", try)
+			t.Errorf("attempt %d: the refusal has a Retry-After header", try)
 		}
 	}
-	if n := ended.Load(); n != 3 {
-		t.Errorf("%d engines ended, want 3", n)
+	if n := crashed.Load(); n != 3 {
+		t.Errorf("%d engines crashed, want 3", n)
 	}
 	if got := chat(t, url, chatBody("glaze-7b", "harmless", false), nil); got.status != http.StatusOK {
-		t.Errorf("another request got %d %s", got.status, got.body)
+		t.Errorf("another request: status %d, body %s", got.status, got.body)
 	}
 }
--- a/pkg/gateway/record.go
+++ b/pkg/gateway/record.go
@@ -11,32 +11,32 @@
 	"martenwheel.dev/pkg/tree"
 )
 
-// Outcomes of requests, in logs and metrics.
+// Outcomes of requests, as written to logs and metrics.
 const (
 	outcomeServed    = "served"
-	outcomeRefused   = "refused" // not run
-	outcomeUnknown   = "unknown" // perhaps run
+	outcomeRefused   = "refused" // certainly not run
+	outcomeUnknown   = "unknown" // possibly run
 	outcomeCancelled = "cancelled"
 	outcomeInvalid   = "invalid"
 )
 
-// record collects what the log says of a request.
+// record collects the access log fields of a request.
 type record struct {
 	requestID string
 	caller    string
 	server    api.ServerID
 	revision  tree.Revision
 	arrived   time.Time
-	sentAt    time.Time     // to the engine, the last time
-	waited    time.Duration // for replicas and keepers
+	sentAt    time.Time     // when it was last sent to an engine
+	waitTime  time.Duration // total wait for replicas and keepers
 	tokens    int
 	replayed  bool
 }
 
-// outcomeOf classifies an error that a caller receives.
+// outcomeOf returns the outcome of a request that was answered with apiError.
 func outcomeOf(apiError *APIError) traffic.OutcomeKind {
 	switch {
-	case apiError.Status == statusCallerLeft:
+	case apiError.Status == statusCallerHungUp:
 		return traffic.OutcomeCancelled
 	case apiError.NotRun:
 		return traffic.OutcomeNotRun
@@ -45,7 +45,7 @@
 	}
 }
 
-// outcomeName is the name of an outcome in logs and metrics.
+// outcomeName returns the name of an outcome for logs and metrics.
 func outcomeName(kind traffic.OutcomeKind, apiError *APIError) string {
 	switch kind {
 	case traffic.OutcomeServed:
@@ -61,21 +61,21 @@
 	return outcomeRefused
 }
 
-// end ends the call: it is logged and counted once.
+// end ends the call and logs and counts it. Further calls do nothing.
 func (c *call) end(kind traffic.OutcomeKind, apiError *APIError) {
-	if c.over {
+	if c.ended {
 		return
 	}
-	c.over = true
+	c.ended = true
 	c.watch.Stop()
-	c.leave(nil)
+	c.cancelCaller(nil)
 	now := c.gateway.config.Now()
 	outcome := outcomeName(kind, apiError)
 	c.gateway.metrics.observe(c, outcome, now)
 	c.log(outcome, apiError, now)
 }
 
-// log writes the line of the access log.
+// log writes the access log line of the call.
 func (c *call) log(outcome string, apiError *APIError, now time.Time) {
 	logger := c.gateway.config.Logger
 	if !logger.IsInfo() {
@@ -94,7 +94,7 @@
 		"attempts", c.attempts,
 		"tokens", c.record.tokens,
 		"seconds", now.Sub(c.record.arrived).Seconds(),
-		"wait_seconds", c.record.waited.Seconds(),
+		"wait_seconds", c.record.waitTime.Seconds(),
 	}
 	if !c.firstEvent.IsZero() {
 		fields = append(fields, "first_token_seconds", c.firstEvent.Sub(c.record.arrived).Seconds())
--- a/pkg/gateway/request.go
+++ b/pkg/gateway/request.go
@@ -10,38 +10,38 @@
 	"martenwheel.dev/pkg/findings"
 )
 
-// Headers of a caller's request, and of the answers.
+// Headers of callers' requests and of the answers to them.
 const (
-	HeaderRequestID      = "X-Request-Id"       // echoed; made if absent
-	HeaderDeadlineMillis = "X-Deadline-Ms"      // milliseconds to the first token
-	HeaderDeadline       = "X-Deadline"         // RFC 3339 time of the first token
-	HeaderPriority       = "X-Priority"         // integer, larger is more urgent
-	HeaderIdempotencyKey = "Idempotency-Key"    // names an unsafe request
-	HeaderUnsafe         = "X-Unsafe-To-Repeat" // true or false; overrides the settings
-	HeaderNotRun         = "X-Not-Run"          // of errors: true or unknown
-	HeaderReplayed       = "X-Idempotent-Replayed"
+	HeaderRequestID      = "X-Request-Id"          // echoed in the answer; generated if absent
+	HeaderDeadlineMillis = "X-Deadline-Ms"         // milliseconds until the first token is due
+	HeaderDeadline       = "X-Deadline"            // RFC 3339 time when the first token is due
+	HeaderPriority       = "X-Priority"            // integer; larger is more urgent
+	HeaderIdempotencyKey = "Idempotency-Key"       // identifies an unsafe request and its repeats
+	HeaderUnsafe         = "X-Unsafe-To-Repeat"    // true or false; overrides the model's setting
+	HeaderNotRun         = "X-Not-Run"             // in errors: "true" or "unknown"
+	HeaderReplayed       = "X-Idempotent-Replayed" // "true" if the answer is that of an earlier run
 )
 
-// Bounds of header values.
+// Limits of header values.
 const (
-	maxNameLength     = 128 // of a request ID or idempotency key
+	maxNameLength     = 128 // bytes of a request ID or idempotency key
 	maxDeadlineMillis = 24 * 60 * 60 * 1000
-	maxPriority       = 1000 // and its negative the least
+	maxPriority       = 1000 // the minimum is -maxPriority
 )
 
-// endpoint is a path of the API that runs a model.
+// endpoint is an API path that runs a model.
 type endpoint struct {
 	path        string
 	promptField string
 }
 
-// The endpoints.
+// Endpoints that run a model.
 var (
 	chatCompletions = endpoint{path: "/v1/chat/completions", promptField: "messages"}
 	completions     = endpoint{path: "/v1/completions", promptField: "prompt"}
 )
 
-// headerValues are the documented headers of a request, copied out of the
+// headerValues holds the documented headers of a request, copied from the HTTP
 // server's buffers.
 type headerValues struct {
 	RequestID      string
@@ -52,16 +52,16 @@
 	Unsafe         string
 }
 
-// requestOptions are the meaning of headerValues.
+// requestOptions holds the parsed headerValues.
 type requestOptions struct {
 	RequestID      string
-	Deadline       time.Time // zero: the model's
-	Priority       *int      // nil: the model's
+	Deadline       time.Time // zero: the model's default
+	Priority       *int      // nil: the model's default
 	IdempotencyKey string
-	Unsafe         *bool // nil: the model's
+	Unsafe         *bool // nil: the model's default
 }
 
-// copyHeaders copies the documented headers. Repeated ones are findings.
+// copyHeaders copies the documented headers and adds repeated ones to found.
 func copyHeaders(c *fiber.Ctx, found *findings.List) headerValues {
 	return headerValues{
 		RequestID:      copyHeader(c, HeaderRequestID, found),
@@ -73,7 +73,8 @@
 	}
 }
 
-// copyHeader copies the value of the header name.
+// copyHeader copies the first value of a header and adds a finding if there are
+// more.
 func copyHeader(c *fiber.Ctx, name string, found *findings.List) string {
 	values := c.Request().Header.PeekAll(name)
 	if len(values) == 0 {
@@ -85,7 +86,8 @@
 	return string(values[0])
 }
 
-// parseOptions reads the header values at now and adds all faults to found.
+// parseOptions parses the header values and adds all faults to found. A deadline
+// in milliseconds counts from now.
 func parseOptions(values headerValues, now time.Time, found *findings.List) requestOptions {
 	options := requestOptions{
 		RequestID:      checkName(HeaderRequestID, values.RequestID, found),
@@ -110,7 +112,7 @@
 	return options
 }
 
-// checkName checks a caller's identifier.
+// checkName returns value if it is a valid identifier, else "" and a finding.
 func checkName(header, value string, found *findings.List) string {
 	if len(value) > maxNameLength {
 		found.Addf(header, "must be at most %d characters long", maxNameLength)
@@ -125,7 +127,7 @@
 	return value
 }
 
-// isNameCharacter tells whether an identifier may hold character.
+// isNameCharacter reports whether character is allowed in an identifier.
 func isNameCharacter(character byte) bool {
 	switch {
 	case character >= 'a' && character <= 'z', character >= 'A' && character <= 'Z', character >= '0' && character <= '9':
@@ -135,7 +137,8 @@
 	}
 }
 
-// parseDeadline reads the time by which the first token is due.
+// parseDeadline returns the time by which the first token is due, zero if none is
+// given.
 func parseDeadline(values headerValues, now time.Time, found *findings.List) time.Time {
 	if values.DeadlineMillis != "" && values.Deadline != "" {
 		found.Addf(HeaderDeadline, "excludes %s", HeaderDeadlineMillis)
--- a/pkg/gateway/request_body.go
+++ b/pkg/gateway/request_body.go
@@ -13,24 +13,24 @@
 	"martenwheel.dev/pkg/findings"
 )
 
-// bytesPerToken estimates the tokens of a prompt from its length.
+// bytesPerToken is the assumed prompt length per token, to estimate token counts.
 const bytesPerToken = 4
 
-// errBrokenJSON means that a body's JSON does not end or is malformed.
+// errBrokenJSON reports that the JSON of a body is truncated or malformed.
 var errBrokenJSON = errors.New("the body's JSON is cut off or malformed")
 
-// requestBody is what the gateway reads of a request's body.
+// requestBody holds the fields of a request's body that the gateway uses.
 type requestBody struct {
 	Model        api.ModelName
 	Stream       bool
-	MaxTokens    int    // zero: not given
-	PromptTokens int    // estimate
-	PromptStart  string // leading text of the prompt as engines cache it
+	MaxTokens    int    // zero: not set
+	PromptTokens int    // estimated from the length of the prompt
+	PromptStart  string // leading text of the prompt, in the form that engines cache
 }
 
-// decodeBody reads body, which must be one JSON object. Field names count as
-// they are spelt; a field that the gateway reads may be given only once, so
-// that no engine can understand the request otherwise.
+// decodeBody parses body, which must be one JSON object. Field names are
+// case-sensitive, and a field that the gateway reads may occur only once, so
+// that an engine cannot interpret the request differently.
 func decodeBody(body []byte, promptField string) (requestBody, error) {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	opening, err := decoder.Token()
@@ -58,31 +58,32 @@
 	return fields.requestBody, found.Err()
 }
 
-// skippedValue takes the place of a value that nobody reads.
-type skippedValue struct{}
+// ignoredValue is the decoding target of fields that the gateway ignores.
+type ignoredValue struct{}
 
-// UnmarshalJSON skips any value.
-func (*skippedValue) UnmarshalJSON([]byte) error { return nil }
+// UnmarshalJSON accepts and discards any value.
+func (*ignoredValue) UnmarshalJSON([]byte) error { return nil }
 
-// bodyFields collects the fields of a body.
+// bodyFields collects the fields of a body while it is decoded.
 type bodyFields struct {
 	requestBody
 	promptField string
-	messages    []engine.ChatMessage // of a chat
-	prompt      string               // of a completion
-	seen        []string             // names of the fields read so far
+	messages    []engine.ChatMessage // prompt of a chat completion
+	prompt      string               // prompt of a text completion
+	seen        []string             // names of the used fields decoded so far
 }
 
-// decodeNext reads one field. An error means that the JSON is broken.
+// decodeNext decodes one field. It returns errBrokenJSON for invalid JSON and
+// adds other faults to found.
 func (f *bodyFields) decodeNext(decoder *json.Decoder, found *findings.List) error {
 	token, err := decoder.Token()
 	if err != nil {
 		return errBrokenJSON
 	}
-	name, _ := token.(string) // the decoder lets only strings be names
+	name, _ := token.(string) // the decoder allows only strings as names
 	target := f.target(name)
 	if target == nil {
-		return decodeValue(decoder, &skippedValue{}, nil)
+		return decodeValue(decoder, &ignoredValue{}, nil)
 	}
 	if slices.Contains(f.seen, name) {
 		found.Addf(name, "given twice")
@@ -91,7 +92,7 @@
 	}
 	start := decoder.InputOffset()
 	err = decodeValue(decoder, target, func() {
-		if name != f.promptField { // any other form of prompt is for the engine to judge
+		if name != f.promptField { // the engine validates other forms of prompt
 			found.Addf(name, "has the wrong type")
 		}
 	})
@@ -101,7 +102,8 @@
 	return err
 }
 
-// target returns where the field's value belongs, or nil if nobody reads it.
+// target returns the decoding target of the named field, or nil if the gateway
+// ignores it.
 func (f *bodyFields) target(name string) any {
 	switch name {
 	case "model":
@@ -120,8 +122,8 @@
 	}
 }
 
-// decodeValue reads one value into target. It calls wrongType for a value of
-// another type; an error means that the JSON is broken.
+// decodeValue decodes one value into target. If the value has another type, it
+// calls wrongType and returns nil; it returns errBrokenJSON for invalid JSON.
 func decodeValue(decoder *json.Decoder, target any, wrongType func()) error {
 	err := decoder.Decode(target)
 	var mismatch *json.UnmarshalTypeError
@@ -135,11 +137,12 @@
 	return nil
 }
 
-// maxPromptStart bounds the part of a prompt by which a replica that has it
-// cached is found, in bytes.
+// maxPromptStart is the length in bytes of the leading part of a prompt that is
+// matched against the prompt caches of replicas.
 const maxPromptStart = 32 << 10
 
-// promptStart returns the beginning of the prompt's text as engines cache it.
+// promptStart returns the leading text of the prompt, in the form that engines
+// cache.
 func (f *bodyFields) promptStart() string {
 	text := f.prompt
 	if f.promptField == chatCompletions.promptField {
@@ -148,7 +151,8 @@
 	return text[:min(len(text), maxPromptStart)]
 }
 
-// checkMissing adds what every request must have.
+// checkMissing adds a finding for each required field that is missing and for a
+// negative token limit.
 func (f *bodyFields) checkMissing(found *findings.List) {
 	if f.Model == "" {
 		found.Addf("model", "missing")
--- a/pkg/gateway/request_test.go
+++ b/pkg/gateway/request_test.go
@@ -30,8 +30,7 @@
 	}
 }
 
-// badBodies are bodies that must be refused before anything is done, with a
-// part of the message.
+// badBodies maps bodies that must be refused to a part of the error message.
 var badBodies = map[string]string{
 	``:                               "not JSON",
 	`[]`:                             "not a JSON object",
@@ -77,7 +76,7 @@
 	}
 }
 
-// TestParseOptionsFindsAll: all faults are reported at once.
+// TestParseOptionsFindsAll checks that all faults are reported at once.
 func TestParseOptionsFindsAll(t *testing.T) {
 	var found findings.List
 	parseOptions(headerValues{
@@ -96,9 +95,9 @@
 	}
 }
 
-// TestServerBuffersAreReused shows the hazard for which the gateway copies
-// what it keeps of a request: a string that fiber hands out changes when the
-// connection carries its next request. The copies do not.
+// TestServerBuffersAreReused shows why the gateway copies the parts of a request
+// that it keeps: a string returned by fiber changes when the next request arrives
+// on the connection. The copies do not change.
 func TestServerBuffersAreReused(t *testing.T) {
 	app := fiber.New()
 	ctx := &fasthttp.RequestCtx{}
@@ -114,10 +113,10 @@
 	ctx.Request.Header.Set(HeaderRequestID, "other")
 	ctx.Request.SetBodyString("body-2")
 	if kept != "other" || string(keptBody) != "body-2" {
-		t.Errorf("the hazard is gone: kept %q and %q; the copies may go too", kept, keptBody)
+		t.Errorf("fiber no longer reuses its buffers: kept %q and %q; the copies are no longer needed", kept, keptBody)
 	}
 	if copied != "first" {
-		t.Errorf("the copy became %q", copied)
+		t.Errorf("the copy changed to %q", copied)
 	}
 }
 
--- a/pkg/gateway/standin_test.go
+++ b/pkg/gateway/standin_test.go
@@ -15,7 +15,8 @@
 	"martenwheel.dev/pkg/traffic"
 )
 
-// startStandIn starts the engine stand-in with the models of the test catalog.
+// startStandIn starts an engine stand-in that has loaded the models of the test
+// catalog.
 func startStandIn(t *testing.T) *standin.EngineServer {
 	t.Helper()
 	config := standin.DefaultEngineConfig()
@@ -37,7 +38,7 @@
 			MemoryBytes: 1 << 30,
 		}
 		if result := server.Order(order); result.Status != engine.OrderAccepted {
-			t.Fatalf("load of %s: %+v", model.Name, result)
+			t.Fatalf("load order for %s: %+v", model.Name, result)
 		}
 	}
 	for !allReady(server) {
@@ -55,7 +56,7 @@
 	return true
 }
 
-// standInText returns the text of a chat's answer, streamed or not.
+// standInText returns the text of a chat answer, streamed or not.
 func standInText(got reply, stream bool) (text string, complete bool, err error) {
 	if stream {
 		result, err := readStream(got.body)
@@ -70,20 +71,21 @@
 	return answer.Choices[0].Message.Content, true, nil
 }
 
-// TestAgainstStandIn: many callers at once against the engine stand-in while
-// it cuts, truncates or mixes up answers. What a caller receives as complete
-// is the whole answer to its own prompt; anything else is an explicit error.
+// TestAgainstStandIn runs many concurrent callers against an engine stand-in that
+// cuts, truncates or mixes up answers. An answer that a caller receives as
+// complete must be the whole answer to its own prompt; any other must be an
+// explicit error.
 func TestAgainstStandIn(t *testing.T) {
 	for name, faults := range map[string]standin.Faults{
 		"cut":       {CutAnswers: 60},
 		"truncated": {TruncateAnswers: 60},
 		"mixed":     {MixAnswers: 60},
 	} {
-		t.Run(name, func(t *testing.T) { manyAgainstStandIn(t, faults) })
+		t.Run(name, func(t *testing.T) { testConcurrentCallers(t, faults) })
 	}
 }
 
-func manyAgainstStandIn(t *testing.T, faults standin.Faults) {
+func testConcurrentCallers(t *testing.T, faults standin.Faults) {
 	const (
 		callers  = 24
 		requests = 8
@@ -120,24 +122,25 @@
 	}
 }
 
-// checkStandInTokens checks that each token is marked as the model's answer to
-// the prompt, and that a complete answer has all tokens in order.
+// checkStandInTokens checks that each token carries the mark of the model's answer
+// to the prompt and is in order, and that a complete answer has all tokens.
 func checkStandInTokens(model, text, prompt string, tokens int, complete bool) error {
 	mark := standin.Mark(model, "user\n"+prompt+"\n")
 	received := strings.Fields(text)
 	for number, token := range received {
 		if !strings.HasPrefix(token, mark+".") || !strings.HasSuffix(token, fmt.Sprintf("-%d", number)) {
-			return fmt.Errorf("token %d of %q is %q, mark %s", number, prompt, token, mark)
+			return fmt.Errorf("token %d of %q is %q, want mark %s", number, prompt, token, mark)
 		}
 	}
 	if complete && len(received) != tokens {
-		return fmt.Errorf("complete answer with %d of %d tokens", len(received), tokens)
+		return fmt.Errorf("complete answer has %d of %d tokens", len(received), tokens)
 	}
 	return nil
 }
 
-// TestUnsafeRunsOnceAtStandIn: whatever breaks on the way, the engine runs an
-// unsafe request once, and never if the caller is told that it did not run.
+// TestUnsafeRunsOnceAtStandIn checks under various faults that the engine runs an
+// unsafe request at most once, and not at all if the caller is told that it was
+// not run.
 func TestUnsafeRunsOnceAtStandIn(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -164,17 +167,17 @@
 				server.Leave()
 			}
 			dispatcher := &fakeDispatcher{targets: []traffic.Target{{Server: "server-1", Address: server.Address()}}, retries: 2}
-			_, url := startGateway(t, Config{Dispatcher: dispatcher, Claims: granted()})
+			_, url := startGateway(t, Config{Dispatcher: dispatcher, Claims: newGrantingClaims()})
 			got := chat(t, url, chatBody("slots", "kiln 4", test.stream), map[string]string{HeaderIdempotencyKey: "booking-1"})
 			ran := server.Executed()["booking-1"]
 			if ran > 1 {
-				t.Errorf("ran %d times", ran)
+				t.Errorf("the engine ran the request %d times", ran)
 			}
 			if got.status == 200 && ran != 1 {
-				t.Errorf("answered, ran %d times", ran)
+				t.Errorf("the request was answered, but ran %d times", ran)
 			}
 			if got.status != 200 && apiErrorOf(t, got).NotRun && ran != 0 {
-				t.Errorf("ran %d times, told not run: %s", ran, got.body)
+				t.Errorf("the request ran %d times, but the caller was told that it was not run: %s", ran, got.body)
 			}
 			t.Logf("status %d, ran %d times", got.status, ran)
 		})
--- a/pkg/gateway/stop_connecting.go
+++ b/pkg/gateway/stop_connecting.go
@@ -9,11 +9,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// stopConnecting lets nobody connect any more and keeps those who have. The
-// kernel resets connections that it has completed and nobody has accepted when
-// a listener closes; so they are accepted here, and listening ends in the next
-// system call. Callers that try later are refused and know that they sent
-// nothing. It returns when Accept has handed on all of them.
+// stopConnecting refuses new connections and keeps established ones. When a
+// listener closes, the kernel resets connections that are established but not yet
+// accepted. So stopConnecting accepts them and stops listening in the next system
+// call. Callers that connect later are refused and know that they sent nothing.
+// It returns when Accept has returned all connections accepted here.
 func (l *limitedListener) stopConnecting() error {
 	listener, isTCP := l.Listener.(*net.TCPListener)
 	if !isTCP {
@@ -24,7 +24,7 @@
 		return errors.Wrap(err, "gateway: stop listening")
 	}
 	l.stopping.Store(true)
-	if err := listener.SetDeadline(time.Unix(1, 0)); err != nil { // ends Accept
+	if err := listener.SetDeadline(time.Unix(1, 0)); err != nil { // interrupts Accept
 		return errors.Wrap(err, "gateway: stop listening")
 	}
 	var accepted []int
@@ -36,17 +36,18 @@
 		err = stopError
 	}
 	for _, descriptor := range accepted {
-		l.handOn(descriptor)
+		l.handOver(descriptor)
 	}
 	return errors.Wrap(err, "gateway: stop listening")
 }
 
-// handshakeTime is longer than a handshake in progress takes to end.
+// handshakeTime is longer than a TCP handshake in progress takes to complete.
 const handshakeTime = 20 * time.Millisecond
 
-// endListening accepts all connections and ends listening. While nobody accepts,
-// a backlog of 0 is full with the first caller that connects, and the kernel
-// ignores further ones; so no handshake is in progress when listening ends.
+// endListening accepts all established connections and stops listening. It first
+// sets the backlog to 0: while nothing is accepted, the first connection fills it
+// and the kernel ignores further ones, so that no handshake is in progress when
+// listening stops.
 func endListening(listening int) ([]int, error) {
 	if err := unix.Listen(listening, 0); err != nil {
 		return nil, err
@@ -56,7 +57,7 @@
 	return accepted, unix.Shutdown(listening, unix.SHUT_RD)
 }
 
-// acceptAll accepts the connections that wait on a listening socket.
+// acceptAll accepts all connections in the queue of a listening socket.
 func acceptAll(listening int) []int {
 	var accepted []int
 	for {
@@ -68,33 +69,34 @@
 	}
 }
 
-// handOn gives an accepted connection to Accept.
-func (l *limitedListener) handOn(descriptor int) {
+// handOver passes an accepted connection to Accept.
+func (l *limitedListener) handOver(descriptor int) {
 	file := os.NewFile(uintptr(descriptor), "caller")
-	connection, err := net.FileConn(file) // has a copy of the descriptor
+	connection, err := net.FileConn(file) // duplicates the descriptor
 	_ = file.Close()
 	if err != nil {
-		return // the caller left already
+		return // the caller has already disconnected
 	}
 	select {
-	case l.waiting <- connection:
+	case l.handedOver <- connection:
 	case <-l.closed:
 		_ = connection.Close()
 	}
 }
 
-// takeWaiting returns what stopConnecting accepted, and blocks until Close.
-func (l *limitedListener) takeWaiting() (net.Conn, error) {
+// nextHandedOver returns the next connection accepted by stopConnecting. It
+// blocks until there is one or until Close.
+func (l *limitedListener) nextHandedOver() (net.Conn, error) {
 	select {
-	case connection := <-l.waiting:
+	case connection := <-l.handedOver:
 		return connection, nil
 	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-// Close closes the listener and ends Accept.
+// Close closes the listener and makes Accept return.
 func (l *limitedListener) Close() error {
-	l.closing.Do(func() { close(l.closed) })
+	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
