--- a/pkg/gateway/stop_connecting_test.go
+++ b/pkg/gateway/stop_connecting_test.go
@@ -10,9 +10,9 @@
 	"github.com/sourcegraph/conc"
 )
 
-// TestStopConnectingKeepsThoseWhoHave: a caller whose connection nobody has
-// accepted yet is served, and the next one is refused.
-func TestStopConnectingKeepsThoseWhoHave(t *testing.T) {
+// TestStopConnectingKeepsEstablished checks that a connection which is
+// established but not yet accepted is kept, and that the next one is refused.
+func TestStopConnectingKeepsEstablished(t *testing.T) {
 	limited := newLimitedListener(listen(t), Config{}.withDefaults())
 	address := limited.Addr().String()
 	caller, err := net.Dial("tcp", address)
@@ -33,7 +33,7 @@
 	}
 	group.Wait()
 	if _, err := net.Dial("tcp", address); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("the next caller gets %v, want a refusal", err)
+		t.Errorf("the next connection failed with %v, want ECONNREFUSED", err)
 	}
 	_ = limited.Close()
 	if _, err := limited.Accept(); !errors.Is(err, net.ErrClosed) {
@@ -44,6 +44,6 @@
 	_, _ = io.WriteString(accepted, answer)
 	_ = accepted.Close()
 	if received, err := io.ReadAll(caller); err != nil || string(received) != answer {
-		t.Errorf("the caller got %q, %v", received, err)
+		t.Errorf("the caller received %q, error %v", received, err)
 	}
 }
--- a/pkg/gateway/stream.go
+++ b/pkg/gateway/stream.go
@@ -13,37 +13,38 @@
 	"martenwheel.dev/pkg/gateway/internal/upstream"
 )
 
-// Faults of an engine's stream.
+// Errors of an engine's stream.
 var (
 	errEngineError   = errors.New("the engine ended the stream with an error")
-	errResumeRefused = errors.New("the engine does not resume the stream")
+	errResumeRefused = errors.New("the engine refused to resume the stream")
 )
 
-// errStreamOver follows the last event of a complete stream.
-var errStreamOver = io.EOF
+// errStreamEnd is returned after the last event of a complete stream.
+var errStreamEnd = io.EOF
 
-// endTimeout bounds the wait for the end of an answer after its last event.
+// endTimeout is the timeout for the end of an answer's body after its last event.
 const endTimeout = time.Second
 
-// usageMark is found in an event that counts tokens.
-var usageMark = []byte(`"usage":{`)
+// usageMarker occurs in events that carry token counts.
+var usageMarker = []byte(`"usage":{`)
 
-// eventStream reads the events of one request's stream, checks that they are
-// this request's, and resumes at the engine when its connection breaks.
+// eventStream reads the events of one request's stream and checks that they
+// belong to this request. When the connection breaks, it resumes the stream; when
+// the engine is leaving, it may move the stream to another replica.
 type eventStream struct {
 	attempt *attempt
 	answer  *upstream.Answer
 	reader  *sse.Reader
-	first   []byte // up to the first event with data, read before the caller gets any byte
-	prefix  []byte // what events of this stream start with, to check them fast
-	events  int    // received, which a resumption goes on from
-	resumes int
-	moves   moves
+	first   []byte // events up to the first with data, read before the caller gets anything
+	prefix  []byte // common start of the stream's events, which allows checking them without JSON decoding
+	events  int    // events with data received so far; a resumption continues after them
+	resumes int    // resume attempts so far
+	moves   moveState
 	usage   usage
-	over    bool // the event that ends the stream came
+	ended   bool // the final event was received
 }
 
-// newEventStream returns the stream in the body of answer.
+// newEventStream returns the stream that is the body of answer.
 func (a *attempt) newEventStream(answer *upstream.Answer) *eventStream {
 	return &eventStream{
 		attempt: a,
@@ -52,24 +53,24 @@
 	}
 }
 
-// readFirst waits for the first event with data until deadline.
+// readFirst reads up to the first event with data, until deadline.
 func (s *eventStream) readFirst(deadline time.Time) error {
-	s.answer.ReadBy(deadline)
-	for s.events == 0 && !s.over {
-		event, err := s.nextUnbroken()
+	s.answer.SetReadDeadline(deadline)
+	for s.events == 0 && !s.ended {
+		event, err := s.nextFromConnection()
 		if err != nil {
 			return err
 		}
 		s.first = append(s.first, event...)
 	}
-	s.answer.ReadBy(time.Time{})
+	s.answer.SetReadDeadline(time.Time{})
 	s.attempt.call.firstEvent = s.attempt.call.gateway.config.Now()
 	return nil
 }
 
-// next returns the next event, valid until the next call. After the last one
-// it returns errStreamOver. Any other error means that the stream is broken
-// for good.
+// next returns the next event, which is valid until the next call. After the
+// last event it returns errStreamEnd. Any other error means that the stream
+// broke and could not be resumed.
 func (s *eventStream) next() ([]byte, error) {
 	if len(s.first) > 0 {
 		event := s.first
@@ -77,13 +78,13 @@
 		return event, nil
 	}
 	for {
-		if s.mustMove() {
+		if s.shouldMove() {
 			if err := s.move(); err != nil {
 				return nil, err
 			}
 		}
-		event, err := s.nextUnbroken()
-		if err == nil || s.over {
+		event, err := s.nextFromConnection()
+		if err == nil || s.ended {
 			return event, err
 		}
 		if resumeErr := s.resume(err); resumeErr != nil {
@@ -92,15 +93,16 @@
 	}
 }
 
-// ready tells whether next returns without waiting for the engine.
+// ready reports whether next returns without waiting for the engine.
 func (s *eventStream) ready() bool {
-	return len(s.first) > 0 || s.over || s.reader.HasEvent() || s.answer.ChunkBuffered()
+	return len(s.first) > 0 || s.ended || s.reader.HasEvent() || s.answer.ChunkBuffered()
 }
 
-// nextUnbroken returns the next event of the current connection.
-func (s *eventStream) nextUnbroken() ([]byte, error) {
-	if s.over {
-		return nil, errStreamOver
+// nextFromConnection returns the next event from the current connection, without
+// resuming or moving the stream.
+func (s *eventStream) nextFromConnection() ([]byte, error) {
+	if s.ended {
+		return nil, errStreamEnd
 	}
 	event, err := s.reader.Next()
 	if err == io.EOF {
@@ -112,17 +114,17 @@
 	return event, s.check(event)
 }
 
-// check checks that event belongs to the stream, and counts it.
+// check verifies that event belongs to the stream and counts it.
 func (s *eventStream) check(event []byte) error {
 	data, hasData := sse.Data(event)
 	if !hasData {
 		return nil
 	}
 	if string(data) == sse.Done {
-		s.over = true
+		s.ended = true
 		return nil
 	}
-	if s.prefix == nil || !bytes.HasPrefix(data, s.prefix) || data[len(data)-1] != '}' || bytes.Contains(data, usageMark) {
+	if s.prefix == nil || !bytes.HasPrefix(data, s.prefix) || data[len(data)-1] != '}' || bytes.Contains(data, usageMarker) {
 		if err := s.checkFields(data); err != nil {
 			return err
 		}
@@ -131,7 +133,7 @@
 	return nil
 }
 
-// checkFields checks an event by its decoded fields.
+// checkFields decodes the data of an event and checks its fields.
 func (s *eventStream) checkFields(data []byte) error {
 	var fields answerFields
 	if json.Unmarshal(data, &fields) != nil {
@@ -141,7 +143,7 @@
 		return errors.Wrap(errEngineError, fields.Error.Message)
 	}
 	if !belongsTo(fields.ID, s.attempt.engineID) {
-		return errCrossedAnswer
+		return errOtherAnswer
 	}
 	if fields.Usage != nil {
 		s.usage = *fields.Usage
@@ -152,8 +154,8 @@
 	return nil
 }
 
-// idPrefix returns a copy of data up to the end of its id, if the id is its
-// first field, else nil.
+// idPrefix returns a copy of data up to the end of its id, or nil if the id is
+// not the first field.
 func idPrefix(data []byte, id string) []byte {
 	before, _, found := bytes.Cut(data, []byte(`"`+id+`"`))
 	if !found || string(bytes.ReplaceAll(before, []byte(" "), nil)) != `{"id":` {
@@ -162,15 +164,15 @@
 	return bytes.Clone(data[:len(before)+len(id)+len(`""`)])
 }
 
-// resume goes on with the stream on a new connection to the same engine. This
-// is no repeat of the request: the engine sends what is left of it, or refuses.
+// resume continues the stream on a new connection to the same engine. The
+// request is not run again: the engine sends the remaining events or refuses.
 func (s *eventStream) resume(cause error) error {
 	s.answer.Close(false)
-	for s.mayBeResumed(cause) && s.attempt.mayResume(s.resumes) {
+	for s.isResumable(cause) && s.attempt.waitToResume(s.resumes) {
 		s.resumes++
 		answer, err := s.attempt.send(s.events, s.attempt.call.gateway.stallDeadline())
 		if err != nil {
-			continue // the engine may be back for the next one
+			continue // the engine may be reachable again at the next attempt
 		}
 		status := answer.Response.StatusCode()
 		if s.attempt.checkHeader(answer) == nil {
@@ -185,21 +187,21 @@
 	return cause
 }
 
-// mayBeResumed tells whether the engine may send more of a stream that broke by
-// cause. A stream that the engine itself ended is over, unless it was stopped for
-// a move.
-func (s *eventStream) mayBeResumed(cause error) bool {
-	return s.moves.inDoubt || !errors.Is(cause, errEngineError)
+// isResumable reports whether a stream that failed with cause may be resumed. If
+// the engine ended it with an error there is nothing left, unless an export with
+// unknown outcome may have stopped it.
+func (s *eventStream) isResumable(cause error) bool {
+	return s.moves.exportUnknown || !errors.Is(cause, errEngineError)
 }
 
-// stallDeadline is the time by which an engine that was asked for the rest of a
-// stream must answer.
+// stallDeadline returns the deadline for an engine's answer to a request to resume
+// a stream.
 func (g *Gateway) stallDeadline() time.Time {
 	return g.config.Now().Add(g.config.Timeouts.EngineStall)
 }
 
-// tokens returns the number of tokens that the engine counted, or that of the
-// events so far.
+// tokens returns the engine's token count, or the number of events if the engine
+// sent none.
 func (s *eventStream) tokens() int {
 	if s.usage.CompletionTokens > 0 {
 		return s.usage.CompletionTokens
@@ -207,10 +209,9 @@
 	return s.events
 }
 
-// close ends the reading. A stream that came to its end gives its connection
-// back.
+// close stops reading. The connection of a complete stream is reused.
 func (s *eventStream) close() {
-	if !s.over {
+	if !s.ended {
 		s.answer.Close(false)
 		return
 	}
@@ -221,10 +222,11 @@
 	s.attempt.call.gateway.background.Go(s.readEnd)
 }
 
-// readEnd reads the end of the answer, which follows the stream's last event.
+// readEnd reads the end of the answer's body after the last event, so that the
+// connection can be reused.
 func (s *eventStream) readEnd() {
 	var rest [1]byte
-	s.answer.ReadBy(time.Now().Add(endTimeout))
+	s.answer.SetReadDeadline(time.Now().Add(endTimeout))
 	_, err := s.answer.Read(rest[:])
 	s.answer.Close(err == io.EOF)
 }
--- a/pkg/gateway/stream_body.go
+++ b/pkg/gateway/stream_body.go
@@ -9,19 +9,19 @@
 	"martenwheel.dev/pkg/traffic"
 )
 
-// coalesceBytes is how much of a stream is passed on in one write, if that
-// much is there, in bytes.
+// coalesceBytes is the size in bytes at which events that are already available
+// are no longer combined into one write.
 const coalesceBytes = 4 << 10
 
-// streamBody is the body of a streamed answer to a caller. The HTTP server
-// reads it and sends each read at once.
+// streamBody is the body of a streamed answer to a caller. The HTTP server sends
+// the result of each Read immediately.
 type streamBody struct {
 	attempt *attempt
-	pending []byte // to be read, within buffer
+	pending []byte // part of buffer that Read has not returned yet
 	buffer  []byte
-	kept    []byte // of an unsafe request, for its repeats
-	over    bool   // nothing follows pending
-	failure error  // that broke the stream
+	kept    []byte // stream of an unsafe request so far, for its repeats
+	ended   bool   // no events follow pending
+	failure error  // error that broke the stream
 	closed  bool
 }
 
@@ -29,10 +29,11 @@
 	return &streamBody{attempt: a, buffer: make([]byte, 0, coalesceBytes)}
 }
 
-// Read waits for the next event and returns it with those that are there too.
+// Read waits for the next event and returns it together with those already
+// available.
 func (b *streamBody) Read(p []byte) (int, error) {
 	if len(b.pending) == 0 {
-		if b.over {
+		if b.ended {
 			return 0, io.EOF
 		}
 		b.collect()
@@ -42,7 +43,8 @@
 	return n, nil
 }
 
-// collect fills pending with the next events.
+// collect waits for the next event and sets pending to it and those already
+// available.
 func (b *streamBody) collect() {
 	stream := b.attempt.stream
 	b.buffer = b.buffer[:0]
@@ -61,18 +63,17 @@
 	b.pending = b.buffer
 }
 
-// end ends the stream for the caller: in silence after its last event, with
-// an error event if it broke.
+// end ends the stream for the caller, with an error event if it broke.
 func (b *streamBody) end(err error) {
-	b.over = true
-	if err == errStreamOver {
+	b.ended = true
+	if err == errStreamEnd {
 		return
 	}
 	b.failure = err
 	b.buffer = append(b.buffer, errorEvent()...)
 }
 
-// errorEvent is what a caller receives in place of the end of a stream.
+// errorEvent returns the event that callers receive at the end of a broken stream.
 func errorEvent() []byte {
 	broken := &APIError{
 		Message: "the stream broke off",
@@ -82,7 +83,8 @@
 	return append(append([]byte("data: "), broken.body()...), "\n\n"...)
 }
 
-// keep remembers the stream of an unsafe request while it fits.
+// keep adds the buffer to the kept stream of an unsafe request, until the size
+// limit is exceeded.
 func (b *streamBody) keep() {
 	if b.attempt.call.claim == nil {
 		return
@@ -93,30 +95,31 @@
 	}
 }
 
-// Close ends the call. It comes when the caller has received all, or has left.
+// Close ends the call. The HTTP server calls it when all is sent or the caller
+// hung up.
 func (b *streamBody) Close() error {
 	if b.closed {
 		return nil
 	}
 	b.closed = true
-	if !b.over && b.attempt.call.request.Unsafe {
-		b.attempt.call.gateway.background.Go(b.finishAlone)
+	if !b.ended && b.attempt.call.request.Unsafe {
+		b.attempt.call.gateway.background.Go(b.finishWithoutCaller)
 		return nil
 	}
 	b.finish()
 	return nil
 }
 
-// finishAlone reads the rest of an unsafe request's stream, whose caller has
-// left, so that its repeat gets the answer.
-func (b *streamBody) finishAlone() {
-	for !b.over {
+// finishWithoutCaller reads the rest of an unsafe request's stream after its
+// caller hung up, so that a repeat gets the answer.
+func (b *streamBody) finishWithoutCaller() {
+	for !b.ended {
 		b.collect()
 	}
 	b.finish()
 }
 
-// finish reports the end of the attempt and of the call.
+// finish ends the attempt and the call and reports their outcome.
 func (b *streamBody) finish() {
 	a := b.attempt
 	a.stream.close()
@@ -128,9 +131,9 @@
 	}
 	var apiError *APIError
 	switch {
-	case !b.over || b.failure != nil && a.call.isForNobody():
+	case !b.ended || b.failure != nil && a.call.isAnswerUnwanted():
 		outcome.Kind = traffic.OutcomeCancelled
-		apiError = callerLeft(false)
+		apiError = callerHungUp(false)
 		a.abandon()
 	case b.failure != nil:
 		outcome.Kind = traffic.OutcomeUnknown
@@ -148,7 +151,7 @@
 	a.call.end(outcome.Kind, apiError)
 }
 
-// finishWhole reports the end of an attempt whose answer was not streamed.
+// finishWhole ends an attempt and call whose answer was not streamed.
 func (a *attempt) finishWhole() {
 	a.done(traffic.Outcome{
 		Kind:         traffic.OutcomeServed,
--- a/pkg/gateway/stream_test.go
+++ b/pkg/gateway/stream_test.go
@@ -14,10 +14,11 @@
 	"martenwheel.dev/pkg/traffic"
 )
 
-// TestAnswerIsTakenUpAgain: when the connection breaks before the caller got
-// any byte, the engine is asked for the answer to the same request, also if
-// that is unsafe to repeat. A refusal of that proves nothing about the request.
-func TestAnswerIsTakenUpAgain(t *testing.T) {
+// TestAnswerIsResumed checks that when the connection breaks before the
+// caller got any byte, the engine is asked to resume the answer, also for a
+// request that is unsafe to repeat. If the engine refuses to resume, it stays
+// unknown whether the request was run.
+func TestAnswerIsResumed(t *testing.T) {
 	for _, stream := range []bool{false, true} {
 		for _, refuse := range []bool{false, true} {
 			engineServer := startEngine(t, 5)
@@ -27,7 +28,7 @@
 				}
 				return refuse && answerError(404, engine.HeaderNotRun)(w, r, body)
 			}
-			claims := granted()
+			claims := newGrantingClaims()
 			_, url := startGateway(t, Config{Dispatcher: engineServer.dispatcher(), Claims: claims})
 			got := chat(t, url, chatBody("slots", "ash", stream), map[string]string{HeaderIdempotencyKey: "k"})
 			if engineServer.requests() != 1 || engineServer.resumed != 1 {
@@ -47,8 +48,8 @@
 	}
 }
 
-// TestStreamFaults: a stream that breaks is resumed, or ends with an error and
-// no end mark; never with another request's events.
+// TestStreamFaults checks that a stream that breaks is resumed, or ends with an
+// error event and without [DONE], and never contains events of another request.
 func TestStreamFaults(t *testing.T) {
 	const tokens = 20
 	events := func(w http.ResponseWriter, id, mark string, from, to int) {
@@ -64,7 +65,7 @@
 	cases := []struct {
 		name    string
 		fault   func(w http.ResponseWriter, id string, from int)
-		resumes int // at the engine; negative: the stream ends with an error
+		resumes int // resume requests at the engine; negative: the stream ends with an error
 	}{
 		{"cut once", func(w http.ResponseWriter, id string, from int) {
 			if from == 0 {
@@ -163,7 +164,8 @@
 	}
 }
 
-// TestStalledStreamIsResumed: an engine that stops sending is asked again.
+// TestStalledStreamIsResumed checks that a stream is resumed when the engine
+// stops sending.
 func TestStalledStreamIsResumed(t *testing.T) {
 	engineServer := startEngine(t, 10)
 	var stalled atomic.Bool
--- a/pkg/gateway/support_test.go
+++ b/pkg/gateway/support_test.go
@@ -35,7 +35,8 @@
 func (f fakeCatalog) Models() []tree.Model    { return f }
 func (f fakeCatalog) Revision() tree.Revision { return 7 }
 
-// testCatalog has a model, an adapter and a model that is unsafe to repeat.
+// testCatalog has a model, an adapter and a model whose requests are unsafe to
+// repeat.
 var testCatalog = fakeCatalog{
 	{Name: "glaze-7b", Service: "assistant"},
 	{Name: "glaze-7b:studio-3", Base: "glaze-7b", Service: "assistant"},
@@ -51,14 +52,15 @@
 	return listener
 }
 
-// startGateway serves a gateway with config's gaps filled and returns its URL.
+// startGateway starts a gateway with config, completed by test defaults, and
+// returns its URL.
 func startGateway(t testing.TB, config Config) (*Gateway, string) {
 	t.Helper()
 	if config.Catalog == nil {
 		config.Catalog = func() Catalog { return testCatalog }
 	}
 	config.Timeouts.ResumePause = time.Millisecond
-	config.Timeouts.TurnAway = cmp.Or(config.Timeouts.TurnAway, time.Millisecond)
+	config.Timeouts.RefuseNew = cmp.Or(config.Timeouts.RefuseNew, time.Millisecond)
 	config.Node = "node-1"
 	config.Region = "uy-south"
 	g, err := New(config)
@@ -83,7 +85,7 @@
 	return g, "http://" + listener.Addr().String()
 }
 
-// newClient returns a client with its own connections.
+// newClient returns a client with its own connection pool.
 func newClient(t testing.TB) *http.Client {
 	transport := &http.Transport{MaxIdleConnsPerHost: 1024}
 	t.Cleanup(transport.CloseIdleConnections)
@@ -94,19 +96,19 @@
 	return fmt.Sprintf(`{"model":%q,"stream":%t,"messages":[{"role":"user","content":%q}]}`, model, stream, mark)
 }
 
-// boundedBody is chatBody with a bound on the tokens.
+// boundedBody is chatBody with max_tokens.
 func boundedBody(model, prompt string, stream bool, tokens int) string {
 	return strings.Replace(chatBody(model, prompt, stream), "{", fmt.Sprintf(`{"max_tokens":%d,`, tokens), 1)
 }
 
-// reply is an answer as a caller sees it.
+// reply is an answer as the caller receives it.
 type reply struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// post sends body to the path and returns the whole answer.
+// post sends body to url and returns the whole answer.
 func post(t testing.TB, client *http.Client, url, body string, header map[string]string) reply {
 	t.Helper()
 	got, err := tryPost(client, url, body, header)
@@ -116,7 +118,7 @@
 	return got
 }
 
-// chat sends a chat completion on a connection of its own.
+// chat sends a chat completion on a new connection.
 func chat(t testing.TB, url, body string, header map[string]string) reply {
 	t.Helper()
 	return post(t, newClient(t), url+"/v1/chat/completions", body, header)
@@ -150,7 +152,7 @@
 	return envelope.Error
 }
 
-// streamResult is a stream as a caller sees it.
+// streamResult is a stream as the caller receives it.
 type streamResult struct {
 	tokens []string
 	done   bool
@@ -188,7 +190,8 @@
 	return result, scanner.Err()
 }
 
-// checkTokens checks that the stream is whole and holds just mark's tokens.
+// checkTokens checks that the stream is complete and consists of count tokens
+// with the given mark.
 func checkTokens(result streamResult, mark string, count int) error {
 	if !result.done || result.broken != nil {
 		return fmt.Errorf("stream of %s: done %t, error %v", mark, result.done, result.broken)
@@ -204,7 +207,8 @@
 	return nil
 }
 
-// checkStream checks that body is a whole stream of just mark's tokens.
+// checkStream checks that body is a complete stream of count tokens with the
+// given mark.
 func checkStream(t testing.TB, body []byte, mark string, count int) {
 	t.Helper()
 	result, err := readStream(body)
