--- a/pkg/policy/adaptive_test.go
+++ b/pkg/policy/adaptive_test.go
@@ -15,7 +15,7 @@
 	"martenwheel.dev/pkg/engine"
 )
 
-// wantedEvery fills a history with arrivals of a period up to age ago.
+// wantedEvery returns a change that records periodic arrivals, the last one age ago.
 func wantedEvery(period, age time.Duration) func(*Model) {
 	return func(m *Model) {
 		m.Base = ""
@@ -25,7 +25,7 @@
 	}
 }
 
-// with applies several changes to a test model.
+// with returns a change that applies several changes to a test model.
 func with(changes ...func(*Model)) func(*Model) {
 	return func(m *Model) {
 		for _, change := range changes {
@@ -147,7 +147,7 @@
 		size = max(size, buffer.Len())
 	}
 	if size > 1200 {
-		t.Errorf("encoded in %d bytes", size)
+		t.Errorf("encoded in %d bytes, want at most 1200", size)
 	}
 	if most := 1/(1-gapDecay) + 1; history.Weight() > most {
 		t.Errorf("weight %v, want at most %v", history.Weight(), most)
@@ -160,7 +160,7 @@
 		history.Observe(testNow.Add(time.Duration(seconds) * time.Second))
 	}
 	if history.Weight() != 1 || history.Gaps[bucketOf(57*time.Second)] != 1 {
-		t.Errorf("gaps of weight %v, want the one of 57 s", history.Weight())
+		t.Errorf("got gaps of total weight %v, want only the gap of 57 s", history.Weight())
 	}
 }
 
@@ -204,7 +204,7 @@
 	properties.TestingRun(t)
 }
 
-// BenchmarkDecide decides for a cell of the size of the drafting desk.
+// BenchmarkDecide measures a decision for a cell with 12 servers and 95 models.
 func BenchmarkDecide(b *testing.B) {
 	random := rand.New(rand.NewPCG(1, 1))
 	input := Input{LoadSlots: 8, LoadRate: 2}
--- a/pkg/policy/baselines.go
+++ b/pkg/policy/baselines.go
@@ -23,20 +23,20 @@
 
 func (unloadAtOnce) unload(*plan, *Model, *Replica, time.Time) bool { return true }
 
-// leastRecentlyUsed loads nothing ahead, and values a replica by how lately it
-// was used.
+// leastRecentlyUsed never prewarms and values a replica by its last use; the least
+// recently used one has the lowest value.
 type leastRecentlyUsed struct{}
 
-func (leastRecentlyUsed) prewarm(*plan, *Model) (prewarmWish, bool) { return prewarmWish{}, false }
+func (leastRecentlyUsed) prewarm(*plan, *Model) (prewarmLoad, bool) { return prewarmLoad{}, false }
 
-// worth implements retention, in accelerator seconds.
-func (leastRecentlyUsed) worth(model *Model) float64 { return coldStartWorth(model) }
+// waitCost implements retention, in accelerator seconds.
+func (leastRecentlyUsed) waitCost(model *Model) float64 { return coldStartCost(model) }
 
-// value is the negative age; with the offset it is above zero, so that an
-// eviction always costs something.
+// value implements retention. It decreases with the time since the last use and is
+// above zero, so that an eviction always has a cost.
 func (leastRecentlyUsed) value(p *plan, _ *Model, _ *Replica, lastUse time.Time) float64 {
-	return valueOfFresh - p.now.Sub(lastUse).Seconds()
+	return justUsedValue - p.now.Sub(lastUse).Seconds()
 }
 
-// valueOfFresh is the value of a replica that is in use right now.
-const valueOfFresh = 1e9
+// justUsedValue is the value of a replica that was used just now.
+const justUsedValue = 1e9
--- a/pkg/policy/bench_test.go
+++ b/pkg/policy/bench_test.go
@@ -8,8 +8,9 @@
 	"martenwheel.dev/pkg/engine"
 )
 
-// benchInput is a site with three models a server, of which a tenth is in use, copies
-// of each on three servers' disks, and models that wait.
+// benchInput returns a site with three replicas per server, a tenth of them in use. The
+// checkpoint of each model is on the disks of three servers, and wait models wait for a
+// replica.
 func benchInput(servers, models, wait int) Input {
 	input := Input{LoadSlots: 4, LoadRate: 15}
 	for i := range servers {
@@ -40,7 +41,7 @@
 	return input
 }
 
-// BenchmarkPlanOfASite measures one plan of a site's holder.
+// BenchmarkPlanOfASite measures one plan for a whole site, as the coordinator makes it.
 func BenchmarkPlanOfASite(b *testing.B) {
 	for _, size := range []struct{ servers, models, wait int }{{9, 50, 0}, {9, 50, 8}, {90, 481, 0}, {90, 481, 60}} {
 		b.Run(fmt.Sprintf("%d servers, %d models, %d wait", size.servers, size.models, size.wait), func(b *testing.B) {
--- a/pkg/policy/caching.go
+++ b/pkg/policy/caching.go
@@ -6,50 +6,51 @@
 	"martenwheel.dev/pkg/api"
 )
 
-// Assumptions about loads that only bring a checkpoint near.
+// Assumptions about loads that only cache a checkpoint.
 const (
-	// wantedAgain is the probability that a cached checkpoint is used before
-	// it is dropped from the cache.
-	wantedAgain = 0.5
-	// cachingOverhead is how long a model is held besides its load, in seconds.
+	// reuseProbability is the probability that a cached checkpoint is used before
+	// it is evicted from the cache.
+	reuseProbability = 0.5
+	// cachingOverhead is how long a model is held in addition to its load time, in
+	// seconds.
 	cachingOverhead = 5.0
 )
 
-// worthCaching tells whether a model is to be loaded once while the weight
-// store is idle, so that its next load is faster: one that no server caches, or
-// one that only disks cache while the memory of a server has room for it. A
-// server's room is not known, but it can cache as much as the fullest one does.
-// One such load runs at a time.
+// worthCaching reports whether a model is to be loaded once while the weight
+// store is idle, so that its next load is faster. This applies to a model that no
+// server caches, and to one that is cached only on disks while the memory of a server
+// has space for it. The size of a server's memory cache is not known; it is assumed
+// to hold as much as the fullest one does. One such load runs at a time.
 func (p *plan) worthCaching(model *Model) bool {
 	if model.Base != "" || p.prewarming() {
 		return false
 	}
-	from := p.nearest(model)
+	from := p.fastestTier(model)
 	if from == tierMemory {
 		return false
 	}
-	least, most := p.crowds(model)
+	least, most := p.cachedBytesRange(model)
 	if from == tierDisk && least+model.Settings.MemoryBytes > most {
 		return false
 	}
 	load := model.Settings.LoadTime.Seconds()
 	sooner := model.loadTime(from) - model.loadTime(tierMemory)
-	saved := sooner.Seconds() * wantedAgain * coldStartWorth(model)
+	saved := sooner.Seconds() * reuseProbability * coldStartCost(model)
 	return saved > (load+cachingOverhead)*accelerators(model)
 }
 
-// nearest returns the fastest tier that caches the checkpoint.
-func (p *plan) nearest(model *Model) checkpointTier {
-	nearest := tierRemote
+// fastestTier returns the fastest tier that caches the checkpoint.
+func (p *plan) fastestTier(model *Model) checkpointTier {
+	fastest := tierRemote
 	for i := range p.servers {
-		nearest = max(nearest, p.tierOn(model, &p.servers[i]))
+		fastest = max(fastest, p.tierOn(model, &p.servers[i]))
 	}
-	return nearest
+	return fastest
 }
 
-// crowds returns how much the memory caches of the least crowded server that
-// can take the model now, and of the most crowded one.
-func (p *plan) crowds(model *Model) (least, most uint64) {
+// cachedBytesRange returns the least number of bytes cached in the memory of a server that
+// can take the model now, and the largest number cached in the memory of any server.
+func (p *plan) cachedBytesRange(model *Model) (least, most uint64) {
 	least = math.MaxUint64 / 2
 	for i := range p.servers {
 		server := &p.servers[i]
@@ -62,7 +63,7 @@
 	return least, most
 }
 
-// prewarming tells whether a load that no request waits for is under way.
+// prewarming reports whether a load for which no request waits is under way or planned.
 func (p *plan) prewarming() bool {
 	for _, i := range p.loaded {
 		for _, replica := range p.input.Models[i].Replicas {
--- a/pkg/policy/decide.go
+++ b/pkg/policy/decide.go
@@ -13,13 +13,13 @@
 const (
 	NameAdaptive           = "adaptive" // the default
 	NameFixedKeepAlive     = "fixed-keepalive"
-	NameFixedKeepAliveNear = "fixed-keepalive-near" // with adaptive's placement
+	NameFixedKeepAliveNear = "fixed-keepalive-near" // fixed-keepalive with the placement of adaptive
 	NameNeverUnload        = "never-unload"
 	NameUnloadAtOnce       = "unload-at-once"
-	NameDemandFirst        = "demand-first" // for sites on which idle memory is free
+	NameDemandFirst        = "demand-first" // for sites on which idle memory costs nothing
 )
 
-// deciders are all deciders, the default first.
+// deciders holds all deciders, the default first.
 var deciders = []decider{
 	{name: NameAdaptive, retention: adaptive{}, placer: lowestCost{}, order: compareUrgency},
 	{name: NameFixedKeepAlive, retention: fixedKeepAlive{}, placer: tierFirst{}, order: compareUrgency},
@@ -38,7 +38,7 @@
 	return names
 }
 
-// ByName returns the decider with the name, false if there is none.
+// ByName returns the decider with the name; false if there is none.
 func ByName(name string) (Decider, bool) {
 	for i := range deciders {
 		if deciders[i].name == name {
@@ -48,36 +48,38 @@
 	return nil, false
 }
 
-// retention is what deciders differ in: which models stay loaded while idle.
+// retention decides which models stay loaded while idle and which are loaded in
+// advance.
 type retention interface {
-	// unload tells whether a replica that was last used at lastUse is not
-	// worth its memory any more.
+	// unload reports whether a replica that was last used at lastUse is no longer
+	// worth its memory.
 	unload(p *plan, model *Model, replica *Replica, lastUse time.Time) bool
-	// prewarm tells whether and why a model that is not loaded is to be loaded
+	// prewarm reports whether and why a model that is not loaded should be loaded
 	// before a request comes.
-	prewarm(p *plan, model *Model) (prewarmWish, bool)
-	// value ranks idle replicas when memory is short: the lowest goes first.
+	prewarm(p *plan, model *Model) (prewarmLoad, bool)
+	// value ranks idle replicas when memory is short: the lowest is evicted first.
 	value(p *plan, model *Model, replica *Replica, lastUse time.Time) float64
-	// worth is what a second until the model is ready costs, in the unit of value.
-	worth(model *Model) float64
+	// waitCost returns the cost of each second until the model is ready, in the unit of
+	// value.
+	waitCost(model *Model) float64
 }
 
-// prewarmWish is the wish to load a model before a request comes.
-type prewarmWish struct {
+// prewarmLoad proposes to load a model before a request comes.
+type prewarmLoad struct {
 	reason string
 	placer placer
 }
 
-// decider is a Decider with a shared load order.
+// decider is a Decider composed of a retention, a placer and a load order.
 type decider struct {
 	name      string
 	retention retention
 	placer    placer
 	order     loadOrder
-	// scarce tells that places for models are scarce and loads long, so that each has to
-	// be worth it: room that is made is kept for its model, nothing makes way for what is
-	// worth less, and models wait for servers with their copy of which all replicas are
-	// in use.
+	// scarce is set if memory is scarce and loads are long. Memory that was freed for a
+	// model is then reserved for it, no replica is evicted for one that is worth less, and
+	// a model waits for a server with a copy of its checkpoint even if all replicas there
+	// are in use.
 	scarce bool
 }
 
@@ -98,20 +100,20 @@
 	return p.actions
 }
 
-// wantedLoad is a load that demand or the settings ask for.
+// wantedLoad is a load of one replica that the demand or the settings ask for.
 type wantedLoad struct {
 	model      *Model
-	extraBytes uint64 // for the adapter that the base is loaded for
-	waiting    int
-	overloaded bool // more requests run than the present replicas have room for
+	extraBytes uint64 // memory for the adapter because of which the base is loaded
+	waiting    int    // requests that wait for it
+	overloaded bool   // whether more requests run than the present replicas can serve at once
 	priority   int
 	deadline   time.Time // zero if no request waits
-	late       bool      // cannot be ready by the deadline
-	gainRate   float64   // what it is worth for each second of the load
+	late       bool      // whether it cannot be ready by the deadline
+	gainRate   float64   // gain per second of the load
 	reason     string
 }
 
-// wanted returns the loads that are missing, in the order given.
+// wanted returns the missing loads, sorted by order.
 func (p *plan) wanted(order loadOrder) []wantedLoad {
 	var loads []wantedLoad
 	for i := range p.input.Models {
@@ -137,7 +139,7 @@
 	return loads
 }
 
-// wantedLoad describes the load of one replica of model.
+// wantedLoad returns the load of one replica of the model.
 func (p *plan) wantedLoad(model *Model) wantedLoad {
 	demand := &model.Demand
 	load := wantedLoad{
@@ -155,7 +157,7 @@
 	return load
 }
 
-// baseLoad describes the load of a base that adapter waits for.
+// baseLoad returns the load of a base for which an adapter waits.
 func (p *plan) baseLoad(base, adapter *Model) wantedLoad {
 	load := p.wantedLoad(adapter)
 	load.model = base
@@ -164,8 +166,8 @@
 	return load
 }
 
-// compareUrgency orders loads: those that requests wait for and that can be
-// in time come first, then by priority and deadline.
+// compareUrgency orders loads by urgency class, priority, deadline and the number of
+// waiting requests.
 func compareUrgency(a, b wantedLoad) int {
 	return cmp.Or(
 		cmp.Compare(urgencyClass(a), urgencyClass(b)),
@@ -175,8 +177,8 @@
 	)
 }
 
-// urgencyClass returns 0 for loads in time, 1 for late ones and 2 for those
-// that no request waits for.
+// urgencyClass returns 0 for loads that will be ready by the deadline, 1 for late
+// ones and 2 for those for which no request waits.
 func urgencyClass(load wantedLoad) int {
 	switch {
 	case load.waiting == 0:
@@ -188,11 +190,11 @@
 	}
 }
 
-// fastestLoad returns the expected load time on the best server.
+// fastestLoad returns the shortest expected load time on any eligible server.
 func (p *plan) fastestLoad(model *Model) time.Duration {
 	best := tierRemote
 	for i := range p.servers {
-		p.looks++
+		p.examined++
 		if p.eligible(model, &p.servers[i]) {
 			best = max(best, p.tierOn(model, &p.servers[i]))
 		}
@@ -200,32 +202,33 @@
 	return model.loadTime(best)
 }
 
-// maxReplicas returns the bound on a model's replicas.
+// maxReplicas returns the maximum number of a model's replicas.
 func maxReplicas(model *Model) int {
 	return max(model.Settings.MaxReplicas, 0)
 }
 
-// neededReplicas returns how many replicas the demand and the settings ask for, spare
-// ones aside.
+// neededReplicas returns how many replicas the demand and the settings ask for, not
+// counting spares.
 func neededReplicas(model *Model) int {
 	concurrency := max(model.Settings.MaxConcurrency, 1)
 	requests := model.Demand.Waiting + model.Demand.InFlight
 	return max(model.Settings.MinReplicas, (requests+concurrency-1)/concurrency)
 }
 
-// overloaded tells whether more requests run at so many replicas than they have room for:
-// those that are too many wait at the servers.
+// overloaded reports whether more requests are in flight than the present replicas can
+// serve at once, so that some wait at the servers.
 func overloaded(model *Model, present int) bool {
 	return model.Demand.InFlight > present*max(model.Settings.MaxConcurrency, 1)
 }
 
-// wantedReplicas returns how many replicas the demand and the settings ask for.
+// wantedReplicas returns how many replicas the demand and the settings ask for,
+// including spares.
 func wantedReplicas(model *Model) int {
 	return min(max(neededReplicas(model), model.Spares), maxReplicas(model))
 }
 
-// hasUsableBase tells whether the adapter's base is present, ready or not, on
-// a server without the adapter.
+// hasUsableBase reports whether the adapter's base is ready or loading on a server
+// without the adapter, or is to be loaded by the plan.
 func (p *plan) hasUsableBase(adapter *Model) bool {
 	base := p.base(adapter)
 	if base == nil {
@@ -248,7 +251,7 @@
 	return false
 }
 
-// loadWanted starts a wanted load, or makes room for it.
+// loadWanted plans a wanted load, or the unloads that free the memory for it.
 func (d decider) loadWanted(p *plan, want wantedLoad) {
 	model := want.model
 	if p.present[p.indexOf(model.Name)] >= maxReplicas(model) {
@@ -258,32 +261,32 @@
 	switch {
 	case placed.server == nil:
 	case placed.waits:
-		p.makeRoom(placed, model, ReplicaBytes(model)+want.extraBytes)
+		p.evictFor(placed, model, ReplicaBytes(model)+want.extraBytes)
 	default:
 		p.load(model, placed.server, want.waiting > 0 || want.overloaded, want.reason)
 	}
 }
 
-// unloadIdle unloads the replicas whose keep-alive has passed.
+// unloadIdle unloads the idle replicas that the retention does not keep.
 func (d decider) unloadIdle(p *plan) {
 	for _, i := range p.loaded {
 		model := &p.input.Models[i]
 		for j := range model.Replicas {
 			replica := &model.Replicas[j]
-			p.looks++
+			p.examined++
 			if !p.mayUnload(model, replica) {
 				continue
 			}
 			lastUse := p.lastUse(model, replica)
 			if d.retention.unload(p, model, replica, lastUse) {
-				p.drop(model, replica, fmt.Sprintf("idle %s", p.now.Sub(lastUse).Round(time.Second)), "")
+				p.unloadReplica(model, replica, fmt.Sprintf("idle %s", p.now.Sub(lastUse).Round(time.Second)), "")
 			}
 		}
 	}
 }
 
-// prewarmIdle loads models ahead of their requests, if nothing has to go and
-// no load that a request waits for would be later by it.
+// prewarmIdle loads models before requests for them come, if no replica has to be
+// evicted for it and no request waits for a load, which this could delay.
 func (d decider) prewarmIdle(p *plan) {
 	if p.urgentLoads() {
 		return
@@ -293,17 +296,17 @@
 		if p.present[i] > 0 || maxReplicas(model) == 0 || !model.Settings.Prewarm {
 			continue
 		}
-		wish, wished := d.retention.prewarm(p, model)
-		if !wished {
+		prewarm, ok := d.retention.prewarm(p, model)
+		if !ok {
 			continue
 		}
-		if placed := d.place(p, model, 0, wish.placer); placed.server != nil && !placed.waits {
-			p.load(model, placed.server, false, wish.reason)
+		if placed := d.place(p, model, 0, prewarm.placer); placed.server != nil && !placed.waits {
+			p.load(model, placed.server, false, prewarm.reason)
 		}
 	}
 }
 
-// urgentLoads tells whether a request waits for a load.
+// urgentLoads reports whether any request waits.
 func (p *plan) urgentLoads() bool {
 	for i := range p.input.Models {
 		if p.input.Models[i].Demand.Waiting > 0 {
--- a/pkg/policy/decide_test.go
+++ b/pkg/policy/decide_test.go
@@ -41,7 +41,8 @@
 	}
 }
 
-// busyWithCopy is a server that loads something else and has copies near it.
+// busyWithCopy returns a server that is busy with another load and caches checkpoints of the
+// models a and b.
 func busyWithCopy(name string, busyFor time.Duration) Server {
 	server := testServer(name, 80)
 	server.Reachable = false
@@ -106,7 +107,7 @@
 			input: Input{
 				Models: []Model{testModel("a", func(m *Model) {
 					m.Demand = waiting(1, time.Minute)
-					m.Demand.WaitingSince = testNow.Add(-2 * longestDefer)
+					m.Demand.WaitingSince = testNow.Add(-2 * maxDefer)
 				})},
 				Servers: []Server{testServer("s1", 80), busyWithCopy("s2", 3*time.Second)},
 			},
@@ -297,8 +298,7 @@
 	return text
 }
 
-// propertySeed makes the property tests the same on each run; gopter prints it
-// with a failure.
+// propertySeed makes the property tests reproducible; gopter prints it with a failure.
 const propertySeed = 20260101
 
 func TestDecideProperties(t *testing.T) {
@@ -315,7 +315,7 @@
 	properties.TestingRun(t)
 }
 
-// randomInput makes a cell with three servers, bases and adapters.
+// randomInput returns a cell with three servers, bases and adapters.
 func randomInput(random *rand.Rand) Input {
 	input := Input{LoadSlots: random.IntN(4), LoadRate: random.Float64() * 4}
 	for i := range 3 {
@@ -371,7 +371,7 @@
 	})
 }
 
-// checkActions returns what is wrong with the actions, empty if nothing.
+// checkActions returns the first rule that the actions violate; empty if there is none.
 func checkActions(input Input, actions []Action) string {
 	models := map[api.ModelName]*Model{}
 	for i := range input.Models {
@@ -389,7 +389,7 @@
 	for _, action := range actions {
 		model, server := models[action.Model], servers[action.Server]
 		if model == nil || server == nil {
-			return "an action names no model or server of the cell"
+			return "an action names an unknown model or server"
 		}
 		key := replicaKey{action.Model, action.Server}
 		if seen[key] {
@@ -401,19 +401,19 @@
 		case ActionUnload:
 			unloads[action.Model]++
 			if replica == nil || replica.State != api.ReplicaReady || replica.InFlight > 0 {
-				return "unloads a replica that is absent or in use"
+				return "an unload of a replica that is not ready or is in use"
 			}
 		case ActionLoad:
 			loads[action.Model]++
 			bytes[action.Server] += ReplicaBytes(model)
 			if replica != nil || server.Leaving || !server.Reachable {
-				return "loads where it must not"
+				return "a load on a server that holds the model, leaves or is unreachable"
 			}
 			if server.Cached[CheckpointName(model)] == "" {
 				remote++
 			}
 			if model.Base != "" && (findReplica(models[model.Base], action.Server) == nil || findReplica(models[model.Base], action.Server).State != api.ReplicaReady) {
-				return "loads an adapter before its base"
+				return "a load of an adapter on a server where its base is not ready"
 			}
 		}
 	}
@@ -423,16 +423,16 @@
 		}
 		for name, model := range models {
 			if model.Base == action.Model && (findReplica(model, action.Server) != nil || seen[replicaKey{name, action.Server}]) {
-				return "unloads the base of an adapter"
+				return "an unload of a base whose adapter holds memory on the server"
 			}
 		}
 	}
 	if remote > input.LoadSlots {
-		return "more loads than slots"
+		return "more loads from the weight store than slots"
 	}
 	for id, size := range bytes {
 		if size > servers[id].FreeBytes {
-			return "overcommits memory"
+			return "loads of more bytes than a server has free"
 		}
 	}
 	for name, model := range models {
--- a/pkg/policy/demand.go
+++ b/pkg/policy/demand.go
@@ -5,47 +5,47 @@
 	"time"
 )
 
-// demandFirst holds whatever fits and lets go what is cheapest to miss: replicas
-// beyond the demand, then models by the chance of a request and the time to load
-// them again on the same server. It suits sites on which idle memory costs
-// nothing.
+// demandFirst keeps replicas loaded as long as they fit and evicts the cheapest ones
+// first: replicas beyond the demand, then models by the probability of a request and
+// the time to reload them on the same server. It suits sites on which idle memory
+// costs nothing.
 type demandFirst struct{}
 
-// demandHorizon is the time ahead for which a replica's use is estimated, and
-// priorRate the arrivals a second of a model that nothing is known of.
+// Parameters of the value of a replica.
 const (
-	demandHorizon = 10 * time.Second
-	priorRate     = 0.03
-	surplusValue  = 0.05 // of a replica beyond the demand, of what it is worth else
-	spareValue    = 0.2  // of one that the demand does not need but that is kept for the loss of a server
+	demandHorizon = 10 * time.Second // for which the use of a replica is estimated
+	priorRate     = 0.03             // assumed arrivals per second of a model without known arrivals
+	surplusFactor = 0.05             // factor for the value of a replica beyond the demand and the spares
+	spareFactor   = 0.2              // factor for the value of a spare, kept for the loss of a server
 )
 
 func (demandFirst) unload(*plan, *Model, *Replica, time.Time) bool { return false }
 
-func (demandFirst) prewarm(*plan, *Model) (prewarmWish, bool) { return prewarmWish{}, false }
+func (demandFirst) prewarm(*plan, *Model) (prewarmLoad, bool) { return prewarmLoad{}, false }
 
-// value implements retention: the weighted requests that would wait for the model to be
-// loaded again, times the seconds that they would wait.
+// value implements retention. It is the number of weighted requests that would wait
+// for the model to be reloaded, times the seconds that they would wait.
 func (demandFirst) value(p *plan, model *Model, replica *Replica, _ time.Time) float64 {
 	demand := &model.Demand
 	chance := 1 - math.Exp(-(demand.Rate+priorRate)*demandHorizon.Seconds())
 	reload := p.reload(model, replica.Server).Seconds() + loadOverhead
 	value := reload * (chance*meanWeight(demand) + demand.WeightedRate*reload)
-	if p.staying(model) > max(wantedReplicas(model), 1) {
-		return value * surplusValue
+	if p.remainingReplicas(model) > max(wantedReplicas(model), 1) {
+		return value * surplusFactor
 	}
-	if p.staying(model) > max(neededReplicas(model), 1) {
-		return value * spareValue
+	if p.remainingReplicas(model) > max(neededReplicas(model), 1) {
+		return value * spareFactor
 	}
 	return value
 }
 
-// worth implements retention: the weighted requests that a second of waiting hits.
-func (demandFirst) worth(model *Model) float64 {
+// waitCost implements retention. It is the number of weighted requests that a second of
+// waiting affects.
+func (demandFirst) waitCost(model *Model) float64 {
 	return model.Demand.WaitingWeight + model.Demand.WeightedRate + priorWeightedRate
 }
 
-// meanWeight is what a request for a model counts for.
+// meanWeight returns the mean weight of a request for a model.
 func meanWeight(demand *Demand) float64 {
 	return (demand.WeightedRate + priorWeightedRate) / (demand.Rate + priorRate)
 }
--- a/pkg/policy/evict.go
+++ b/pkg/policy/evict.go
@@ -8,7 +8,7 @@
 	"martenwheel.dev/pkg/api"
 )
 
-// mayUnload tells whether a replica is idle and neither needed by the settings
+// mayUnload reports whether a replica is idle and needed neither by the settings
 // nor by adapters on it.
 func (p *plan) mayUnload(model *Model, replica *Replica) bool {
 	if replica.State != api.ReplicaReady || replica.InFlight > 0 {
@@ -20,17 +20,17 @@
 	if model.Demand.Waiting > 0 || model.Demand.InFlight > 0 && len(model.Replicas) == 1 {
 		return false
 	}
-	if p.staying(model) <= model.Settings.MinReplicas {
+	if p.remainingReplicas(model) <= model.Settings.MinReplicas {
 		return false
 	}
 	return model.Base != "" || !p.carriesAdapter(model, replica.Server)
 }
 
-// staying returns the ready replicas of the model that no action unloads.
-func (p *plan) staying(model *Model) int { return p.stay[p.indexOf(model.Name)] }
+// remainingReplicas returns the number of ready replicas of the model that no action unloads.
+func (p *plan) remainingReplicas(model *Model) int { return p.remaining[p.indexOf(model.Name)] }
 
-// carriesAdapter tells whether an adapter of base holds memory on the server
-// or waits for the base.
+// carriesAdapter reports whether an adapter of base holds memory on the server
+// or has waiting requests.
 func (p *plan) carriesAdapter(base *Model, server api.ServerID) bool {
 	for adapter := range p.adapters(base) {
 		if adapter.Demand.Waiting > 0 || p.holds(adapter, server) {
@@ -40,8 +40,8 @@
 	return false
 }
 
-// lastUse returns when the replica was last needed: by a request, or by having
-// become ready.
+// lastUse returns when the replica last served a request or entered its state. For a
+// base it includes the requests for its adapters.
 func (p *plan) lastUse(model *Model, replica *Replica) time.Time {
 	last := latest(replica.LastUse, replica.Since)
 	if model.Base != "" {
@@ -61,17 +61,17 @@
 	return b
 }
 
-// victim is an idle replica that may go when memory is short.
+// victim is an idle replica that may be evicted when memory is short.
 type victim struct {
 	model   *Model
 	replica *Replica
 	value   float64
 }
 
-// makeRoom unloads the victims of a placement and keeps the memory for it.
-func (p *plan) makeRoom(placed placement, model *Model, need uint64) {
+// evictFor unloads the victims of a placement and reserves the memory for the model.
+func (p *plan) evictFor(placed placement, model *Model, need uint64) {
 	for _, v := range placed.victims {
-		p.drop(v.model, v.replica, "room for "+string(model.Name), model.Name)
+		p.unloadReplica(v.model, v.replica, "room for "+string(model.Name), model.Name)
 	}
 	if p.scarce {
 		p.reserve(model, placed.server, need)
@@ -80,16 +80,16 @@
 	p.claim(placed.server, need)
 }
 
-// claim takes memory that is free or will be, so that no other load of this
-// decision counts on it.
+// claim takes memory that is free or is being freed, so that no other load of this
+// decision uses it.
 func (p *plan) claim(server *serverPlan, bytes uint64) {
 	fromFree := min(server.free, bytes)
 	server.free -= fromFree
 	server.freeSoon -= min(server.freeSoon, bytes-fromFree)
 }
 
-// victims returns the cheapest idle replicas of the server that free missing
-// bytes, and their value; nil if there are not enough.
+// victims returns the idle replicas of the server with the lowest values that
+// together free the missing bytes, and their total value; nil if there are not enough.
 func (d decider) victims(p *plan, server *serverPlan, incoming *Model, missing uint64) ([]victim, float64) {
 	var candidates []victim
 	for _, held := range server.held {
--- a/pkg/policy/forecast.go
+++ b/pkg/policy/forecast.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// horizons are the times ahead for which a forecast is made; they grow by half
-// octaves.
+// horizons are the times ahead for which a forecast is made. Each is the square
+// root of two times the one before.
 var horizons = func() [24]time.Duration {
 	var times [24]time.Duration
 	for i := range times {
@@ -15,12 +15,12 @@
 	return times
 }()
 
-// forecast tells for each of the horizons how probable it is that a model gets
-// no request until then.
+// forecast is, for each of the horizons, the probability that a model gets no
+// request until then.
 type forecast [len(horizons)]float64
 
-// forecast returns the forecast of a model. A base is wanted when one of its
-// adapters is.
+// forecast returns the forecast of a model. Requests for an adapter count as
+// requests for its base, too.
 func (p *plan) forecast(model *Model) forecast {
 	var quiet forecast
 	for i := range quiet {
@@ -35,7 +35,7 @@
 	return quiet
 }
 
-// add multiplies the forecast by that of an independent stream of requests.
+// add includes an independent stream of requests in the forecast.
 func (f *forecast) add(now time.Time, history *History) {
 	if history.Last.IsZero() {
 		return
@@ -48,20 +48,20 @@
 	}
 }
 
-// outlook is what holding a model is worth at the best, in accelerator seconds:
-// the cold starts that it saves less the time that it idles.
-type outlook struct {
-	hold     float64 // from now on; below zero if unloading at once is better
-	loadNow  float64 // if it is not loaded: a load that starts now
-	loadLate float64 // or a load that starts later
+// expectedBenefit is the highest expected benefit of keeping a model loaded, in accelerator
+// seconds: the cold starts that it saves minus the time that the model idles.
+type expectedBenefit struct {
+	hold     float64 // of a loaded model; below zero if unloading it now is better
+	loadNow  float64 // of a model that is not loaded, if a load starts now
+	loadLate float64 // of a model that is not loaded, if a load starts later
 }
 
-// outlook works out the worth of a model whose cold start would take load and
-// be worth coldStart, and whose idling costs cost per second.
-func (f *forecast) outlook(load time.Duration, coldStart, cost float64) outlook {
-	best := outlook{hold: math.Inf(-1), loadNow: math.Inf(-1), loadLate: math.Inf(-1)}
-	quietWhenReady := f.at(load)
-	bestStart := math.Inf(-1) // of what a later load saves by its start
+// expectedBenefit returns the expected benefit of keeping a model loaded whose load takes the
+// time load, whose cold start costs coldStart and whose idling costs cost per second.
+func (f *forecast) expectedBenefit(load time.Duration, coldStart, cost float64) expectedBenefit {
+	best := expectedBenefit{hold: math.Inf(-1), loadNow: math.Inf(-1), loadLate: math.Inf(-1)}
+	quietWhenReady := f.quietFor(load)
+	bestStart := math.Inf(-1) // highest benefit of a later start of the load, before the idle time
 	held, last, quiet := 0.0, 0.0, 1.0
 	for i, horizon := range horizons {
 		until := horizon.Seconds()
@@ -73,13 +73,14 @@
 			best.loadNow = max(best.loadNow, quietWhenReady*coldStart-missed)
 		}
 		best.loadLate = max(best.loadLate, bestStart-missed)
-		bestStart = max(bestStart, f.at(horizon+load)*coldStart+held*cost)
+		bestStart = max(bestStart, f.quietFor(horizon+load)*coldStart+held*cost)
 	}
 	return best
 }
 
-// at returns how probable it is that no request comes until a time ahead.
-func (f *forecast) at(ahead time.Duration) float64 {
+// quietFor returns the probability that no request comes within the time ahead,
+// interpolated between the horizons.
+func (f *forecast) quietFor(ahead time.Duration) float64 {
 	last, quiet := time.Duration(0), 1.0
 	for i, horizon := range horizons {
 		if ahead <= horizon {
--- a/pkg/policy/gain.go
+++ b/pkg/policy/gain.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// What a request counts for, by its urgency. Sites tell ranks, not worths: a rank is
-// taken to be worth urgencyStep times the next one.
+// urgencyStep is the ratio of the weights of two successive priorities. Sites only
+// configure an order of priorities, so that their weights have to be assumed.
 const urgencyStep = 3.0
 
-// UrgencyWeight returns what a request of a priority counts for; 0 is the most urgent
-// priority and counts 1.
+// UrgencyWeight returns the weight of a request of a priority. The most urgent
+// priority is 0 and has the weight 1.
 func UrgencyWeight(priority int) float64 {
 	return math.Pow(urgencyStep, -float64(max(priority, 0)))
 }
 
-// priorWeightedRate is the pressure of a model that nothing is known of: priorRate
-// arrivals a second of a middle priority.
+// priorWeightedRate is the assumed weighted rate of a model without known arrivals:
+// priorRate arrivals per second of a middle priority, 1.
 const priorWeightedRate = priorRate / urgencyStep
 
-// spareShare is what a replica beyond the demand is worth of the one that carries it:
-// about the chance that a server is lost while the demand lasts.
+// spareShare is the value of a replica beyond the demand, as a share of the one that
+// serves it: about the probability that a server is lost while the demand lasts.
 const spareShare = 0.03
 
-// gain returns what one more replica of a model is worth besides present ones, in
-// weighted requests: those that wait and those expected within demandHorizon that
-// it would serve.
+// gain returns the value of one more replica of a model that already has present
+// replicas. The value is the number of weighted requests that it would serve, waiting or
+// expected within demandHorizon.
 func gain(model *Model, present int) float64 {
 	demand := &model.Demand
 	expected := (demand.WeightedRate + priorWeightedRate) * demandHorizon.Seconds()
@@ -34,34 +34,34 @@
 		return demand.WaitingWeight + expected
 	}
 	requests := demand.Waiting + demand.InFlight
-	room := present * max(model.Settings.MaxConcurrency, 1)
-	if requests > room {
-		return expected * float64(requests-room) / float64(requests)
+	capacity := present * max(model.Settings.MaxConcurrency, 1)
+	if requests > capacity {
+		return expected * float64(requests-capacity) / float64(requests)
 	}
 	return expected * spareShare
 }
 
-// GainRate returns what a load of the model that takes so long is worth for each
-// second of it, if no server holds the model.
+// GainRate returns the gain per second of a load of the model that takes the time
+// load, if no server holds the model.
 func GainRate(model *Model, load time.Duration) float64 {
 	return gain(model, 0) / (load.Seconds() + evictionSeconds)
 }
 
-// loadOrder ranks the loads that are missing.
+// loadOrder compares two missing loads; the one that is to start first is the lesser.
 type loadOrder func(a, b wantedLoad) int
 
-// byGain puts first what is worth most for each second of its load, so that many
-// requests for one model are not kept waiting by loads for single ones.
+// byGain orders loads by their gain per second, highest first, so that loads for
+// single requests do not delay many requests for one model.
 func byGain(a, b wantedLoad) int {
 	return cmp.Or(cmp.Compare(b.gainRate, a.gainRate), compareUrgency(a, b))
 }
 
-// worthMore tells whether the victims of a placement are worth more than the replica
-// that they would make way for.
+// worthMore reports whether the victims of a placement are worth more than the
+// replica for which they would be evicted.
 func (p *plan) worthMore(victims []victim, incoming *Model) bool {
 	lost := 0.0
 	for i := range victims {
-		lost += gain(victims[i].model, p.staying(victims[i].model)-1)
+		lost += gain(victims[i].model, p.remainingReplicas(victims[i].model)-1)
 	}
 	return lost > gain(incoming, p.present[p.indexOf(incoming.Name)])
 }
--- a/pkg/policy/gain_test.go
+++ b/pkg/policy/gain_test.go
@@ -7,8 +7,8 @@
 	"martenwheel.dev/pkg/api"
 )
 
-// TestLoadsGoByGain: of two models that wait for the one server, the one goes first
-// whose load is worth more for each second.
+// TestLoadsGoByGain checks that, of two models that wait for the same server, the one with
+// the higher gain per second of its load is loaded first.
 func TestLoadsGoByGain(t *testing.T) {
 	rare := func(priority int) Demand {
 		d := waiting(1, time.Minute)
@@ -22,7 +22,7 @@
 		d.Rate, d.WeightedRate = 8, 8*UrgencyWeight(priority)
 		return d
 	}
-	// held is a busy model with a replica, which may have two.
+	// held makes a busy model that has one replica and may have two.
 	held := func(inFlight, concurrency, spares int) func(*Model) {
 		return func(m *Model) {
 			m.Demand = busy(1)
@@ -84,11 +84,11 @@
 	}
 }
 
-// TestGainRateCountsTheLoad: the same demand is worth less for each second of a
-// longer load.
+// TestGainRateCountsTheLoad checks that the gain per second of the same demand is lower for
+// a longer load.
 func TestGainRateCountsTheLoad(t *testing.T) {
 	m := testModel("a", func(m *Model) { m.Demand = Demand{WaitingWeight: 1, WeightedRate: 2} })
 	if short, long := GainRate(&m, time.Second), GainRate(&m, 6*time.Second); short <= long || long <= 0 {
-		t.Errorf("a load of 1 s is worth %.2f a second, one of 6 s %.2f", short, long)
+		t.Errorf("gain rate of a load of 1 s is %.2f, of 6 s %.2f; want the first higher, both positive", short, long)
 	}
 }
--- a/pkg/policy/growth_test.go
+++ b/pkg/policy/growth_test.go
@@ -10,8 +10,8 @@
 	"martenwheel.dev/pkg/tree"
 )
 
-// largeInput is a fleet of n servers that hold two of so many models each, with copies of eight more.
-// Ten models wait for a replica.
+// largeInput returns a fleet of n servers, each with replicas of two of the models and with the
+// checkpoints of eight on its disk. Ten models wait for a replica.
 func largeInput(now time.Time, n, models int) Input {
 	const waiting = 10
 	in := Input{LoadSlots: 400, LoadRate: 2800}
@@ -22,7 +22,7 @@
 			Demand:   Demand{Rate: 0.5, WeightedRate: 0.2, LastArrival: now},
 		})
 	}
-	held := models - waiting // of the models, by some server
+	held := models - waiting // number of models that have a replica
 	for i := range n {
 		id := api.ServerID(fmt.Sprintf("i-%06d", i))
 		s := Server{ID: id, Zone: fmt.Sprint("zone-", i%5), CapacityBytes: 200, FreeBytes: 60, Reachable: true, Cached: make(map[string]engine.CacheTier)}
@@ -42,11 +42,12 @@
 	return in
 }
 
-// TestAPlanGrowsWithTheServers and not with the servers times the replicas of a model or times the
-// models: with three times as many servers, and so replicas, it looks at three times as many.
+// TestAPlanGrowsWithTheServers checks that the work of a plan grows linearly with the number of
+// servers. If each load looked at all replicas or models for each server, three times as many servers
+// (and so replicas) would take far more than three times as many steps.
 func TestAPlanGrowsWithTheServers(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
-	looks := func(n int) int {
+	examined := func(n int) int {
 		in := largeInput(now, n, 60)
 		d, _ := ByName(NameDemandFirst)
 		p := newPlan(now, &in)
@@ -56,19 +57,19 @@
 		}
 		d.(decider).unloadIdle(p)
 		if len(p.actions) < 10 {
-			t.Fatalf("%d actions for 10 models that wait", len(p.actions))
+			t.Fatalf("got %d actions for 10 waiting models, want at least 10", len(p.actions))
 		}
-		return p.looks
+		return p.examined
 	}
-	small, large := looks(300), looks(900)
+	small, large := examined(300), examined(900)
 	if growth := float64(large) / float64(small); growth > 3.3 {
-		t.Errorf("a plan for 300 servers looks at %d, for 900 at %d: %.1f times", small, large, growth)
+		t.Errorf("a plan takes %d steps for 300 servers and %d for 900: %.1f times as many", small, large, growth)
 	}
 }
 
-// BenchmarkPlanOfALargeFleet is a plan for 10,000 servers and 574 models: 905 ms while each load looked
-// at all replicas of its model for each server, 264 ms with what each server has, 41 ms with some
-// hundred servers weighed.
+// BenchmarkPlanOfALargeFleet measures a plan for 10,000 servers and 574 models. It takes 905 ms if
+// each load examines all replicas of its model for each server, 264 ms if it examines what each server
+// holds, and 41 ms if it only compares maxCandidates servers.
 func BenchmarkPlanOfALargeFleet(b *testing.B) {
 	now := time.Unix(1_800_000_000, 0)
 	in := largeInput(now, 10000, 574)
--- a/pkg/policy/history.go
+++ b/pkg/policy/history.go
@@ -13,25 +13,25 @@
 	gapBuckets       = 128 // reaches about a week
 )
 
-// gapDecay is what each new gap leaves of the weight of the older ones, so
-// that about the last 100 gaps count.
+// gapDecay is the factor by which each new gap reduces the weight of the older
+// ones, so that about the last 100 gaps count.
 const gapDecay = 0.99
 
-// History is what is remembered of a model's arrivals: a histogram of the gaps
-// between them with logarithmic buckets, in which old gaps fade. Its size is
-// constant (about 500 bytes), it can be encoded with gob and merged. The zero
-// value is an empty history.
+// History is a histogram of the gaps between a model's arrivals, with logarithmic
+// buckets, in which the weight of old gaps decays. Its size is constant (about 500
+// bytes), and it can be encoded with gob and merged. The zero value is an empty
+// history.
 type History struct {
 	Last time.Time // the last arrival; zero if there was none
 	Gaps [gapBuckets]float32
 
-	tails  [gapBuckets]float32 // tails[i] is the sum of Gaps[i:] with the prior
-	summed bool                // tails is up to date
+	tails  [gapBuckets]float32 // tails[i] is the sum of Gaps[i:] including the prior
+	summed bool                // whether tails is up to date
 }
 
-// Observe records arrivals at the time at. Times may repeat and go back a
-// little, as reports of several nodes do. Gaps below gapUnit, those within a
-// burst, are not recorded.
+// Observe records arrivals at the time at. Times may repeat or go back a little,
+// because several nodes report them. Gaps shorter than gapUnit are within a burst
+// and not recorded.
 func (h *History) Observe(at time.Time) {
 	if h.Last.IsZero() {
 		h.Last = at
@@ -52,7 +52,7 @@
 	h.sum()
 }
 
-// Merge adds what other remembers. Other is not changed.
+// Merge adds the gaps of other to h. It does not change other.
 func (h *History) Merge(other *History) {
 	for i, weight := range other.Gaps {
 		h.Gaps[i] += weight
@@ -63,8 +63,8 @@
 	h.sum()
 }
 
-// priorWeight is the weight of the prior: before any gap was seen, one of each
-// order of magnitude is as likely as of any other.
+// priorWeight is the weight of the prior distribution, in which each bucket, and so
+// each order of magnitude of a gap, is equally likely.
 const priorWeight = 1.0
 
 // sum brings tails up to date.
@@ -72,7 +72,7 @@
 	h.tails, h.summed = h.tailSums(), true
 }
 
-// tailSums returns for each bucket the weight of all gaps from it on.
+// tailSums returns for each bucket the weight of the gaps in it and in all later ones.
 func (h *History) tailSums() [gapBuckets]float32 {
 	var tails [gapBuckets]float32
 	sum := float32(0)
@@ -83,8 +83,8 @@
 	return tails
 }
 
-// survival returns a function that tells how probable a gap of at least a
-// length is, up to a constant factor. It does not change h.
+// survival returns the survival function: the probability that a gap is at least as
+// long as its argument, up to a constant factor. It does not change h.
 func (h *History) survival() func(gap time.Duration) float64 {
 	tails := &h.tails
 	if !h.summed {
@@ -105,7 +105,7 @@
 	}
 }
 
-// Weight returns the number of gaps remembered, the faded ones counting less.
+// Weight returns the number of recorded gaps, each counted by its decayed weight.
 func (h *History) Weight() float64 {
 	sum := 0.0
 	for _, weight := range h.Gaps {
--- a/pkg/policy/placement.go
+++ b/pkg/policy/placement.go
@@ -9,7 +9,7 @@
 	"martenwheel.dev/pkg/engine"
 )
 
-// checkpointTier orders the places a checkpoint is loaded from, fastest last.
+// checkpointTier is a place that a checkpoint is loaded from; faster ones are greater.
 type checkpointTier int
 
 const (
@@ -18,14 +18,14 @@
 	tierMemory
 )
 
-// Expected load times from a cache as shares of the time from the weight store, for
-// sites that don't tell them.
+// Expected load times from a cache as shares of the load time from the weight store,
+// for sites that do not configure them.
 const (
 	diskLoadShare   = 0.62
 	memoryLoadShare = 0.22
 )
 
-// tier returns where server would load model's checkpoint from.
+// tier returns the tier from which the server would load the model's checkpoint.
 func (p *plan) tier(model *Model, id api.ServerID) checkpointTier {
 	server := p.server(id)
 	if server == nil {
@@ -34,7 +34,7 @@
 	return p.tierOn(model, server)
 }
 
-// tierOn is tier for a server of the plan.
+// tierOn is tier for a server that was already looked up.
 func (p *plan) tierOn(model *Model, server *serverPlan) checkpointTier {
 	switch server.Cached[CheckpointName(model)] {
 	case engine.TierMemory:
@@ -46,7 +46,7 @@
 	}
 }
 
-// loadTime returns how long a load of the model is expected to take from a tier.
+// loadTime returns the expected duration of a load of the model from a tier.
 func (m *Model) loadTime(from checkpointTier) time.Duration {
 	switch from {
 	case tierMemory:
@@ -58,7 +58,8 @@
 	}
 }
 
-// eligible tells whether model may be loaded on server, memory aside.
+// eligible reports whether the model may be loaded on the server, apart from its free
+// memory.
 func (p *plan) eligible(model *Model, server *serverPlan) bool {
 	if !server.Reachable || server.Leaving || server.reserved != "" || p.holdsOn(model, server) {
 		return false
@@ -70,15 +71,15 @@
 	return base != nil && p.readyOn(base, server.ID)
 }
 
-// mostCandidates is how many servers are weighed for a load, besides those with a copy of its weights.
-// Of thousands the best of some hundred is hardly worse than the best of all, and what would make way
-// on each is the dear part of a plan.
-const mostCandidates = 512
+// maxCandidates bounds how many servers without a copy of the weights are compared for a load. The
+// best of some hundred is hardly worse than the best of thousands, and choosing the victims on each
+// server is the expensive part of a plan.
+const maxCandidates = 512
 
-// firstCandidate returns the server with which to begin to weigh them: another one for each model if
-// not all are weighed, so that loads are spread.
+// firstCandidate returns the index of the server with which the comparison for a model begins. If not
+// all servers are compared, it depends on the model, so that loads are spread.
 func (p *plan) firstCandidate(model *Model) int {
-	if len(p.servers) <= mostCandidates {
+	if len(p.servers) <= maxCandidates {
 		return 0
 	}
 	sum := fnv.New32a()
@@ -89,27 +90,27 @@
 // evictionSeconds is about how long it takes to drain and unload a replica.
 const evictionSeconds = 0.8
 
-// placement is a server that a model may be loaded on and what that takes.
+// placement is a server that a model may be loaded on, with the costs of the load.
 type placement struct {
 	server      *serverPlan
-	victims     []victim // to be unloaded first
-	evicted     float64  // summed value of the victims
-	waits       bool     // for memory that is being freed, or for the victims
-	seconds     float64  // expected until the model is ready
-	worth       float64  // of a second, in the unit of evicted
-	cachedBytes uint64   // in the server's memory
-	newZone     bool     // has no replica of the model
+	victims     []victim // replicas to be unloaded first
+	evicted     float64  // total value of the victims
+	waits       bool     // whether the load waits for memory that is being freed, or for the victims
+	seconds     float64  // expected time until the model is ready
+	waitCost    float64  // cost of each of the seconds, in the unit of evicted
+	cachedBytes uint64   // bytes of the checkpoints cached in the server's memory
+	newZone     bool     // whether the server's zone has no replica of the model
 }
 
 // placer ranks placements.
 type placer interface {
-	// better tells whether a is preferred over b.
+	// better reports whether a is preferred over b.
 	better(a, b placement) bool
 }
 
-// tierFirst prefers servers with room, then the nearest checkpoint, then a zone
-// without a replica, then the fullest server, so that large gaps stay whole.
-// Evictions are its last resort.
+// tierFirst prefers servers with enough free memory, then the fastest source of the
+// checkpoint, then a zone without a replica, then the server with the least free
+// memory, so that large free blocks are kept. Evictions are its last resort.
 type tierFirst struct{}
 
 // better implements placer.
@@ -132,11 +133,11 @@
 	return a.server.free < b.server.free
 }
 
-// lowestCost prefers the placement with the lowest cost: the time to load,
-// weighed by the worth of a cold start, and the worth of the victims. Of those
-// that cost the same, the server whose memory caches the least comes first, so
-// that checkpoints spread over the servers and stay cached; then a zone without
-// a replica of the model; then the fullest server.
+// lowestCost prefers the placement with the lowest cost: the load time, weighted by
+// the cost of a cold start, plus the value of the victims. At equal cost it prefers
+// the server whose memory caches the least, so that checkpoints spread over the
+// servers and stay cached; then a zone without a replica of the model; then the
+// server with the least free memory.
 type lowestCost struct{}
 
 // better implements placer.
@@ -153,8 +154,8 @@
 	return a.server.free < b.server.free
 }
 
-// leastCached prefers the server whose memory caches the least, wherever the
-// checkpoint comes from.
+// leastCached prefers the server whose memory caches the least, whatever tier the
+// checkpoint is loaded from.
 type leastCached struct{}
 
 // better implements placer.
@@ -168,34 +169,34 @@
 	return lowestCost{}.better(a, b)
 }
 
-// cost returns the cost in accelerator seconds. Victims that are worth nothing
-// cost nothing.
+// cost returns the cost of the placement, in the unit of evicted. Victims with a
+// negative value cost nothing.
 func (a placement) cost() float64 {
-	return a.seconds*a.worth + max(a.evicted, 0)
+	return a.seconds*a.waitCost + max(a.evicted, 0)
 }
 
-// place picks the server for a load. Its server is nil if none can take the
-// model, or if the checkpoint would have to come from the weight store and that
-// has no slot.
+// place chooses the server for a load. The server of the placement is nil if none can
+// take the model, if the checkpoint would have to come from the weight store and that
+// has no slot, or if it is better to wait for a busy server.
 func (d decider) place(p *plan, model *Model, extraBytes uint64, by placer) placement {
 	var best placement
-	first, weighed := p.firstCandidate(model), 0
+	first, compared := p.firstCandidate(model), 0
 	for k := range p.servers {
 		server := &p.servers[(first+k)%len(p.servers)]
-		p.looks++
+		p.examined++
 		if !p.eligible(model, server) {
 			continue
 		}
-		if p.tierOn(model, server) == tierRemote && (p.slots <= 0 || weighed >= mostCandidates) {
+		if p.tierOn(model, server) == tierRemote && (p.slots <= 0 || compared >= maxCandidates) {
 			continue
 		}
-		weighed++
+		compared++
 		candidate, ok := d.placeOn(p, model, server, ReplicaBytes(model)+extraBytes)
 		if ok && (best.server == nil || by.better(candidate, best)) {
 			best = candidate
 		}
 	}
-	if best.server != nil && d.soonerLater(p, model, best) {
+	if best.server != nil && d.shouldDefer(p, model, best) {
 		return placement{}
 	}
 	return best
@@ -203,35 +204,35 @@
 
 // Bounds of waiting for a server that has a copy of a checkpoint.
 const (
-	leastGain = 0.5 // seconds that a model is to be ready sooner
-	// longestDefer bounds how long a request waits without a load. It only guards
-	// against a server whose load never ends: a load from the weight store beside keeps
-	// another server from short loads for several times as long.
-	longestDefer = 20 * time.Second
+	minDeferGain = 0.5 // seconds by which the model has to be ready sooner than elsewhere
+	// maxDefer bounds how long a request waits without a load. It only guards
+	// against a server whose load never ends: loading the model from the weight store on
+	// another server would keep that one from short loads for several times as long.
+	maxDefer = 20 * time.Second
 )
 
-// IdleWait is about how long it takes until a replica is idle on a server of which all
-// are in use: what is left of the shortest of some streams of two seconds, and until the
-// nodes tell. On lakeshore-ledger it was 1 to 3 s.
+// IdleWait is the expected time until some replica becomes idle on a server whose
+// replicas are all in use: the rest of the shortest of several streams of two seconds,
+// plus the time until the nodes report it. On lakeshore-ledger it was 1 to 3 s.
 const IdleWait = 1500 * time.Millisecond
 
-// soonerLater tells whether a server that can't take the model now would have it ready
-// sooner than placed, since it has a copy of the checkpoint. It is then kept for the
-// model.
-func (d decider) soonerLater(p *plan, model *Model, placed placement) bool {
+// shouldDefer reports whether a server with a copy of the checkpoint that can't take
+// the model now would still have it ready sooner than placed. If so, it marks the
+// server as busy until then, so that no other model waits for it.
+func (d decider) shouldDefer(p *plan, model *Model, placed placement) bool {
 	since := model.Demand.WaitingSince
-	if since.IsZero() || p.now.Sub(since) > longestDefer {
+	if since.IsZero() || p.now.Sub(since) > maxDefer {
 		return false
 	}
 	var best *serverPlan
-	ready := placed.seconds - leastGain
+	ready := placed.seconds - minDeferGain
 	for i := range p.servers {
 		server := &p.servers[i]
 		tier := p.tierOn(model, server)
 		if tier == tierRemote || server.Leaving || p.holdsOn(model, server) {
 			continue
 		}
-		free := d.freeIn(p, model, server)
+		free := d.secondsUntilFree(p, model, server)
 		if free <= 0 {
 			continue
 		}
@@ -247,9 +248,9 @@
 	return true
 }
 
-// freeIn returns in how many seconds a server can make room for the model that can't
-// now; zero if that is not known or if it can now.
-func (d decider) freeIn(p *plan, model *Model, server *serverPlan) float64 {
+// secondsUntilFree returns in how many seconds a server that can't take the model now will
+// be able to; zero if that is unknown or if it can take the model now.
+func (d decider) secondsUntilFree(p *plan, model *Model, server *serverPlan) float64 {
 	if server.busyFor > 0 {
 		return server.busyFor
 	}
@@ -262,13 +263,13 @@
 	return IdleWait.Seconds()
 }
 
-// placeOn works out what a load on one server takes; false if it has not
-// enough memory that may be freed.
+// placeOn returns the placement of a load on one server; false if not enough memory
+// may be freed there.
 func (d decider) placeOn(p *plan, model *Model, server *serverPlan, need uint64) (placement, bool) {
 	placed := placement{
 		server:      server,
 		seconds:     model.loadTime(p.tierOn(model, server)).Seconds(),
-		worth:       d.retention.worth(model),
+		waitCost:    d.retention.waitCost(model),
 		cachedBytes: p.cachedBytes(server),
 		newZone:     !p.inZone(model, server.Zone),
 	}
@@ -286,8 +287,7 @@
 	return placed, true
 }
 
-// cachedBytes returns how much the checkpoints take that are cached in the
-// server's memory.
+// cachedBytes returns the total size of the checkpoints cached in the server's memory.
 func (p *plan) cachedBytes(server *serverPlan) uint64 {
 	if server.cachedKnown {
 		return server.cachedBytes
@@ -300,7 +300,7 @@
 		}
 	}
 	for checkpoint, tier := range server.Cached {
-		p.looks++
+		p.examined++
 		if tier == engine.TierMemory {
 			server.cachedBytes += p.sizes[checkpoint]
 		}
@@ -308,13 +308,13 @@
 	return server.cachedBytes
 }
 
-// inZone tells whether the zone has a replica of the model.
+// inZone reports whether the zone has a replica of the model.
 func (p *plan) inZone(model *Model, zone string) bool {
 	i := p.indexOf(model.Name)
 	if p.zones[i] == nil {
 		p.zones[i] = make(map[string]bool)
 		for j := range model.Replicas {
-			p.looks++
+			p.examined++
 			if server := p.server(model.Replicas[j].Server); server != nil {
 				p.zones[i][server.Zone] = true
 			}
--- a/pkg/policy/plan.go
+++ b/pkg/policy/plan.go
@@ -9,8 +9,8 @@
 	"martenwheel.dev/pkg/api"
 )
 
-// ReplicaBytes returns the accelerator memory that one replica of a model
-// needs: weights and the room for the KV cache, which adapters have none of.
+// ReplicaBytes returns the accelerator memory that one replica of a model needs: its
+// weights and its KV cache. Adapters have no KV cache of their own.
 func ReplicaBytes(model *Model) uint64 {
 	return model.Settings.MemoryBytes + model.Settings.KVBytes
 }
@@ -23,65 +23,66 @@
 	return string(model.Name)
 }
 
-// plan is the working copy of one decision: what the servers and models will
-// hold if the actions so far are carried out.
+// plan is the working state of one decision: what the servers and models will hold
+// once the actions so far are carried out.
 type plan struct {
-	now     time.Time
-	input   *Input
-	servers []serverPlan
-	loaded  []int               // models with replicas
-	present []int               // replicas of each model, whatever their state, with planned loads
-	kin     []kin               // of each model
-	unload  map[replicaKey]bool // replicas that an action unloads
-	slots   int                 // loads from the weight store that may still start
-	actions []Action
-	stay    []int             // ready replicas of each model that no action unloads
-	zones   []map[string]bool // that have a replica of a model; nil: not worked out
-	sizes   map[string]uint64 // of checkpoints; nil: not worked out
+	now          time.Time
+	input        *Input
+	servers      []serverPlan
+	loaded       []int               // indexes of the models with replicas
+	present      []int               // number of replicas of each model, in any state or planned
+	adapterLinks []adapterLinks      // links between bases and adapters, by model
+	unload       map[replicaKey]bool // replicas that an action unloads
+	slots        int                 // loads from the weight store that may still start
+	actions      []Action
+	remaining    []int             // number of ready replicas of each model that no action unloads
+	zones        []map[string]bool // zones with a replica, by model; nil: not computed yet
+	sizes        map[string]uint64 // bytes by checkpoint; nil: not computed yet
 
-	scarce bool // see decider.scarce
-	looks  int  // at servers and replicas, which a plan's time grows with
+	scarce   bool // see decider.scarce
+	examined int  // servers and replicas examined so far, a measure of the running time
 }
 
-// kin links a model with its adapters: -1 where there is none.
-type kin struct {
-	base         int
-	firstAdapter int
-	nextAdapter  int // of the same base
+// adapterLinks holds the indexes of a model's base and adapters; -1 if there is none. The
+// adapters of a base form a linked list.
+type adapterLinks struct {
+	base         int // of an adapter
+	firstAdapter int // of a base
+	nextAdapter  int // next adapter of the same base
 }
 
-// serverPlan is a server with what the plan changes on it.
+// serverPlan is a server and the changes that the plan makes to it.
 type serverPlan struct {
 	*Server
-	reserved api.ModelName // see Server.Reserved; by this decision or an earlier one
+	reserved api.ModelName // model that this decision or an earlier one reserved the server for
 	free     uint64        // bytes that a load may take now
 	freeSoon uint64        // bytes of replicas that are being unloaded
-	busyFor  float64       // seconds until the loads are done that are under way or are to wait for it
-	held     []heldReplica // on it, in the order of the models
+	busyFor  float64       // seconds until the loads under way and those waiting for the server are done
+	held     []heldReplica // replicas on the server, in the order of the models
 
-	cachedKnown bool // cachedBytes was worked out
-	cachedBytes uint64
+	cachedKnown bool   // whether cachedBytes was computed
+	cachedBytes uint64 // bytes of the checkpoints cached in memory
 }
 
-// heldReplica is a replica of the input, by the numbers of its model and among those.
+// heldReplica holds the index of a model in Input.Models and of one of its replicas.
 type heldReplica struct{ model, replica int }
 
-// replicaKey names a replica: a server holds a model at most once.
+// replicaKey identifies a replica. A server holds at most one replica of a model.
 type replicaKey struct {
 	model  api.ModelName
 	server api.ServerID
 }
 
-// newPlan starts a decision.
+// newPlan returns a plan without actions.
 func newPlan(now time.Time, input *Input) *plan {
 	p := &plan{
-		now:     now,
-		input:   input,
-		servers: make([]serverPlan, len(input.Servers)),
-		present: make([]int, len(input.Models)),
-		kin:     make([]kin, len(input.Models)),
-		stay:    make([]int, len(input.Models)),
-		zones:   make([]map[string]bool, len(input.Models)),
+		now:          now,
+		input:        input,
+		servers:      make([]serverPlan, len(input.Servers)),
+		present:      make([]int, len(input.Models)),
+		adapterLinks: make([]adapterLinks, len(input.Models)),
+		remaining:    make([]int, len(input.Models)),
+		zones:        make([]map[string]bool, len(input.Models)),
 	}
 	for i := range input.Servers {
 		p.servers[i] = serverPlan{Server: &input.Servers[i], free: input.Servers[i].FreeBytes, busyFor: input.Servers[i].BusyFor.Seconds()}
@@ -91,10 +92,10 @@
 	return p
 }
 
-// linkAdapters links the bases with their adapters.
+// linkAdapters sets p.adapterLinks.
 func (p *plan) linkAdapters() {
-	for i := range p.kin {
-		p.kin[i] = kin{-1, -1, -1}
+	for i := range p.adapterLinks {
+		p.adapterLinks[i] = adapterLinks{-1, -1, -1}
 	}
 	for i := range p.input.Models {
 		if p.input.Models[i].Base == "" {
@@ -104,14 +105,14 @@
 		if base < 0 {
 			continue
 		}
-		p.kin[i].base = base
-		p.kin[i].nextAdapter = p.kin[base].firstAdapter
-		p.kin[base].firstAdapter = i
+		p.adapterLinks[i].base = base
+		p.adapterLinks[i].nextAdapter = p.adapterLinks[base].firstAdapter
+		p.adapterLinks[base].firstAdapter = i
 	}
 }
 
-// countReplicas notes what the replicas hold, and the slots of the weight
-// store that loads under way leave.
+// countReplicas records the replicas of each model and server, and the slots of the
+// weight store that the loads under way leave.
 func (p *plan) countReplicas() {
 	input, now := p.input, p.now
 	fetching, started := 0, 0
@@ -129,10 +130,10 @@
 					server.freeSoon += ReplicaBytes(model)
 				}
 			}
-			p.looks++
+			p.examined++
 			p.present[i]++
 			if replica.State == api.ReplicaReady {
-				p.stay[i]++
+				p.remaining[i]++
 			}
 			if replica.State != api.ReplicaLoading || p.tier(model, replica.Server) != tierRemote {
 				continue
@@ -149,7 +150,7 @@
 // adapters yields the adapters of a base.
 func (p *plan) adapters(base *Model) iter.Seq[*Model] {
 	return func(yield func(*Model) bool) {
-		for i := p.kin[p.indexOf(base.Name)].firstAdapter; i >= 0; i = p.kin[i].nextAdapter {
+		for i := p.adapterLinks[p.indexOf(base.Name)].firstAdapter; i >= 0; i = p.adapterLinks[i].nextAdapter {
 			if !yield(&p.input.Models[i]) {
 				return
 			}
@@ -157,8 +158,8 @@
 	}
 }
 
-// startWindow returns the time over which loads that were started count
-// against the rate of the weight store.
+// startWindow returns for how long a started load counts against the rate limit of
+// the weight store.
 func startWindow(rate float64) time.Duration {
 	if rate <= 0 || rate >= 1 {
 		return time.Second
@@ -166,7 +167,7 @@
 	return time.Duration(float64(time.Second) / rate)
 }
 
-// startsPerWindow returns how many loads may start within a startWindow.
+// startsPerWindow returns the number of loads that may start within a startWindow.
 func startsPerWindow(rate float64) int {
 	if rate <= 0 {
 		return 0
@@ -174,7 +175,7 @@
 	return max(int(math.Floor(rate)), 1)
 }
 
-// server returns the server with the ID, nil if the cell has none.
+// server returns the server with the ID; nil if the cell has none.
 func (p *plan) server(id api.ServerID) *serverPlan {
 	i := sort.Search(len(p.servers), func(i int) bool { return p.servers[i].ID >= id })
 	if i == len(p.servers) || p.servers[i].ID != id {
@@ -183,8 +184,7 @@
 	return &p.servers[i]
 }
 
-// indexOf returns the number of the model with the name, -1 if the cell has
-// none.
+// indexOf returns the index of the model with the name; -1 if the cell has none.
 func (p *plan) indexOf(name api.ModelName) int {
 	models := p.input.Models
 	i := sort.Search(len(models), func(i int) bool { return models[i].Name >= name })
@@ -194,24 +194,24 @@
 	return i
 }
 
-// base returns the base of an adapter, nil if the cell has none.
+// base returns the base of an adapter; nil if the cell has none.
 func (p *plan) base(adapter *Model) *Model {
-	base := p.kin[p.indexOf(adapter.Name)].base
+	base := p.adapterLinks[p.indexOf(adapter.Name)].base
 	if base < 0 {
 		return nil
 	}
 	return &p.input.Models[base]
 }
 
-// holds tells whether a replica of the model is on the server in any state,
-// or will be after the plan's actions. It looks at what the server has, which is little, and not at
-// the model's replicas, which are as many as the fleet is large.
+// holds reports whether a replica of the model is on the server in any state, or will
+// be after the plan's actions. It searches the few replicas of the server rather than
+// the model's replicas, whose number grows with the fleet.
 func (p *plan) holds(model *Model, id api.ServerID) bool {
 	server := p.server(id)
 	return server != nil && p.holdsOn(model, server)
 }
 
-// holdsOn is holds for a server that is at hand.
+// holdsOn is holds for a server that was already looked up.
 func (p *plan) holdsOn(model *Model, server *serverPlan) bool {
 	for _, held := range server.held {
 		if &p.input.Models[held.model] == model {
@@ -227,7 +227,8 @@
 	return false
 }
 
-// readyOn tells whether a replica of the model serves on the server and stays.
+// readyOn reports whether a replica of the model is ready on the server and no action
+// unloads it.
 func (p *plan) readyOn(model *Model, server api.ServerID) bool {
 	for i := range model.Replicas {
 		replica := &model.Replicas[i]
@@ -250,15 +251,16 @@
 	})
 }
 
-// drop adds an unload to the plan, done for the model named; empty if there is none.
-// The memory is free only once the engine has confirmed it.
-func (p *plan) drop(model *Model, replica *Replica, reason string, incoming api.ModelName) {
+// unloadReplica adds an unload to the plan. If it frees memory for a model, incoming names
+// that model; otherwise it is empty. The memory is free only once the engine has confirmed
+// the unload.
+func (p *plan) unloadReplica(model *Model, replica *Replica, reason string, incoming api.ModelName) {
 	if p.unload == nil {
 		p.unload = make(map[replicaKey]bool)
 	}
 	key := replicaKey{model.Name, replica.Server}
 	if replica.State == api.ReplicaReady && !p.unload[key] {
-		p.stay[p.indexOf(model.Name)]--
+		p.remaining[p.indexOf(model.Name)]--
 	}
 	p.unload[key] = true
 	if server := p.server(replica.Server); server != nil {
--- a/pkg/policy/reserve.go
+++ b/pkg/policy/reserve.go
@@ -2,9 +2,10 @@
 
 import "fmt"
 
-// useReservations goes on with what earlier decisions made room for: it loads a model
-// where its memory is free by now, and else keeps the memory for it. A reservation
-// whose model is not wanted any more, or whose memory does not come free, lapses.
+// useReservations continues the reservations of earlier decisions: it loads the model
+// if the reserved memory is free by now, and otherwise keeps the reservation. A
+// reservation lapses if its model is no longer needed or if not enough memory is being
+// freed.
 func (p *plan) useReservations() {
 	for i := range p.servers {
 		server := &p.servers[i]
@@ -29,7 +30,8 @@
 	}
 }
 
-// reserve keeps a server for a model, which counts as present from now on.
+// reserve reserves memory of a server for a model. The model counts as present there
+// for the rest of the decision.
 func (p *plan) reserve(model *Model, server *serverPlan, need uint64) {
 	if p.tierOn(model, server) == tierRemote {
 		p.slots--
--- a/pkg/policy/reserve_test.go
+++ b/pkg/policy/reserve_test.go
@@ -9,8 +9,8 @@
 	"martenwheel.dev/pkg/engine"
 )
 
-// want returns a model that one request of a priority waits for.
-func want(name string, priority int) Model {
+// waitingModel returns a model for which one request of a priority waits.
+func waitingModel(name string, priority int) Model {
 	return testModel(name, func(m *Model) {
 		m.Demand = waiting(1, time.Minute)
 		m.Demand.WaitingSince = testNow
@@ -18,9 +18,9 @@
 	})
 }
 
-// TestRoomIsKeptForItsModel: what was unloaded for one model is not taken by another,
-// until the model is not wanted any more.
-func TestRoomIsKeptForItsModel(t *testing.T) {
+// TestFreedMemoryIsReserved checks that memory that was freed for one model is not taken
+// by another one, unless the first is no longer needed or no memory is being freed.
+func TestFreedMemoryIsReserved(t *testing.T) {
 	reserved := func(free uint64, model string) Server {
 		s := testServer("s1", free)
 		s.Reserved = api.ModelName(model)
@@ -36,23 +36,23 @@
 	}{
 		{
 			"the model that room was made for goes first, whatever waits",
-			Input{Models: []Model{want("a", 2), want("b", 0)}, Servers: []Server{reserved(30, "a")}},
+			Input{Models: []Model{waitingModel("a", 2), waitingModel("b", 0)}, Servers: []Server{reserved(30, "a")}},
 			[]string{"load a on s1 urgent"},
 		},
 		{
 			"while the room is on its way nothing else takes the server",
-			Input{Models: []Model{want("a", 2), want("b", 0), unloading}, Servers: []Server{reserved(5, "a")}},
+			Input{Models: []Model{waitingModel("a", 2), waitingModel("b", 0), unloading}, Servers: []Server{reserved(5, "a")}},
 			nil,
 		},
 		{
 			"a reservation lapses when nothing waits for its model",
-			Input{Models: []Model{testModel("a", nil), want("b", 0)}, Servers: []Server{reserved(30, "a")}},
+			Input{Models: []Model{testModel("a", nil), waitingModel("b", 0)}, Servers: []Server{reserved(30, "a")}},
 			[]string{"load b on s1 urgent"},
 		},
 		{
 			"a reservation lapses when no room is on its way",
 			Input{
-				Models:  []Model{want("a", 2), want("b", 0)},
+				Models:  []Model{waitingModel("a", 2), waitingModel("b", 0)},
 				Servers: []Server{reserved(5, "a"), testServer("s2", 50)},
 			},
 			[]string{"load b on s2 urgent", "load a on s2 urgent"},
@@ -73,8 +73,8 @@
 	}
 }
 
-// TestSpareReplicasMakeWay: a spare replica makes way for a model that waits, one that
-// the demand needs does not, nor does what is worth more than what waits.
+// TestSpareReplicasMakeWay checks that a spare replica is evicted for a waiting model, and
+// that a replica that the demand needs, and is worth more than the waiting model, is not.
 func TestSpareReplicasMakeWay(t *testing.T) {
 	busy := func(inFlight int) Model {
 		return testModel("busy", func(m *Model) {
@@ -92,7 +92,7 @@
 		{"two that the demand needs", busy(8), 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			input := Input{Models: []Model{want("a", 0), test.busy}, Servers: []Server{testServer("s1", 5), testServer("s2", 5)}}
+			input := Input{Models: []Model{waitingModel("a", 0), test.busy}, Servers: []Server{testServer("s1", 5), testServer("s2", 5)}}
 			input.LoadSlots, input.LoadRate = 8, 4
 			decider, _ := ByName(NameDemandFirst)
 			unloads := 0
@@ -102,14 +102,15 @@
 				}
 			}
 			if unloads != test.want {
-				t.Errorf("%d replicas make way, want %d", unloads, test.want)
+				t.Errorf("got %d replicas evicted for the waiting model, want %d", unloads, test.want)
 			}
 		})
 	}
 }
 
-// TestModelsWaitForServersWithTheirCopy: with all replicas in use on the server that has
-// a copy, the model is not fetched from the weight store elsewhere, which takes longer.
+// TestModelsWaitForServersWithTheirCopy checks that a model waits for the server that has a
+// copy of its checkpoint while all replicas there are in use, instead of being fetched from
+// the weight store to another server, which takes longer.
 func TestModelsWaitForServersWithTheirCopy(t *testing.T) {
 	inUse := testModel("x", func(m *Model) {
 		m.Replicas = []Replica{idleReplica("s1", 0)}
@@ -117,14 +118,14 @@
 	})
 	near := testServer("s1", 5)
 	near.Cached = map[string]engine.CacheTier{"a": engine.TierDisk}
-	input := Input{Models: []Model{want("a", 0), inUse}, Servers: []Server{near, testServer("s2", 50)}}
+	input := Input{Models: []Model{waitingModel("a", 0), inUse}, Servers: []Server{near, testServer("s2", 50)}}
 	input.LoadSlots, input.LoadRate = 8, 4
 	input.Models[0].DiskTime = time.Second
 	decider, _ := ByName(NameDemandFirst)
 	if got := decider.Decide(testNow, input); len(got) != 0 {
 		t.Errorf("got %+v, want to wait for the server with the copy", got)
 	}
-	input.Models[0].Demand.WaitingSince = testNow.Add(-2 * longestDefer)
+	input.Models[0].Demand.WaitingSince = testNow.Add(-2 * maxDefer)
 	if got := decider.Decide(testNow, input); len(got) != 1 || got[0].Server != "s2" {
 		t.Errorf("got %+v after a long wait, want a load on s2", got)
 	}
--- a/pkg/policy/types.go
+++ b/pkg/policy/types.go
@@ -1,9 +1,9 @@
 // Package policy decides which models and adapters are loaded where and for
-// how long. Deciders are pure functions of their input and the passed-in now,
+// how long. Deciders are pure functions of their input and the passed-in time,
 // so that the owner of a cell and the emulator run the same code.
 //
-// A Decider only wishes. The owner of the cell checks each wish against the
-// decided replica counts and the accelerators' memory before it orders it.
+// A Decider only proposes actions. Before the owner of the cell orders one, it
+// checks it against the decided replica counts and the accelerators' memory.
 package policy
 
 import (
@@ -22,37 +22,38 @@
 	Replicas []Replica
 	Demand   Demand
 	History  *History // of this model's arrivals; never nil
-	// DiskTime and MemoryTime are how long a load takes from a server's own disk and
+	// DiskTime and MemoryTime are the load times from a server's own disk and
 	// memory; zero: estimated from Settings.LoadTime.
 	DiskTime, MemoryTime time.Duration
-	// Spares is how many replicas there should be while the servers have room, so that
-	// the loss of one leaves some. Unlike those of Settings.MinReplicas they make way.
+	// Spares is how many replicas there should be while the servers have free memory,
+	// so that some remain after the loss of one. Unlike those that Settings.MinReplicas
+	// asks for, they may be evicted for other models.
 	Spares int
 }
 
-// Replica is one replica of a model. All states but Ready are counted as
-// present: they hold memory.
+// Replica is one replica of a model. It counts as present in every state,
+// because it holds memory in every state.
 type Replica struct {
 	Server    api.ServerID
 	State     api.ReplicaState
-	Since     time.Time // of the state
+	Since     time.Time // when it entered State
 	LastUse   time.Time // last request that ran on it; zero if none yet
 	InFlight  int
-	ReadyBy   time.Time // estimate while loading
+	ReadyBy   time.Time // estimated end of the load
 	Prewarmed bool      // loaded without a waiting request
 }
 
-// Demand is the sum of what the nodes of the region reported lately.
+// Demand is the sum of the recent reports of the region's nodes about a model.
 type Demand struct {
 	Waiting          int
 	InFlight         int
 	HighestPriority  int
 	EarliestDeadline time.Time // of the waiting requests; zero if none
-	WaitingSince     time.Time // of the first of them; zero if it is not known
+	WaitingSince     time.Time // arrival of the first waiting request; zero if unknown
 	LastArrival      time.Time
-	Rate             float64 // arrivals a second lately; zero if it is not known
-	WeightedRate     float64 // the same, each arrival by its UrgencyWeight
-	WaitingWeight    float64 // of what waits, by its UrgencyWeight
+	Rate             float64 // recent arrivals per second; zero if unknown
+	WeightedRate     float64 // recent arrivals per second, each counted by its UrgencyWeight
+	WaitingWeight    float64 // sum of the UrgencyWeight of the waiting requests
 }
 
 // Server is a server of the cell as the decider sees it.
@@ -65,20 +66,20 @@
 	Reachable     bool
 	Loading       int                         // loads under way on it
 	Cached        map[string]engine.CacheTier // by checkpoint
-	// BusyFor is how long the load under way still takes on a server that may
-	// take another one after it; zero if there is none.
+	// BusyFor is the remaining time of the load under way, if the server may take
+	// another load after it; zero otherwise.
 	BusyFor time.Duration
-	// Reserved names the model that memory of the server was freed for, or is being
-	// freed; no other one is loaded there. Empty if there is none.
+	// Reserved names the model for which memory of the server was or is being freed;
+	// no other model is loaded there. Empty if there is none.
 	Reserved api.ModelName
 }
 
-// Input is what a decision is made from.
+// Input is the state of a cell from which a decision is made.
 type Input struct {
 	Models    []Model  // sorted by name
 	Servers   []Server // sorted by ID
-	LoadSlots int      // loads that this cell may have under way at once
-	LoadRate  float64  // loads a second that this cell may start
+	LoadSlots int      // loads from the weight store that the cell may have under way at once
+	LoadRate  float64  // loads from the weight store that the cell may start per second
 }
 
 // ActionKind is what an Action asks for.
@@ -90,15 +91,15 @@
 	ActionUnload
 )
 
-// Action is a wish of a decider. A load of an adapter names a server on which
-// its base is ready.
+// Action is a load or unload proposed by a decider. A load of an adapter names
+// a server on which its base is ready.
 type Action struct {
 	Kind   ActionKind
 	Model  api.ModelName
 	Server api.ServerID
 	Urgent bool          // a request waits for it
 	Reason string        // for logs, such as "idle 10m0s" or "2 waiting"
-	For    api.ModelName // that an unload makes room for; the server is to be reserved
+	For    api.ModelName // model for which an unload frees memory and the server is reserved
 }
 
 // Decider decides what a cell should load and unload now. Decide must not keep
--- a/pkg/traffic/admission_test.go
+++ b/pkg/traffic/admission_test.go
@@ -9,17 +9,18 @@
 	"martenwheel.dev/pkg/api"
 )
 
-// waitFault is what goes wrong while a request waits for an idle model.
+// waitFault is a case of what may go wrong while a request waits for a model without a
+// replica.
 type waitFault struct {
 	name       string
 	settings   []string
-	before     func(*stubControl) // the owner's knowledge at the arrival
-	after      func(*stubControl) // what happens one second later; nil: nothing
+	before     func(*stubControl) // sets the owner's answer at the arrival
+	after      func(*stubControl) // applied one second later; nil: nothing changes
 	deadline   time.Duration
-	reason     RefusalReason // empty: served
-	within     time.Duration // from the arrival to the refusal
-	retryLeast time.Duration
-	retryMost  time.Duration
+	reason     RefusalReason // expected reason; empty: served
+	within     time.Duration // maximum time from the arrival to the refusal
+	retryLeast time.Duration // minimum of RetryAfter
+	retryMost  time.Duration // maximum of RetryAfter
 }
 
 func accept(after time.Duration) func(*stubControl) {
@@ -65,11 +66,11 @@
 		retryLeast: 2 * time.Second, retryMost: 2 * time.Second},
 }
 
-// runWaitFault returns the end of a request under the fault and the time that
-// passed until then.
+// runWaitFault returns the result of a request under the fault and the time until it
+// came.
 func runWaitFault(t *testing.T, fault waitFault, off mechanisms) (ended result, took time.Duration) {
 	control := newStubControl(t, fault.settings...)
-	virtually(t, Config{Control: control, off: off}, func(t *testing.T, router *Router) {
+	inVirtualTime(t, Config{Control: control, off: off}, func(t *testing.T, router *Router) {
 		fault.before(control)
 		arrived := time.Now()
 		later := acquireLater(context.Background(), router, ask(fault.deadline))
@@ -83,7 +84,7 @@
 			ended.grant.Done(served(time.Millisecond))
 		}
 		if stats := router.Stats(); stats.Waiting != 0 || stats.Running != 0 {
-			t.Errorf("left over: %+v", stats)
+			t.Errorf("requests left at the end: %+v", stats)
 		}
 	})
 	return ended, took
@@ -113,24 +114,25 @@
 	}
 }
 
-// Without early refusal each hopeless request is held until its deadline.
+// TestWaitingFailsWithoutEarlyRefusal verifies the cases of waitFaults: without early
+// refusal, each request that can't be served in time is held too long.
 func TestWaitingFailsWithoutEarlyRefusal(t *testing.T) {
 	for _, fault := range waitFaults {
 		if fault.reason != ReasonDeadline && fault.reason != ReasonLoadFailed || fault.within >= fault.deadline {
 			continue
 		}
 		if _, took := runWaitFault(t, fault, mechanisms{earlyRefusal: true}); took <= fault.within {
-			t.Errorf("%s: refused after %v with early refusal off; the table proves nothing", fault.name, took)
+			t.Errorf("%s: refused after %v with early refusal off; the case does not test early refusal", fault.name, took)
 		}
 	}
 }
 
-// burstWakes returns the reports that a burst for an idle model caused before
-// the first regular report was due.
+// burstWakes returns the number of immediate reports that a burst of 1000 requests for a
+// model without a replica causes, before the first periodic report is due.
 func burstWakes(t *testing.T, off mechanisms) int {
 	control := newStubControl(t)
 	wakes := 0
-	virtually(t, Config{Control: control, off: off}, func(t *testing.T, router *Router) {
+	inVirtualTime(t, Config{Control: control, off: off}, func(t *testing.T, router *Router) {
 		const burst = 1000
 		ends := make([]<-chan result, burst)
 		for index := range ends {
@@ -142,7 +144,7 @@
 		for _, end := range ends {
 			ended := <-end
 			if ended.err != nil {
-				t.Fatalf("request of the burst: %v", ended.err)
+				t.Fatalf("request of the burst was refused: %v", ended.err)
 			}
 		}
 	})
@@ -151,37 +153,37 @@
 
 func TestBurstForIdleModelWakesOnce(t *testing.T) {
 	if wakes := burstWakes(t, mechanisms{}); wakes != 1 {
-		t.Errorf("%d wakes, want 1", wakes)
+		t.Errorf("%d immediate reports, want 1", wakes)
 	}
 	if wakes := burstWakes(t, mechanisms{wakeOnce: true}); wakes != 1000 {
-		t.Errorf("%d wakes with the mechanism off, want 1000", wakes)
+		t.Errorf("%d immediate reports with wakeOnce off, want 1000", wakes)
 	}
 }
 
 func TestCallerThatLeavesNeverRuns(t *testing.T) {
 	for _, off := range []bool{false, true} {
 		control := newStubControl(t, "max_concurrency", "1")
-		virtually(t, Config{Control: control, off: mechanisms{callerCheck: off}}, func(t *testing.T, router *Router) {
+		inVirtualTime(t, Config{Control: control, off: mechanisms{callerCheck: off}}, func(t *testing.T, router *Router) {
 			control.publish(readyOn("m", 1))
 			first := mustAcquire(t, router, ask(time.Minute))
 			ctx, leave := context.WithCancel(context.Background())
 			later := acquireLater(ctx, router, ask(time.Minute))
 			synctest.Wait()
 			leave()
-			first.Done(served(time.Millisecond)) // the place is free just as the caller leaves
+			first.Done(served(time.Millisecond)) // the slot becomes free just as the caller leaves
 			ended := <-later
 			if ran := ended.grant != nil; ran != off {
-				t.Fatalf("ran: %t with the check off: %t", ran, off)
+				t.Fatalf("granted: %t with callerCheck off: %t", ran, off)
 			}
 			if ended.grant != nil {
 				ended.grant.Done(served(time.Millisecond))
 				return
 			}
 			if refusal := refusalOf(t, ended.err, ReasonCallerLeft); !refusal.NotRun {
-				t.Error("not marked as not run")
+				t.Error("the refusal is not marked as not run")
 			}
 			if running := router.Stats().Running; running != 0 {
-				t.Errorf("%d places lost", running)
+				t.Errorf("%d slots not released", running)
 			}
 		})
 	}
@@ -189,7 +191,7 @@
 
 func TestRejectedModelIsAskedForAgain(t *testing.T) {
 	control := newStubControl(t)
-	virtually(t, Config{Control: control}, func(t *testing.T, router *Router) {
+	inVirtualTime(t, Config{Control: control}, func(t *testing.T, router *Router) {
 		reject(4 * time.Second)(control)
 		_, err := router.Acquire(context.Background(), ask(time.Minute))
 		refusal := refusalOf(t, err, ReasonNoCapacity)
@@ -199,7 +201,7 @@
 		ready(control)
 		ended := <-later
 		if ended.err != nil {
-			t.Fatalf("came back after RetryAfter: %v", ended.err)
+			t.Fatalf("request after RetryAfter was refused: %v", ended.err)
 		}
 		ended.grant.Done(served(time.Millisecond))
 	})
@@ -209,7 +211,7 @@
 	for _, key := range []string{"model_rate", "service_rate"} {
 		t.Run(key, func(t *testing.T) {
 			control := newStubControl(t, key, "1")
-			virtually(t, Config{Control: control}, func(t *testing.T, router *Router) {
+			inVirtualTime(t, Config{Control: control}, func(t *testing.T, router *Router) {
 				control.publish(readyOn("m", 1))
 				mustAcquire(t, router, ask(time.Minute)).Done(served(time.Millisecond))
 
@@ -226,7 +228,7 @@
 
 func TestRequestsThatNeverQueue(t *testing.T) {
 	control := newStubControl(t, "caller_rate", "1", "max_tokens", "1000")
-	virtually(t, Config{Control: control}, func(t *testing.T, router *Router) {
+	inVirtualTime(t, Config{Control: control}, func(t *testing.T, router *Router) {
 		control.publish(readyOn("m", 1))
 		large := ask(time.Minute)
 		large.MaxTokens = 1000
@@ -255,21 +257,21 @@
 
 func TestServiceCannotFillTheNodesQueues(t *testing.T) {
 	control := newStubControl(t)
-	virtually(t, Config{Control: control, MaxWaiting: 100}, func(t *testing.T, router *Router) {
+	inVirtualTime(t, Config{Control: control, MaxWaiting: 100}, func(t *testing.T, router *Router) {
 		ctx, cancel := context.WithCancel(context.Background())
 		for range 200 {
 			acquireLater(ctx, router, ask(time.Minute))
 		}
 		synctest.Wait()
 		if waiting := router.Stats().Waiting; waiting != 50 {
-			t.Errorf("%d requests of the flooding service wait, want half of 100", waiting)
+			t.Errorf("%d requests of the flooding service wait, want 50, half of MaxWaiting", waiting)
 		}
 		pump := ask(time.Minute)
 		pump.Model = "p"
 		acquireLater(ctx, router, pump)
 		synctest.Wait()
 		if waiting := router.Stats().Waiting; waiting != 51 {
-			t.Errorf("%d wait, want the other service's request too", waiting)
+			t.Errorf("%d requests wait, want 51, including the other service's request", waiting)
 		}
 		cancel()
 		synctest.Wait()
--- a/pkg/traffic/benchmark_test.go
+++ b/pkg/traffic/benchmark_test.go
@@ -11,8 +11,8 @@
 	"martenwheel.dev/pkg/traffic/prefixcache"
 )
 
-// benchmarkRouter returns a router with a model on twelve servers, each with a
-// load report and a prefix index of the prompt's first half.
+// benchmarkRouter returns a router with a model on twelve servers. It knows a load report
+// of each server, and that each has cached the first half of the prompt.
 func benchmarkRouter(b *testing.B, prompt []uint64) *Router {
 	control := newStubControl(b, "max_concurrency", "10000")
 	control.directory = readyOn("m", 12)
@@ -27,7 +27,7 @@
 	return router
 }
 
-// BenchmarkDecision measures Acquire and Done of a warm model.
+// BenchmarkDecision measures Acquire and Done for a loaded model.
 func BenchmarkDecision(b *testing.B) {
 	for _, blocks := range []int{0, 32} {
 		prompt := make([]uint64, blocks)
@@ -50,7 +50,7 @@
 	}
 }
 
-// BenchmarkQueued measures a request that joins a queue of others and leaves it.
+// BenchmarkQueued measures queueing a request behind others and removing it.
 func BenchmarkQueued(b *testing.B) {
 	for _, waiting := range []int{10, 1000} {
 		b.Run(fmt.Sprintf("waiting=%d", waiting), func(b *testing.B) {
@@ -78,8 +78,8 @@
 	}
 }
 
-// BenchmarkDecisionParallel measures Acquire and Done of one warm model from
-// all processors at once.
+// BenchmarkDecisionParallel measures Acquire and Done for one loaded model on all
+// processors at once.
 func BenchmarkDecisionParallel(b *testing.B) {
 	router := benchmarkRouter(b, nil)
 	request := ask(time.Hour)
@@ -96,7 +96,7 @@
 	})
 }
 
-// BenchmarkLeaving is what a relayed event costs beyond the relay.
+// BenchmarkLeaving measures Leaving, which is called for each relayed event.
 func BenchmarkLeaving(b *testing.B) {
 	router := benchmarkRouter(b, nil)
 	granted, err := router.Acquire(context.Background(), ask(time.Hour))
--- a/pkg/traffic/collector.go
+++ b/pkg/traffic/collector.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// The metrics of a node's traffic, by model.
+// Metrics of a node's traffic, by model.
 var (
 	waitingDesc = prometheus.NewDesc("martenwheel_requests_waiting",
 		"Requests that wait for a place on a replica.", []string{"model"}, nil)
--- a/pkg/traffic/collector_test.go
+++ b/pkg/traffic/collector_test.go
@@ -10,7 +10,7 @@
 
 func TestCollectorExportsStats(t *testing.T) {
 	control := newStubControl(t)
-	virtually(t, Config{Control: control}, func(t *testing.T, router *Router) {
+	inVirtualTime(t, Config{Control: control}, func(t *testing.T, router *Router) {
 		control.publish(readyOn("m", 1))
 		mustAcquire(t, router, ask(time.Minute)).Done(served(time.Millisecond))
 		_, err := router.Acquire(context.Background(), ask(0))
--- a/pkg/traffic/concurrency_test.go
+++ b/pkg/traffic/concurrency_test.go
@@ -13,8 +13,8 @@
 	"martenwheel.dev/pkg/tree"
 )
 
-// Requests, observations, changes and snapshots at once: nothing is lost and,
-// under the race detector, nothing is shared without a lock.
+// TestConcurrentUse runs requests, observations, directory changes and snapshots at once.
+// No request may be lost, and the race detector must find no unsynchronized access.
 func TestConcurrentUse(t *testing.T) {
 	const workers, rounds = 8, 300
 	control := newStubControl(t, "max_concurrency", "2")
@@ -30,7 +30,7 @@
 				request.Prefixes = []uint64{uint64(round), uint64(worker)}
 				granted, err := router.Acquire(context.Background(), request)
 				if err != nil {
-					t.Errorf("request: %v", err)
+					t.Errorf("request was refused: %v", err)
 					return
 				}
 				router.ObserveLoad(time.Now(), server, engine.LoadReport{Instance: "i", AsOf: time.Now()})
@@ -49,15 +49,15 @@
 	group.Wait()
 	stats := router.Stats()
 	if len(stats.Models) != 1 || stats.Models[0].Granted != workers*rounds || stats.Running != 0 || stats.Waiting != 0 {
-		t.Errorf("after %d requests: %+v", workers*rounds, stats)
+		t.Errorf("after %d requests: got %+v, want all granted and none left", workers*rounds, stats)
 	}
 }
 
-// A request that found its model before an edit must not bring the older
-// settings back.
+// TestSettingsNeverRevert checks that a request that resolved its model before an edit does
+// not restore the older settings.
 func TestSettingsNeverRevert(t *testing.T) {
 	control := newStubControl(t, "max_concurrency", "1")
-	virtually(t, Config{Control: control}, func(t *testing.T, router *Router) {
+	inVirtualTime(t, Config{Control: control}, func(t *testing.T, router *Router) {
 		before, _ := control.tree.Model("m")
 		edited, err := control.tree.Apply(tree.Change{ID: "edit", Edits: []tree.Edit{
 			{Path: "/desk", Key: "max_concurrency", Value: "2"},
@@ -73,7 +73,7 @@
 		for place := range 2 {
 			answer := pool.arrive(time.Now(), before, &request, attempts{})
 			if answer.grant == nil {
-				t.Fatalf("place %d of 2 not given by the settings before the edit", place+1)
+				t.Fatalf("slot %d of 2 not granted; the settings before the edit are in force", place+1)
 			}
 			defer answer.grant.Done(served(time.Millisecond))
 		}
--- a/pkg/traffic/config.go
+++ b/pkg/traffic/config.go
@@ -7,31 +7,32 @@
 	"martenwheel.dev/pkg/traffic/outlier"
 )
 
-// Config is what a Router needs from its node. Control must be set; the zero
-// values of the other fields select defaults.
+// Config configures a Router. Control must be set; the zero values of the other
+// fields select defaults.
 type Config struct {
 	Control    Control
-	Zone       string           // of this node
+	Zone       string           // zone of this node
 	Now        func() time.Time // time.Now if nil
-	Seed       uint64           // of the random choices; the same seed gives the same choices
-	MaxWaiting int              // requests that wait on this node, of all models
-	MaxCallers int              // callers whose rates are remembered
-	HeadStart  float64          // tokens that one step of priority is worth in a queue
+	Seed       uint64           // for the random choices; the same seed gives the same choices
+	MaxWaiting int              // maximum number of requests of all models that wait on this node
+	MaxCallers int              // number of callers whose rate limit state is kept
+	HeadStart  float64          // tokens by which one step of priority moves a request ahead in a queue
 	Outlier    outlier.Config
 
 	off mechanisms
 }
 
-// mechanisms are switched off by tests, to show what each is needed for.
+// mechanisms selects the mechanisms that tests switch off, to verify that each one is
+// needed.
 type mechanisms struct {
-	fairness     bool // between callers
-	earlyRefusal bool // of what can't be ready by its deadline
-	wakeOnce     bool // one report per idle model
-	retryChecks  bool // whether a repeat is safe
-	displacement bool // from a full queue, by callers with less in it
-	leaving      bool // exclusion of servers that said that they leave
+	fairness     bool // fair queueing between callers
+	earlyRefusal bool // refusal of requests that can't be served by their deadline
+	wakeOnce     bool // a single immediate report for each model without a replica
+	retryChecks  bool // check that a retry is safe
+	displacement bool // displacement from a full queue by callers with fewer requests in it
+	leaving      bool // exclusion of servers that reported that they leave
 	unreachable  bool // exclusion of servers that answer neither the owner nor this node
-	callerCheck  bool // whether the caller of a queued request is still there
+	callerCheck  bool // check that the caller of a queued request is still connected
 }
 
 // Defaults of Config.
--- a/pkg/traffic/demand.go
+++ b/pkg/traffic/demand.go
@@ -9,26 +9,26 @@
 // reportInterval is the time between two reports of a model's demand.
 const reportInterval = time.Second
 
-// demand is what a node has seen of a model since its last report.
+// demand counts the requests for a model between two reports.
 type demand struct {
-	arrivals    uint32
+	arrivals    uint32 // since the last report
 	lastArrival time.Time
-	wokenAt     time.Time // when a report for a model without a replica went out; zero: none
-	reported    bool      // the last report had something waiting or in flight
+	wokenAt     time.Time // when the immediate report for a model without a replica was sent; zero: none
+	reported    bool      // whether the last report had requests waiting or in flight
 }
 
-// arrive counts a request.
-func (d *demand) arrive(now time.Time) {
+// countArrival counts a new request.
+func (d *demand) countArrival(now time.Time) {
 	d.arrivals++
 	d.lastArrival = now
 }
 
-// takeReport returns the demand of a model and starts to count anew.
+// takeReport returns the demand of a model and resets the count of arrivals.
 func (p *pool) takeReport(state *modelState) api.ModelDemand {
 	report := api.ModelDemand{
 		Model:       state.name,
 		Arrivals:    state.demand.arrivals,
-		InFlight:    uint32(state.pace.running),
+		InFlight:    uint32(state.throughput.running),
 		LastArrival: state.demand.lastArrival,
 	}
 	for _, waiting := range p.waitingOf(state) {
@@ -49,8 +49,9 @@
 	return report
 }
 
-// wake returns the report that asks the owner for a replica, for the first
-// request that waits for a model without one, and false for all others.
+// wake returns the immediate report that asks the owner for a replica. It is due for
+// the first request that waits for a model without a replica; for all others wake
+// returns false.
 func (p *pool) wake(now time.Time, state *modelState) (api.ModelDemand, bool) {
 	if state.anyServes(now) {
 		state.demand.wokenAt = time.Time{}
@@ -63,8 +64,8 @@
 	return p.takeReport(state), true
 }
 
-// dueReports returns the reports of the pool's models that have any demand, or
-// had some at their last report.
+// dueReports returns the reports of the pool's models that have any demand or had
+// some at their last report.
 func (p *pool) dueReports() []api.ModelDemand {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -72,9 +73,9 @@
 	for _, state := range p.models {
 		waiting := p.waitingCount(state)
 		if waiting == 0 {
-			state.answer.wanted = false
+			state.answer.accepted = false
 		}
-		active := state.demand.arrivals > 0 || waiting > 0 || state.pace.running > 0
+		active := state.demand.arrivals > 0 || waiting > 0 || state.throughput.running > 0
 		if active || state.demand.reported {
 			due = append(due, p.takeReport(state))
 		}
--- a/pkg/traffic/demand_test.go
+++ b/pkg/traffic/demand_test.go
@@ -9,11 +9,12 @@
 	"martenwheel.dev/pkg/api"
 )
 
-// The demand of a waiting request is reported each second, so that a new owner
-// learns of it when the first report was lost with the old one.
+// TestDemandIsReportedUntilServed checks that the demand of a waiting request is reported
+// each second, so that a new owner learns of it if the first report was lost with the old
+// one.
 func TestDemandIsReportedUntilServed(t *testing.T) {
 	control := newStubControl(t)
-	virtually(t, Config{Control: control}, func(t *testing.T, router *Router) {
+	inVirtualTime(t, Config{Control: control}, func(t *testing.T, router *Router) {
 		urgent := ask(5 * time.Second)
 		urgent.Priority = 7
 		waiting := serveLater(router, ask(time.Minute), 1500*time.Millisecond)
@@ -21,7 +22,7 @@
 		later := serveLater(router, urgent, 1500*time.Millisecond)
 		synctest.Wait()
 		if first := control.reported(); len(first) != 1 || first[0].Waiting != 1 || first[0].Arrivals != 1 {
-			t.Fatalf("first reports %+v, want one of one waiting request", first)
+			t.Fatalf("got first reports %+v, want one with one waiting request", first)
 		}
 		time.Sleep(2100 * time.Millisecond)
 		reports := control.reported()
@@ -33,7 +34,7 @@
 			EarliestDeadline: urgent.Deadline, LastArrival: urgent.Arrived,
 		}
 		if reports[2] != want {
-			t.Errorf("report %+v, want %+v", reports[2], want)
+			t.Errorf("got report %+v, want %+v", reports[2], want)
 		}
 		control.publish(readyOn("m", 1))
 		<-waiting
@@ -42,20 +43,20 @@
 		reports = control.reported()
 		last := reports[len(reports)-1]
 		if last.Waiting != 0 || last.InFlight != 0 {
-			t.Errorf("last report %+v, want one of no demand", last)
+			t.Errorf("got last report %+v, want one without demand", last)
 		}
 		time.Sleep(3 * time.Second)
 		if idle := len(control.reported()) - len(reports); idle != 0 {
-			t.Errorf("%d reports of an idle model", idle)
+			t.Errorf("%d reports of an idle model, want 0", idle)
 		}
 	})
 }
 
-// Prompts that begin alike go to the replica that has their prefix, until it is
-// much fuller than others.
+// TestPrefixAffinityGivesWayToLoad checks that prompts with a common prefix go to the
+// replica that has cached it, until that one is much more loaded than others.
 func TestPrefixAffinityGivesWayToLoad(t *testing.T) {
 	control := newStubControl(t, "max_concurrency", "10")
-	virtually(t, Config{Control: control}, func(t *testing.T, router *Router) {
+	inVirtualTime(t, Config{Control: control}, func(t *testing.T, router *Router) {
 		control.publish(readyOn("m", 4))
 		request := ask(time.Minute)
 		request.Prefixes = []uint64{1, 2, 3, 4}
@@ -75,7 +76,7 @@
 			}
 		}
 		if onHome == len(grants) {
-			t.Error("all requests went to the replica with the prefix, however full")
+			t.Error("all requests went to the replica with the prefix, regardless of its load")
 		}
 		for _, granted := range grants {
 			granted.Done(served(time.Millisecond))
@@ -83,10 +84,11 @@
 	})
 }
 
-// What waits when a replica goes is handed on to the next one.
+// TestWaitingIsHandedOnWhenTheReplicaGoes checks that requests that wait for a replica that
+// is drained are served by another replica.
 func TestWaitingIsHandedOnWhenTheReplicaGoes(t *testing.T) {
 	control := newStubControl(t, "max_concurrency", "1")
-	virtually(t, Config{Control: control}, func(t *testing.T, router *Router) {
+	inVirtualTime(t, Config{Control: control}, func(t *testing.T, router *Router) {
 		control.publish(readyOn("m", 1))
 		running := mustAcquire(t, router, ask(time.Minute))
 		waiting := acquireLater(context.Background(), router, ask(time.Minute))
@@ -97,19 +99,19 @@
 		))
 		ended := <-waiting
 		if ended.err != nil || ended.grant.Target().Server != "s1" {
-			t.Fatalf("waiting request: %+v, want a place on s1", ended)
+			t.Fatalf("waiting request: got %+v, want a slot on s1", ended)
 		}
 		running.Done(served(time.Millisecond))
 		running.Done(served(time.Millisecond)) // a second Done has no effect
 		next := acquireLater(context.Background(), router, ask(time.Minute))
-		synctest.Wait() // the draining replica has a free place, which is not given
+		synctest.Wait() // the draining replica has a free slot, which must not be granted
 		ended.grant.Done(served(time.Millisecond))
 		if ended = <-next; ended.err != nil || ended.grant.Target().Server != "s1" {
-			t.Fatalf("next request: %+v, want a place on s1", ended)
+			t.Fatalf("next request: got %+v, want a slot on s1", ended)
 		}
 		ended.grant.Done(served(time.Millisecond))
 		if running := router.Stats().Running; running != 0 {
-			t.Errorf("%d running, want 0", running)
+			t.Errorf("%d requests running, want 0", running)
 		}
 	})
 }
--- a/pkg/traffic/dispatcher.go
+++ b/pkg/traffic/dispatcher.go
@@ -16,27 +16,26 @@
 	"martenwheel.dev/pkg/tree"
 )
 
-// Router is the Dispatcher of a node. Create it with New and end it with Close.
+// Router is the Dispatcher of a node. Create it with New and stop it with Close.
 type Router struct {
-	config   Config
-	servers  servers
-	callers  *limit.Table
-	shared   *limit.Table // of models and services
-	pools    sync.Map     // base api.ModelName to *pool
-	services sync.Map     // service name to *atomic.Int64: its waiting requests
-	waiting  atomic.Int64
-	running  atomic.Int64
-	stopping atomic.Int64 // end of the planned stop in Unix nanoseconds; zero: none
-	unknown  atomic.Uint64
-	closed   chan struct{}
-	closing  sync.Once
-	work     conc.WaitGroup
+	config        Config
+	servers       servers
+	callers       *limit.Table
+	shared        *limit.Table // rate limits of models and services
+	pools         sync.Map     // base api.ModelName to *pool
+	services      sync.Map     // service name to *atomic.Int64, its number of waiting requests
+	waiting       atomic.Int64
+	running       atomic.Int64
+	stopDeadline  atomic.Int64  // end of the planned stop in Unix nanoseconds; zero: none
+	unknownModels atomic.Uint64 // requests for unknown models
+	closed        chan struct{}
+	closing       sync.Once
+	work          conc.WaitGroup
 }
 
 var _ Dispatcher = (*Router)(nil)
 
-// New returns a Router that takes its settings and its view of the cells from
-// config.Control.
+// New returns a Router that gets its settings and directory from config.Control.
 func New(config Config) *Router {
 	config = config.withDefaults()
 	router := &Router{
@@ -50,24 +49,24 @@
 	return router
 }
 
-// Close ends the router's own work. Requests that still wait are refused.
+// Close stops the router's background work. Requests that still wait are refused.
 func (r *Router) Close() {
 	r.closing.Do(func() {
-		r.stopping.Store(r.config.Now().UnixNano())
+		r.stopDeadline.Store(r.config.Now().UnixNano())
 		close(r.closed)
 	})
 	r.work.Wait()
 	r.sweep()
 }
 
-// Acquire waits until the request has a place on a replica. A request without a
-// deadline gets that of its model's settings.
+// Acquire waits until the request has a slot on a replica. A request without a
+// deadline gets the one of its model's settings.
 func (r *Router) Acquire(ctx context.Context, request Request) (Grant, error) {
 	now := r.config.Now()
 	settings, _ := r.config.Control.Tree()
 	model, found := settings.Model(request.Model)
 	if !found {
-		r.unknown.Add(1)
+		r.unknownModels.Add(1)
 		return nil, attempts{}.refuse(unknownModel(request.Model))
 	}
 	if request.Deadline.IsZero() {
@@ -80,7 +79,7 @@
 	return r.place(ctx, model, &request, attempts{})
 }
 
-// admit refuses what is not even to be queued.
+// admit returns the refusal of a request that must not be queued, else nil.
 func (r *Router) admit(ctx context.Context, now time.Time, model *tree.Model, request *Request) *Refusal {
 	if ctx.Err() != nil {
 		return callerLeft()
@@ -91,7 +90,7 @@
 	if !request.Deadline.After(now) {
 		return &Refusal{Reason: ReasonDeadline, Message: "the deadline has passed"}
 	}
-	delay, allowed := r.takeRates(now, model, request)
+	delay, allowed := r.chargeRateLimits(now, model, request)
 	if !allowed {
 		return &Refusal{Reason: ReasonRateLimited, Message: "the rate limit is exceeded",
 			RetryAfter: max(minRetryAfter, delay)}
@@ -99,9 +98,10 @@
 	return nil
 }
 
-// takeRates takes the request out of the rates that limit it. The caller's own
-// goes first: what it refuses doesn't use up the shared ones.
-func (r *Router) takeRates(now time.Time, model *tree.Model, request *Request) (time.Duration, bool) {
+// chargeRateLimits charges the request to the rate limits of the caller, the model and the
+// service. It checks the caller's limit first, so that requests refused by it do not
+// use up the shared limits. If a limit refuses, it returns the time to wait.
+func (r *Router) chargeRateLimits(now time.Time, model *tree.Model, request *Request) (time.Duration, bool) {
 	tokens := tokensOf(request)
 	callerKey := limit.Key{
 		Scope: limit.ScopeCaller, Service: model.Service, Name: request.Caller,
@@ -121,7 +121,7 @@
 	return r.shared.Take(now, serviceKey, tokens)
 }
 
-// place finds a place for an admitted request, and waits for it if need be.
+// place acquires a slot for an admitted request, and waits for it if necessary.
 func (r *Router) place(ctx context.Context, model tree.Model, request *Request, earlier attempts) (Grant, error) {
 	pool := r.poolOf(&model)
 	answer := pool.arrive(r.config.Now(), model, request, earlier)
@@ -137,8 +137,8 @@
 	return answer.grant, nil
 }
 
-// again finds a place for a request that is retried.
-func (r *Router) again(ctx context.Context, request *Request, earlier attempts) (Grant, error) {
+// retry acquires a slot for a request that is retried.
+func (r *Router) retry(ctx context.Context, request *Request, earlier attempts) (Grant, error) {
 	settings, _ := r.config.Control.Tree()
 	model, found := settings.Model(request.Model)
 	if !found {
@@ -158,18 +158,19 @@
 	}
 	select {
 	case end := <-waiting.result:
-		return r.unlessLeft(ctx, end)
+		return r.releaseIfLeft(ctx, end)
 	case <-deadline.C:
 		pool.abandon(waiting, &Refusal{Reason: ReasonDeadline,
 			Message: "no replica became free by the deadline", RetryAfter: defaultRetryAfter})
 	case <-left:
 		pool.abandon(waiting, callerLeft())
 	}
-	return r.unlessLeft(ctx, <-waiting.result)
+	return r.releaseIfLeft(ctx, <-waiting.result)
 }
 
-// unlessLeft gives back a place that came just when the caller left.
-func (r *Router) unlessLeft(ctx context.Context, end settlement) settlement {
+// releaseIfLeft returns end, or a refusal if the caller left in the meantime. It releases
+// a slot that was granted just as the caller left.
+func (r *Router) releaseIfLeft(ctx context.Context, end settlement) settlement {
 	if end.grant == nil || ctx.Err() == nil || r.config.off.callerCheck {
 		return end
 	}
@@ -177,7 +178,7 @@
 	return settlement{refusal: end.grant.earlier.refuse(callerLeft())}
 }
 
-// poolOf returns the pool of the model's base, which is made if it is new.
+// poolOf returns the pool of the model's base and creates it if necessary.
 func (r *Router) poolOf(model *tree.Model) *pool {
 	base := model.Base
 	if base == "" {
@@ -191,22 +192,22 @@
 	return known.(*pool)
 }
 
-// ObserveLoad takes in an engine's load report.
+// ObserveLoad processes an engine's load report.
 func (r *Router) ObserveLoad(now time.Time, id api.ServerID, report engine.LoadReport) {
 	known := r.servers.get(id)
 	known.observeAnswer(now)
 	known.observeLoad(report)
 }
 
-// ObserveCacheEvents takes in a page of an engine's cache events.
+// ObserveCacheEvents processes a page of an engine's cache events.
 func (r *Router) ObserveCacheEvents(now time.Time, id api.ServerID, page engine.CacheEvents) {
 	known := r.servers.get(id)
 	known.observeInstance(page.Instance)
 	known.prefixes.Observe(now, page)
 }
 
-// ObserveLeaving excludes a server at once, since its engine said that it is
-// leaving. It is taken in again when another instance of the engine is seen.
+// ObserveLeaving excludes a server whose engine reported that it is leaving, until
+// another instance of the engine is seen.
 func (r *Router) ObserveLeaving(id api.ServerID, instance string) {
 	r.servers.get(id).leaving.Store(&instance)
 }
--- a/pkg/traffic/fairness_test.go
+++ b/pkg/traffic/fairness_test.go
@@ -9,19 +9,19 @@
 	"martenwheel.dev/pkg/api"
 )
 
-// Beside a flood of 400 requests, one caller asks once. Each place is held for
-// 100 ms on one replica with two places.
+// In the tests with a flood, one caller sends 400 requests and another one sends a single
+// request. There is one replica with two slots.
 const (
 	floodSize = 400
-	floodHold = 100 * time.Millisecond
+	floodHold = 100 * time.Millisecond // time that each request holds its slot
 )
 
-// floodWait returns how long a single request waits beside the flood.
+// floodWait returns how long the single request waits.
 func floodWait(t *testing.T, off mechanisms, priority int) time.Duration {
 	t.Helper()
 	control := newStubControl(t, "max_concurrency", "2")
 	var waited time.Duration
-	virtually(t, Config{Control: control, off: off}, func(t *testing.T, router *Router) {
+	inVirtualTime(t, Config{Control: control, off: off}, func(t *testing.T, router *Router) {
 		control.publish(readyOn("m", 1))
 		flood := make([]<-chan result, floodSize)
 		for index := range flood {
@@ -50,12 +50,12 @@
 	const most = 2 * floodHold
 	fair := floodWait(t, mechanisms{}, 0)
 	unfair := floodWait(t, mechanisms{fairness: true}, 0)
-	t.Logf("wait beside the flood: %v with fairness, %v without", fair, unfair)
+	t.Logf("the single request waits %v with fairness, %v without", fair, unfair)
 	if fair > most {
 		t.Errorf("waited %v beside a flood, want at most %v", fair, most)
 	}
 	if unfair <= most {
-		t.Errorf("waited only %v with fairness off; the test proves nothing", unfair)
+		t.Errorf("waited only %v with fairness off; the test does not test fairness", unfair)
 	}
 }
 
@@ -65,11 +65,12 @@
 	}
 }
 
-// A flood that filled the queue gives way to a caller with nothing in it.
+// TestFullQueueTakesInOtherCallers checks that a caller without waiting requests displaces
+// one from a queue that another caller has filled.
 func TestFullQueueTakesInOtherCallers(t *testing.T) {
 	for _, off := range []bool{false, true} {
 		control := newStubControl(t, "queue_requests", "10")
-		virtually(t, Config{Control: control, off: mechanisms{displacement: off}}, func(t *testing.T, router *Router) {
+		inVirtualTime(t, Config{Control: control, off: mechanisms{displacement: off}}, func(t *testing.T, router *Router) {
 			var flood []<-chan result
 			for range 10 {
 				request := ask(time.Minute)
@@ -81,7 +82,7 @@
 			synctest.Wait()
 			control.publish(readyOn("m", 1))
 			if ended := <-single; (ended.err != nil) != off {
-				t.Errorf("single caller: %v with displacement off: %t", ended.err, off)
+				t.Errorf("single caller: got error %v with displacement off: %t", ended.err, off)
 			}
 			refused := 0
 			for _, end := range flood {
@@ -91,36 +92,37 @@
 				}
 			}
 			if want := map[bool]int{false: 1, true: 0}[off]; refused != want {
-				t.Errorf("%d of the flood refused, want %d", refused, want)
+				t.Errorf("%d requests of the flood refused, want %d", refused, want)
 			}
 		})
 	}
 }
 
-// The queue is bounded in prompt tokens as well.
+// TestQueueIsBoundedInTokens checks that the queue is also bounded in prompt tokens.
 func TestQueueIsBoundedInTokens(t *testing.T) {
 	control := newStubControl(t, "queue_tokens", "35")
-	virtually(t, Config{Control: control}, func(t *testing.T, router *Router) {
+	inVirtualTime(t, Config{Control: control}, func(t *testing.T, router *Router) {
 		ctx, leave := context.WithCancel(context.Background())
 		defer leave()
 		for range 5 {
 			request := ask(time.Minute)
-			request.MaxTokens = 1000 // takes no room while it waits
+			request.MaxTokens = 1000 // does not count while the request waits
 			acquireLater(ctx, router, request)
 		}
 		synctest.Wait()
 		if waiting := router.Stats().Waiting; waiting != 3 {
-			t.Errorf("%d requests of 10 tokens wait in a queue of 35, want 3", waiting)
+			t.Errorf("%d requests of 10 tokens wait in a queue of 35 tokens, want 3", waiting)
 		}
 		leave()
 		synctest.Wait()
 	})
 }
 
-// An adapter and its base share the places of the base.
+// TestAdapterSharesThePlacesOfItsBase checks that requests for an adapter and for its base
+// share the slots of the base.
 func TestAdapterSharesThePlacesOfItsBase(t *testing.T) {
 	control := newStubControl(t, "max_concurrency", "2")
-	virtually(t, Config{Control: control}, func(t *testing.T, router *Router) {
+	inVirtualTime(t, Config{Control: control}, func(t *testing.T, router *Router) {
 		control.publish(makeDirectory(
 			api.Replica{Model: "m", Server: "s0", State: api.ReplicaReady},
 			api.Replica{Model: "m:a", Base: "m", Server: "s0", State: api.ReplicaReady},
@@ -132,7 +134,7 @@
 		later := serveLater(router, adapted, time.Millisecond)
 		synctest.Wait()
 		if waiting := router.Stats().Waiting; waiting != 1 {
-			t.Fatalf("%d wait, want the third request", waiting)
+			t.Fatalf("%d requests wait, want only the third one", waiting)
 		}
 		second.Done(served(time.Millisecond))
 		if ended := <-later; ended.err != nil {
--- a/pkg/traffic/fairqueue/class.go
+++ b/pkg/traffic/fairqueue/class.go
@@ -6,11 +6,10 @@
 	"martenwheel.dev/pkg/indexedheap"
 )
 
-// maxIdleFlows bounds the flows of a class that are remembered though nothing
-// of theirs waits.
+// maxIdleFlows bounds the number of flows without waiting items that a class keeps.
 const maxIdleFlows = 1024
 
-// class shares the places of a model between its flows.
+// class shares the slots of a model between its flows.
 type class[T any] struct {
 	tags
 	name    string
@@ -22,7 +21,7 @@
 	size    int
 }
 
-// priority is that of the flow which is served next.
+// priority returns the priority of the flow that is served next.
 func (c *class[T]) priority() int { return c.backlog[0].priority() }
 
 func (c *class[T]) key(headStart float64) float64 {
@@ -66,14 +65,14 @@
 	c.reorder(from, headStart)
 }
 
-// reorder restores the order of the backlog after a flow's head or tags changed.
+// reorder restores the order of the backlog after the head or the tags of a flow changed.
 func (c *class[T]) reorder(changed *flow[T], headStart float64) {
 	changed.key = changed.keyAt(changed.priority(), headStart)
 	heap.Fix(&c.backlog, changed.position)
 }
 
-// forgetIdle drops idle flows once there are many: first those whose tags have
-// passed, and, if that is not enough, all idle ones.
+// forgetIdle deletes idle flows if there are too many: first those whose finish tag is
+// in the virtual past, and, if that is not enough, all idle ones.
 func (c *class[T]) forgetIdle() {
 	if len(c.flows)-len(c.backlog) < maxIdleFlows {
 		return
@@ -93,9 +92,9 @@
 	}
 }
 
-// ahead estimates how many items of the class are served before item: those of
-// its own flow that precede it, and as many rounds of each flow that is not
-// less urgent.
+// ahead estimates how many items of the class are served before item: those before it in
+// its own flow, all of each more urgent flow, and of each equally urgent flow as many as
+// of its own, including itself.
 func (c *class[T]) ahead(item *Item[T]) int {
 	own := 0
 	for _, other := range item.flow.items {
@@ -123,14 +122,14 @@
 	class    *class[T]
 	items    indexedheap.Heap[*Item[T]]
 	cost     float64
-	key      float64 // orders the class's backlog
-	position int     // in the class's backlog
+	key      float64 // sort key in the class's backlog
+	position int     // index in the class's backlog
 }
 
 func (f *flow[T]) priority() int { return f.items[0].Priority }
 
-// Before orders flows by their keys, and equal ones by the arrival of their
-// heads.
+// Before reports whether the flow is served before other: flows are ordered by key, and
+// at equal keys by the arrival of their first items.
 func (f *flow[T]) Before(other *flow[T]) bool {
 	if f.key != other.key {
 		return f.key < other.key
--- a/pkg/traffic/fairqueue/queue.go
+++ b/pkg/traffic/fairqueue/queue.go
@@ -1,33 +1,33 @@
-// Package fairqueue orders waiting requests. It shares the places that become
+// Package fairqueue orders waiting requests. It shares the slots that become
 // free between classes (models) and, within a class, between flows (callers)
 // by start-time fair queueing (Goyal, Vin, Cheng 1996) on two levels. Priority
-// gives a bounded head start, as the warp of borrowed virtual time (Duda,
+// gives a bounded head start, like the warp of borrowed virtual time (Duda,
 // Cheriton 1999): an urgent request overtakes a flood, but a flood of urgent
-// requests cannot starve the rest. Within a flow, requests go by priority, then
-// deadline, then arrival.
+// requests cannot starve the rest. Within a flow, requests are ordered by
+// priority, then deadline, then arrival.
 //
 // A Queue reads no clock and is not safe for concurrent use.
 package fairqueue
 
 import "time"
 
-// Item is a waiting request. The exported fields are not changed while it is in
-// a queue.
+// Item is a waiting request. The exported fields must not be changed while it is in a
+// queue.
 type Item[T any] struct {
 	Value    T
 	Class    string
 	Flow     string
-	Cost     float64 // of serving it, such as its tokens; must be above zero
-	Size     int     // of the room that it takes while it waits
+	Cost     float64 // cost of serving it, such as its tokens; must be above zero
+	Size     int     // memory that it takes while it waits, such as its prompt tokens
 	Priority int     // larger is more urgent
 	Deadline time.Time
 
-	sequence uint64
-	position int // in the flow's heap
+	sequence uint64 // order of arrival
+	position int    // index in the flow's heap
 	flow     *flow[T]
 }
 
-// Before tells whether the item goes before other within one flow.
+// Before reports whether the item is served before other within one flow.
 func (i *Item[T]) Before(other *Item[T]) bool {
 	if i.Priority != other.Priority {
 		return i.Priority > other.Priority
@@ -50,17 +50,17 @@
 	sequence  uint64
 }
 
-// maxPriority bounds the head start that a priority gives, above and below 0.
+// maxPriority bounds the priority that counts for the head start, above and below 0.
 const maxPriority = 100
 
-// New returns an empty queue. Each step of priority gives a head start of as
-// much cost as headStart.
+// New returns an empty queue. Each step of priority gives a head start of headStart, in
+// units of cost.
 func New[T any](headStart float64) *Queue[T] {
 	return &Queue[T]{headStart: headStart}
 }
 
-// NewUnfair returns a queue that puts all items of a class into one flow. Tests
-// use it to show what the fair order is worth.
+// NewUnfair returns a queue that puts all items of a class into one flow. Tests use it
+// to verify that fairness between flows is needed.
 func NewUnfair[T any](headStart float64) *Queue[T] {
 	return &Queue[T]{headStart: headStart, unfair: true}
 }
@@ -84,7 +84,7 @@
 	return 0
 }
 
-// SetWeight sets the share of a class in the places of a contended queue. A
+// SetWeight sets the weight by which a class shares the slots with other classes. A
 // weight that is not above zero counts as 1.
 func (q *Queue[T]) SetWeight(name string, weight float64) {
 	if weight <= 0 {
@@ -100,7 +100,7 @@
 	q.insert(item)
 }
 
-// insert adds an item that has its sequence.
+// insert adds an item whose sequence is set.
 func (q *Queue[T]) insert(item *Item[T]) {
 	class := q.findOrAdd(item.Class)
 	if class.length == 0 {
@@ -117,8 +117,8 @@
 	return item.Flow
 }
 
-// Next returns the item that is served next, without removing it, among the
-// classes that are not blocked, or nil.
+// Next returns the item of the unblocked classes that is served next, without removing
+// it; nil if there is none.
 func (q *Queue[T]) Next() *Item[T] {
 	class := q.nextClass()
 	if class == nil {
@@ -140,14 +140,14 @@
 	return best
 }
 
-// Block keeps a class out of Next until Unblock.
+// Block excludes a class from Next until Unblock is called.
 func (q *Queue[T]) Block(name string) {
 	if class := q.find(name); class != nil {
 		class.blocked = true
 	}
 }
 
-// Unblock lets all classes take part in Next again.
+// Unblock includes all classes in Next again.
 func (q *Queue[T]) Unblock() {
 	for _, class := range q.classes {
 		class.blocked = false
@@ -162,7 +162,7 @@
 	q.Remove(item)
 }
 
-// Remove takes an item out without charging anything.
+// Remove removes an item without charging its cost.
 func (q *Queue[T]) Remove(item *Item[T]) {
 	class := item.flow.class
 	class.remove(item, q.headStart)
@@ -172,14 +172,14 @@
 	}
 }
 
-// reset forgets the tags of an empty queue, which have no meaning any more.
+// reset discards the tags of an empty queue, which are no longer needed.
 func (q *Queue[T]) reset() {
 	q.classes = nil
 	q.clock = clock{}
 }
 
-// Last returns the item that a full class gives up first: the last one of the
-// flow with the highest cost waiting. Of equal flows it takes the preferred.
+// Last returns the item that a full class discards first: the last one of the flow with
+// the highest total cost waiting. Among flows of equal cost it takes the preferred one.
 func (q *Queue[T]) Last(name, preferred string) *Item[T] {
 	class := q.find(name)
 	if class == nil || class.length == 0 {
@@ -200,8 +200,7 @@
 	return last
 }
 
-// Ahead estimates how many items of its class are served before item, which is
-// waiting.
+// Ahead estimates how many items of its class are served before a waiting item.
 func (q *Queue[T]) Ahead(item *Item[T]) int {
 	return item.flow.class.ahead(item)
 }
@@ -223,7 +222,7 @@
 // nothing arrived and no class were blocked.
 func (q *Queue[T]) Ordered() []*Item[T] {
 	originals := make([]*Item[T], 0, q.length)
-	trial := New[int](q.headStart) // of indices of originals
+	trial := New[int](q.headStart) // its values are indices of originals
 	for _, class := range q.classes {
 		copied := trial.findOrAdd(class.name)
 		for _, flow := range class.backlog {
@@ -240,7 +239,7 @@
 	return ordered
 }
 
-// copyFlow pushes copies of a flow's items, whose values count up from first.
+// copyFlow inserts copies of a flow's items, with consecutive values starting at first.
 func copyFlow[T any](trial *Queue[int], from *flow[T], first int) {
 	for index, item := range from.items {
 		trial.insert(&Item[int]{
--- a/pkg/traffic/fairqueue/queue_test.go
+++ b/pkg/traffic/fairqueue/queue_test.go
@@ -11,7 +11,7 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// propertySeed makes the properties draw the same cases in each run.
+// propertySeed makes the property tests reproducible.
 const propertySeed = 1407
 
 func check(t *testing.T, name string, property gopter.Prop) {
@@ -25,7 +25,7 @@
 	}
 }
 
-// drawItems draws 60 requests of two classes with four flows each.
+// drawItems generates 60 items of two classes with four flows each.
 func drawItems(priorities int) gopter.Gen {
 	return gen.SliceOfN(60, gen.UInt32()).Map(func(numbers []uint32) []*Item[int] {
 		items := make([]*Item[int], len(numbers))
@@ -79,8 +79,9 @@
 	}, drawItems(3)))
 }
 
-// Two flows of a class that both wait all the time get the same service but for
-// the largest cost of each (Goyal et al., theorem 1).
+// TestFairnessBound checks that the service of two flows of a class that both always have
+// waiting items differs by at most the sum of their largest costs (Goyal et al., theorem
+// 1). Without fairness between flows the bound must be violated.
 func TestFairnessBound(t *testing.T) {
 	const largest = 50.0
 	bound := func(queue *Queue[int], items []*Item[int]) bool {
@@ -111,11 +112,11 @@
 		return bound(NewUnfair[int](20), items)
 	}, drawItems(1)).Check(parameters)
 	if unfair.Status != gopter.TestFailed {
-		t.Error("holds without fairness too; the property proves nothing")
+		t.Error("the bound also holds without fairness; the property does not test it")
 	}
 }
 
-// serveCounting serves items and counts them by name.
+// serveCounting serves count items and returns how many there were of each name.
 func serveCounting(queue *Queue[int], count int, name func(*Item[int]) string) map[string]int {
 	served := map[string]int{}
 	for range count {
@@ -134,7 +135,7 @@
 	queue.SetWeight("0", 3)
 	served := serveCounting(queue, 100, func(item *Item[int]) string { return item.Class })
 	if served["0"] < 73 || served["0"] > 77 {
-		t.Errorf("class of weight 3 got %d of 100 places beside one of weight 1", served["0"])
+		t.Errorf("class of weight 3 got %d of 100 slots beside one of weight 1, want about 75", served["0"])
 	}
 }
 
@@ -146,7 +147,7 @@
 	}
 	served := serveCounting(queue, 100, func(item *Item[int]) string { return item.Flow })
 	if served["urgent"] < 54 || served["urgent"] > 56 {
-		t.Errorf("the urgent flow got %d of 100 places, want half and a head start of 10", served["urgent"])
+		t.Errorf("the urgent flow got %d of 100 slots, want about 55: half, and a head start of 10 items", served["urgent"])
 	}
 }
 
@@ -156,15 +157,15 @@
 	queue.Push(&Item[int]{Class: "b", Flow: "f", Cost: 1})
 	queue.Block("a")
 	if item := queue.Next(); item == nil || item.Class != "b" {
-		t.Fatalf("next %+v, want class b", item)
+		t.Fatalf("got next item %+v, want class b", item)
 	}
 	queue.Block("b")
 	if item := queue.Next(); item != nil {
-		t.Fatalf("next %+v, want none", item)
+		t.Fatalf("got next item %+v, want none", item)
 	}
 	queue.Unblock()
 	if item := queue.Next(); item == nil || item.Class != "a" {
-		t.Fatalf("next %+v, want class a", item)
+		t.Fatalf("got next item %+v, want class a", item)
 	}
 }
 
@@ -177,6 +178,6 @@
 		queue.Serve(item)
 	}
 	if flows := len(queue.find("c").flows); flows > maxIdleFlows+1 {
-		t.Errorf("%d flows remembered", flows)
+		t.Errorf("%d flows kept, want at most maxIdleFlows and one that waits", flows)
 	}
 }
--- a/pkg/traffic/grant.go
+++ b/pkg/traffic/grant.go
@@ -8,14 +8,14 @@
 	"martenwheel.dev/pkg/traffic/outlier"
 )
 
-// grant is a place on a replica.
+// grant is a slot on a replica. It implements Movable.
 type grant struct {
 	pool      *pool
 	state     *modelState
 	request   Request
 	earlier   attempts
 	tokens    int
-	since     time.Time
+	since     time.Time // start of the request; after a move, the start on its first replica
 	target    Target
 	server    *server
 	usage     *usage
@@ -26,14 +26,14 @@
 // Target returns the replica.
 func (g *grant) Target() Target { return g.target }
 
-// Done gives the place back. A second call has no effect.
+// Done releases the slot. A second call has no effect.
 func (g *grant) Done(outcome Outcome) {
 	if g.ended.CompareAndSwap(false, true) {
-		g.pool.end(g.pool.router.config.Now(), g, outcome)
+		g.pool.finish(g.pool.router.config.Now(), g, outcome)
 	}
 }
 
-// Retry gives the place back and asks for one on another server.
+// Retry releases the slot and acquires one on another server.
 func (g *grant) Retry(ctx context.Context, outcome Outcome) (Grant, error) {
 	g.Done(outcome)
 	earlier := g.earlier.after(g.target.Server, outcome)
@@ -44,10 +44,10 @@
 	if !sleep(ctx, pause) {
 		return nil, earlier.refuse(callerLeft())
 	}
-	return g.pool.router.again(ctx, &g.request, earlier)
+	return g.pool.router.retry(ctx, &g.request, earlier)
 }
 
-// sleep waits for a time and returns false if ctx ends before.
+// sleep waits for the pause. It returns false if ctx ends first.
 func sleep(ctx context.Context, pause time.Duration) bool {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
@@ -59,13 +59,13 @@
 	}
 }
 
-// allowRetry decides on a retry after count attempts. It returns the pause
-// before it, or the refusal.
+// allowRetry decides whether a request may be retried after count attempts. It returns
+// the pause before the retry, or a refusal.
 func (p *pool) allowRetry(now time.Time, g *grant, outcome Outcome, count int) (time.Duration, *Refusal) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	counters := &g.state.counters
-	if refusal := checkRepeat(&g.request, outcome); refusal != nil && !p.router.config.off.retryChecks {
+	if refusal := checkRetry(&g.request, outcome); refusal != nil && !p.router.config.off.retryChecks {
 		counters.refuse(refusal.Reason)
 		return 0, refusal
 	}
@@ -84,8 +84,8 @@
 	return pause, nil
 }
 
-// end takes back the place of a grant and gives it to one that waits.
-func (p *pool) end(now time.Time, g *grant, outcome Outcome) {
+// finish releases the slot of a grant and gives free slots to waiting requests.
+func (p *pool) finish(now time.Time, g *grant, outcome Outcome) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	g.usage.remove(g.tokens)
@@ -96,15 +96,15 @@
 	if outcome.Leaving {
 		g.server.observeRefusal()
 	}
-	g.state.pace.end(now, now.Sub(g.since), outcome)
+	g.state.throughput.end(now, now.Sub(g.since), outcome)
 	p.router.running.Add(-1)
 	p.recordOutcome(now, g, outcome)
 	if p.queue.Len() > 0 || len(p.retries) > 0 {
-		p.release(now)
+		p.serveWaiting(now)
 	}
 }
 
-// recordOutcome tells outlier detection of the end of an attempt.
+// recordOutcome reports the end of an attempt to outlier detection.
 func (p *pool) recordOutcome(now time.Time, g *grant, outcome Outcome) {
 	if outcome.Kind == OutcomeCancelled || outcome.Leaving {
 		return
--- a/pkg/traffic/helper_test.go
+++ b/pkg/traffic/helper_test.go
@@ -14,7 +14,7 @@
 	"martenwheel.dev/pkg/tree"
 )
 
-// stubControl is the control side of a test, which sets what it says.
+// stubControl is a Control whose answers are set by the test.
 type stubControl struct {
 	mutex     sync.Mutex
 	tree      *tree.Tree
@@ -24,8 +24,9 @@
 	reports   []api.ModelDemand
 }
 
-// newStubControl returns a control side with the model /desk/llama/m and the
-// settings "path key=value".
+// newStubControl returns a control plane with the model /desk/llama/m, its adapter
+// /desk/llama/m/a and the model /pumps/llama/p. The settings are pairs of a key and a value
+// that are set for the service /desk.
 func newStubControl(t testing.TB, settings ...string) *stubControl {
 	t.Helper()
 	control := &stubControl{
@@ -84,7 +85,7 @@
 	return append([]api.ModelDemand(nil), c.reports...)
 }
 
-// publish replaces the directory and tells of it.
+// publish replaces the directory and announces the change.
 func (c *stubControl) publish(directory *Directory) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -114,7 +115,8 @@
 	return directory
 }
 
-// readyOn returns ready replicas of a model on servers s0, s1 and so on.
+// readyOn returns a directory with ready replicas of a model on the servers s0, s1 and so
+// on.
 func readyOn(model api.ModelName, count int) *Directory {
 	replicas := make([]api.Replica, count)
 	for index := range replicas {
@@ -124,54 +126,54 @@
 	return makeDirectory(replicas...)
 }
 
-// virtually runs a test under virtual time with a router.
-func virtually(t *testing.T, config Config, test func(t *testing.T, router *Router)) {
+// inVirtualTime runs a test with a router in virtual time.
+func inVirtualTime(t *testing.T, config Config, test func(t *testing.T, router *Router)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		config.Control.(*stubControl).changed = make(chan struct{}) // of the bubble
+		config.Control.(*stubControl).changed = make(chan struct{}) // must be made in the synctest bubble
 		router := New(config)
 		defer router.Close()
 		test(t, router)
 	})
 }
 
-// ask makes a request of caller c for model m with a deadline from now.
+// ask returns a request of caller c for model m with the given time until its deadline.
 func ask(within time.Duration) Request {
 	now := time.Now()
 	return Request{Model: "m", Caller: "c", Arrived: now, Deadline: now.Add(within), PromptTokens: 10}
 }
 
-// mustAcquire fails the test if the request gets no place.
+// mustAcquire acquires a slot and fails the test if the request is refused.
 func mustAcquire(t testing.TB, router *Router, request Request) Grant {
 	t.Helper()
 	granted, err := router.Acquire(context.Background(), request)
 	if err != nil {
-		t.Fatalf("request: %v, want a grant", err)
+		t.Fatalf("got error %v, want a grant", err)
 	}
 	return granted
 }
 
-// refusalOf fails the test if err is not a refusal with reason.
+// refusalOf returns the refusal in err and fails the test if it is not one with the reason.
 func refusalOf(t testing.TB, err error, reason RefusalReason) *Refusal {
 	t.Helper()
 	var refusal *Refusal
 	if !errors.As(err, &refusal) {
-		t.Fatalf("error %v, want a refusal (%s)", err, reason)
+		t.Fatalf("got error %v, want a refusal (%s)", err, reason)
 	}
 	if refusal.Reason != reason {
-		t.Fatalf("%v, want reason %s", refusal, reason)
+		t.Fatalf("got %v, want reason %s", refusal, reason)
 	}
 	return refusal
 }
 
-// result is the end of an Acquire that runs beside the test.
+// result is the result of an Acquire in another goroutine.
 type result struct {
 	grant Grant
 	err   error
 	at    time.Time
 }
 
-// acquireLater runs Acquire beside the test.
+// acquireLater runs Acquire in another goroutine.
 func acquireLater(ctx context.Context, router *Router, request Request) <-chan result {
 	ended := make(chan result, 1)
 	go func() {
@@ -181,7 +183,7 @@
 	return ended
 }
 
-// serveLater runs a request beside the test and serves it for a time.
+// serveLater acquires a slot in another goroutine and releases it after the time hold.
 func serveLater(router *Router, request Request, hold time.Duration) <-chan result {
 	ended := make(chan result, 1)
 	go func() {
--- a/pkg/traffic/limit/table.go
+++ b/pkg/traffic/limit/table.go
@@ -1,5 +1,5 @@
-// Package limit holds the rates of callers, models and services: token buckets
-// for requests and for tokens, in a bounded table.
+// Package limit enforces rate limits of callers, models and services with token buckets
+// for requests and for tokens, in a table of bounded size.
 package limit
 
 import (
@@ -11,53 +11,53 @@
 	"golang.org/x/time/rate"
 )
 
-// Rates are limits per second. Zero means no limit.
+// Rates holds limits per second. Zero means no limit.
 type Rates struct {
 	Requests float64
 	Tokens   float64
 }
 
-// Unlimited tells whether neither rate limits.
+// Unlimited reports whether there is no limit at all.
 func (r Rates) Unlimited() bool {
 	return r.Requests <= 0 && r.Tokens <= 0
 }
 
-// burst is the number of events that may come at once: those of one second, but
-// at least one.
+// burst returns the number of events that may come at once: those of one second, but at
+// least one.
 func burst(perSecond float64) int {
 	return int(math.Max(1, math.Ceil(perSecond)))
 }
 
-// Key names a bucket. Buckets with different rates are different ones, so that
-// models which set their own rate don't share one with those that inherit.
+// Key identifies a bucket. The rates are part of it, so that models that set their own
+// rate do not share a bucket with those that inherit one.
 type Key struct {
 	Scope   Scope
 	Service string
-	Name    string // of the caller or model; empty for a service
+	Name    string // name of the caller or model; empty for a service
 	Rates   Rates
 }
 
-// Scope is what a bucket limits.
+// Scope is the kind of entity that a bucket limits.
 type Scope uint8
 
-// The scopes.
+// Scopes of buckets.
 const (
 	ScopeCaller  Scope = iota + 1 // one caller within one service
 	ScopeModel                    // all callers of one model
 	ScopeService                  // all callers of one service
 )
 
-// shardCount spreads the buckets over locks.
+// shardCount is the number of shards, each with its own lock.
 const shardCount = 16
 
-// Table holds the buckets. Safe for concurrent use. Create it with NewTable.
+// Table holds the buckets. It is safe for concurrent use. Create it with NewTable.
 type Table struct {
 	shards [shardCount]shard
 }
 
-// shard is a part of the table with its own lock. Like a cache of two
-// generations it forgets the buckets that were not used while the newer
-// generation filled up.
+// shard is a part of the table with its own lock. It keeps two generations of buckets:
+// when the newer one is full, it evicts the buckets that were not used since that one was
+// started.
 type shard struct {
 	mutex    sync.Mutex
 	capacity int
@@ -70,9 +70,9 @@
 	tokens   *rate.Limiter
 }
 
-// NewTable returns a table of at most about capacity buckets. A bucket that is
-// evicted starts full again; with the capacity above the number of callers that
-// come within a few seconds, none is evicted before it would be full anyway.
+// NewTable returns a table of at most about capacity buckets. An evicted bucket starts
+// full again. If the capacity is above the number of callers within a few seconds, no
+// bucket is evicted before it is full anyway.
 func NewTable(capacity int) *Table {
 	table := &Table{}
 	for index := range table.shards {
@@ -81,9 +81,9 @@
 	return table
 }
 
-// Take takes a request with tokens out of the bucket. If there is not enough it
-// takes nothing and returns the time until there is. A request of more tokens
-// than a second's worth waits for a full bucket and empties it.
+// Take takes a request with so many tokens out of the bucket. If the bucket does not
+// hold enough, Take takes nothing and returns the time until it does. A request of more
+// tokens than the bucket can hold waits for a full bucket and empties it.
 func (t *Table) Take(now time.Time, key Key, tokens int) (time.Duration, bool) {
 	if key.Rates.Unlimited() {
 		return 0, true
@@ -135,8 +135,7 @@
 	return created
 }
 
-// rounding is added to the time until there is enough, which the limiter rounds
-// down.
+// rounding is added to the time to wait, which the limiter rounds down.
 const rounding = time.Microsecond
 
 func (b *bucket) take(now time.Time, tokens int) (time.Duration, bool) {
@@ -146,8 +145,8 @@
 	if delay == 0 {
 		return 0, true
 	}
-	giveBack(now, request)
-	giveBack(now, volume)
+	cancelReservation(now, request)
+	cancelReservation(now, volume)
 	return delay + rounding, false
 }
 
@@ -165,7 +164,7 @@
 	return reservation.DelayFrom(now)
 }
 
-func giveBack(now time.Time, reservation *rate.Reservation) {
+func cancelReservation(now time.Time, reservation *rate.Reservation) {
 	if reservation != nil {
 		reservation.CancelAt(now)
 	}
--- a/pkg/traffic/limit/table_test.go
+++ b/pkg/traffic/limit/table_test.go
@@ -10,7 +10,7 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// propertySeed makes the properties draw the same cases in each run.
+// propertySeed makes the property tests reproducible.
 const propertySeed = 1407
 
 func TestRatesAreNeverExceeded(t *testing.T) {
@@ -61,6 +61,6 @@
 func TestUnlimitedTakesNoBucket(t *testing.T) {
 	table := NewTable(1000)
 	if _, allowed := table.Take(time.Unix(0, 0), Key{Name: "c"}, 1<<30); !allowed || table.Len() != 0 {
-		t.Errorf("allowed %t with %d buckets", allowed, table.Len())
+		t.Errorf("allowed: %t with %d buckets, want true with none", allowed, table.Len())
 	}
 }
--- a/pkg/traffic/model.go
+++ b/pkg/traffic/model.go
@@ -9,14 +9,14 @@
 	"martenwheel.dev/pkg/tree"
 )
 
-// usage counts what this node has running on a replica.
+// usage counts the requests of this node on a replica.
 type usage struct {
-	requests, tokens int
-	recent           float64 // requests sent lately, as of recentAt
-	recentAt         time.Time
+	requests, tokens int       // running now
+	recent           float64   // number of requests sent, decayed by their age at recentAt
+	recentAt         time.Time // when recent was last updated
 }
 
-// recentHalfLife is the age at which a request that was sent counts half.
+// recentHalfLife is the half-life of a sent request in usage.recent.
 const recentHalfLife = 5 * time.Second
 
 func (u *usage) add(now time.Time, tokens int) {
@@ -26,7 +26,7 @@
 	u.recentAt = now
 }
 
-// recentBy returns the requests sent lately, decayed to now.
+// recentBy returns the number of requests sent, decayed by their age at now.
 func (u *usage) recentBy(now time.Time) float64 {
 	if u.recent == 0 {
 		return 0
@@ -39,37 +39,38 @@
 	u.tokens -= tokens
 }
 
-func (u *usage) within(settings *tree.Settings) routing.Usage {
+func (u *usage) routingUsage(settings *tree.Settings) routing.Usage {
 	return routing.Usage{
 		Requests: u.requests, MaxRequests: settings.MaxConcurrency,
 		Tokens: u.tokens, MaxTokens: settings.MaxTokens,
 	}
 }
 
-// replica is a replica of a model with what this node knows of it.
+// replica is a replica of a model with the state that this node keeps about it.
 type replica struct {
 	api.Replica
 	view      api.ServerView
 	server    *server
-	usage     *usage // of the model
-	baseUsage *usage // of the base model and its adapters; nil for a base model
+	usage     *usage // usage by the model
+	baseUsage *usage // usage by the base model and all its adapters; nil for a base model
 }
 
-// serves tells whether the replica is ready and its server stays and answers.
+// serves reports whether the replica is ready and its server is reachable and not
+// leaving.
 func (r *replica) serves(now time.Time) bool {
 	stays := !r.view.Leaving && r.server.leaving.Load() == nil
 	return r.State == api.ReplicaReady && stays && !r.server.unreachable(now, r.view)
 }
 
-// modelState is what a pool holds of one of its models.
+// modelState is the state of a model in its pool.
 type modelState struct {
 	name         api.ModelName
 	seed         prefixcache.Seed
 	model        tree.Model
-	baseSettings tree.Settings // if the model is an adapter
+	baseSettings tree.Settings // settings of the base, if the model is an adapter
 	replicas     []replica
-	candidates   []routing.Candidate // scratch, parallel to replicas
-	pace         pace
+	candidates   []routing.Candidate // scratch space, parallel to replicas
+	throughput   throughput
 	budget       retryBudget
 	answer       ownerAnswer
 	demand       demand
@@ -81,7 +82,7 @@
 	return &modelState{name: model.Name, seed: prefixcache.ModelSeed(model.Name)}
 }
 
-// anyServes tells whether a replica serves.
+// anyServes reports whether any replica serves.
 func (s *modelState) anyServes(now time.Time) bool {
 	for index := range s.replicas {
 		if s.replicas[index].serves(now) {
@@ -91,8 +92,8 @@
 	return false
 }
 
-// loadedAt returns the earliest estimate of the owner's view for a replica that
-// is being loaded, or zero.
+// loadedAt returns the earliest time at which a replica that is being loaded is expected
+// to be ready, as the directory gives it, or zero.
 func (s *modelState) loadedAt() time.Time {
 	var earliest time.Time
 	for index := range s.replicas {
@@ -107,38 +108,37 @@
 	return earliest
 }
 
-// ownerAnswer is the owner's last word on a model that is not ready, and when
-// this node first heard it.
+// ownerAnswer is the owner's latest answer about a model that is not ready.
 type ownerAnswer struct {
-	estimate api.LoadEstimate
-	heardAt  time.Time
-	wanted   bool // the owner once accepted, in the present spell without a replica
+	estimate   api.LoadEstimate
+	receivedAt time.Time // when this node first received the estimate, or renewed it
+	accepted   bool      // whether the owner accepted the load in the current period without a replica
 }
 
-// answerWindow is the time that an owner is given to answer before its last
-// answer is taken to stand.
+// answerWindow is how long the owner has to answer a new report before its previous
+// rejection is taken to be still valid.
 const answerWindow = time.Second
 
-// hear takes in the owner's last word.
-func (a *ownerAnswer) hear(now time.Time, estimate api.LoadEstimate) {
-	if estimate != a.estimate || a.heardAt.IsZero() {
+// update records the owner's latest answer.
+func (a *ownerAnswer) update(now time.Time, estimate api.LoadEstimate) {
+	if estimate != a.estimate || a.receivedAt.IsZero() {
 		a.estimate = estimate
-		a.heardAt = now
+		a.receivedAt = now
 	}
-	a.wanted = a.wanted || estimate.Accepted
+	a.accepted = a.accepted || estimate.Accepted
 }
 
-// rejection returns how long the owner's refusal still stands. A refusal that
-// has run out is asked for again, and stands once more if asking changes
-// nothing.
+// rejection returns how long the owner's rejection is still valid; false if it is not.
+// After a rejection expires, the next request asks the owner again. If the answer is
+// unchanged after answerWindow, the rejection is valid for another period.
 func (a *ownerAnswer) rejection(now, askedAt time.Time) (time.Duration, bool) {
-	if a.heardAt.IsZero() || a.estimate.Accepted {
+	if a.receivedAt.IsZero() || a.estimate.Accepted {
 		return 0, false
 	}
 	validFor := max(a.estimate.RetryAfter, answerWindow)
-	if askedAt.After(a.heardAt.Add(validFor)) && now.Sub(askedAt) >= answerWindow {
-		a.heardAt = now
+	if askedAt.After(a.receivedAt.Add(validFor)) && now.Sub(askedAt) >= answerWindow {
+		a.receivedAt = now
 	}
-	left := a.heardAt.Add(validFor).Sub(now)
+	left := a.receivedAt.Add(validFor).Sub(now)
 	return left, left > 0
 }
--- a/pkg/traffic/move.go
+++ b/pkg/traffic/move.go
@@ -4,8 +4,8 @@
 
 var _ Movable = (*grant)(nil)
 
-// Leaving tells whether the engine said that it leaves, or its machine is about
-// to go.
+// Leaving reports whether the engine reported that it leaves, or the directory lists its
+// server as leaving.
 func (g *grant) Leaving() bool {
 	if g.pool.router.config.off.leaving {
 		return false
@@ -16,8 +16,8 @@
 	return g.pool.router.config.Control.Directory().Servers[g.target.Server].Leaving
 }
 
-// Move takes a place on another replica that is ready now. The request counts
-// there as if it had begun when it did.
+// Move takes a slot on another replica that is ready now. The hold time there counts
+// from the start of the request on the first replica.
 func (g *grant) Move() (Movable, error) {
 	earlier := g.earlier.after(g.target.Server, Outcome{Kind: OutcomeCancelled})
 	moved := g.pool.move(g.pool.router.config.Now(), g, earlier)
@@ -28,7 +28,7 @@
 	return moved, nil
 }
 
-// move returns a place for a running request besides the one it has, or nil.
+// move returns an additional slot for a running request, or nil if there is none.
 func (p *pool) move(now time.Time, running *grant, earlier attempts) *grant {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/pkg/traffic/outlier/tracker.go
+++ b/pkg/traffic/outlier/tracker.go
@@ -1,6 +1,6 @@
-// Package outlier finds servers that fail more than their peers, takes them out
-// of routing for a while that grows with each time, and lets them return
-// slowly. It reads no clock.
+// Package outlier detects servers that fail more often than their peers. It ejects them
+// from routing for a time that grows with each ejection, and then returns their traffic
+// gradually. It reads no clock.
 package outlier
 
 import (
@@ -10,20 +10,20 @@
 	"time"
 )
 
-// Config sets the detection. The zero value of a field selects the default.
+// Config configures outlier detection. The zero value of a field selects the default.
 type Config struct {
-	ConsecutiveFailures int           // that eject a server at once
-	Interval            time.Duration // of the comparison with peers
-	MinRequests         int           // of a server in an interval, to be compared
-	MinPeers            int           // servers with that many requests
-	Deviations          float64       // below the mean success rate
-	BaseEjection        time.Duration // of the first ejection
-	MaxEjection         time.Duration
-	Ramp                time.Duration // of the slow return
-	Off                 bool          // detects nothing; for tests
+	ConsecutiveFailures int           // number of failures in a row that eject a server at once
+	Interval            time.Duration // time between two comparisons of success rates
+	MinRequests         int           // minimum requests of a server in an interval for the comparison
+	MinPeers            int           // minimum number of servers with MinRequests for a comparison
+	Deviations          float64       // standard deviations below the mean success rate that eject a server
+	BaseEjection        time.Duration // duration of the first ejection
+	MaxEjection         time.Duration // maximum duration of an ejection
+	Ramp                time.Duration // time over which the traffic returns after an ejection
+	Off                 bool          // disables detection; for tests
 }
 
-// The defaults of Config.
+// Defaults of Config.
 const (
 	defaultConsecutiveFailures = 5
 	defaultInterval            = 10 * time.Second
@@ -35,11 +35,11 @@
 	defaultRamp                = 10 * time.Second
 )
 
-// minShare is where the slow return begins.
+// minShare is the share of the normal traffic at the end of an ejection.
 const minShare = 0.1
 
-// minGap is how far a success rate must lie below the mean at least, so that
-// servers which all do well are not compared by their noise.
+// minGap is the minimum distance below the mean success rate for an ejection, so that
+// servers are not ejected for random variations when all of them work well.
 const minGap = 0.1
 
 // WithDefaults returns the config with every field set.
@@ -55,27 +55,27 @@
 	return c
 }
 
-// Tracker follows one server. Safe for concurrent use. Create it with New.
+// Tracker tracks the failures and ejections of one server. It is safe for concurrent
+// use. Create it with New.
 type Tracker struct {
 	config Config
 
 	mutex       sync.Mutex
-	consecutive int
-	successes   int // in the interval
-	failures    int
-	ejections   int // that lengthen the next one
-	ejected     bool
+	consecutive int       // failures since the last success or ejection
+	successes   int       // in the current interval
+	failures    int       // in the current interval
+	ejections   int       // earlier ejections that lengthen the next one
+	ejected     bool      // whether the server was ever ejected
 	since       time.Time // start of the last ejection
-	until       time.Time // end of it
+	until       time.Time // end of the last ejection
 }
 
-// New returns the tracker of a server that nothing is known of.
+// New returns the tracker of a server without recorded requests.
 func New(config Config) *Tracker {
 	return &Tracker{config: config.WithDefaults()}
 }
 
-// Record takes in the end of a request. It returns true if that ejects the
-// server.
+// Record records the end of a request. It returns true if that ejects the server.
 func (t *Tracker) Record(now time.Time, success bool) bool {
 	if t.config.Off {
 		return false
@@ -95,12 +95,12 @@
 	return t.eject(now)
 }
 
-// eject takes the server out, unless it already is.
+// eject ejects the server. It returns false if it already is ejected.
 func (t *Tracker) eject(now time.Time) bool {
 	if now.Before(t.until) {
 		return false
 	}
-	t.forgive(now)
+	t.reduceEjections(now)
 	length := float64(t.config.BaseEjection) * math.Pow(2, float64(t.ejections))
 	length = math.Min(length, float64(t.config.MaxEjection))
 	t.ejections++
@@ -111,8 +111,9 @@
 	return true
 }
 
-// forgive counts one ejection less for each MaxEjection that the server was in.
-func (t *Tracker) forgive(now time.Time) {
+// reduceEjections reduces the count of ejections by one for each MaxEjection that passed since
+// the last ejection ended.
+func (t *Tracker) reduceEjections(now time.Time) {
 	if !t.ejected {
 		return
 	}
@@ -120,11 +121,11 @@
 	t.ejections = max(0, t.ejections-healthy)
 }
 
-// Status is what routing needs to know of a server.
+// Status is the state of a server for routing.
 type Status struct {
 	Ejected bool
 	Until   time.Time // end of the ejection, if ejected
-	Share   float64   // of the normal traffic, from minShare to 1
+	Share   float64   // share of the normal traffic, from minShare to 1
 }
 
 // Status returns the state at now.
@@ -141,8 +142,8 @@
 	return Status{Share: math.Min(1, minShare+(1-minShare)*progress)}
 }
 
-// sample returns the success rate in the interval, and false if there were too
-// few requests, and begins a new interval.
+// sample returns the success rate in the current interval and starts a new one. If there
+// were too few requests, it returns false and the interval continues.
 func (t *Tracker) sample() (float64, bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -155,8 +156,8 @@
 	return rate, true
 }
 
-// Compare ejects the trackers whose success rate lies far below that of their
-// peers, and returns how many. It is called once an interval.
+// Compare ejects the servers whose success rate is far below that of their peers, and
+// returns their number. The caller calls it once per interval.
 func Compare(now time.Time, config Config, trackers []*Tracker) int {
 	config = config.WithDefaults()
 	if config.Off {
@@ -188,8 +189,9 @@
 	return t.eject(now)
 }
 
-// isOutlier compares a rate with the mean and deviation of all others. The rate
-// itself is left out, since among few servers it would hide itself.
+// isOutlier compares a rate with the mean and standard deviation of the others. It
+// excludes the rate itself, which among few servers would shift both so far that it no
+// longer stood out.
 func isOutlier(config Config, rates []float64, suspect int) bool {
 	sum, squares := 0.0, 0.0
 	for index, rate := range rates {
--- a/pkg/traffic/outlier/tracker_test.go
+++ b/pkg/traffic/outlier/tracker_test.go
@@ -7,7 +7,8 @@
 
 var start = time.Unix(1000, 0)
 
-// fail records as many failures as eject at once.
+// fail records as many consecutive failures as eject a server, and returns whether the last
+// one did.
 func fail(tracker *Tracker, now time.Time) bool {
 	ejected := false
 	for range defaultConsecutiveFailures {
@@ -25,10 +26,10 @@
 		tracker.Record(start, true)
 	}
 	if tracker.Status(start).Ejected {
-		t.Error("ejected though successes came between")
+		t.Error("ejected although successes interrupted the failures")
 	}
 	if !fail(tracker, start) || !tracker.Status(start).Ejected {
-		t.Error("not ejected after failures in a row")
+		t.Error("not ejected after consecutive failures")
 	}
 	if off := New(Config{Off: true}); fail(off, start) {
 		t.Error("ejected with detection off")
@@ -46,25 +47,25 @@
 		}
 		half := tracker.Status(until.Add(defaultRamp / 2)).Share
 		if half <= minShare || half >= 1 {
-			t.Errorf("share %v halfway back", half)
+			t.Errorf("share %v in the middle of the ramp, want between minShare and 1", half)
 		}
 		if whole := tracker.Status(until.Add(defaultRamp)).Share; whole != 1 {
-			t.Errorf("share %v at the end of the return", whole)
+			t.Errorf("share %v at the end of the ramp, want 1", whole)
 		}
 		now = until
 	}
 	now = now.Add(10 * defaultMaxEjection)
 	fail(tracker, now)
 	if length := tracker.Status(now).Until.Sub(now); length != defaultBaseEjection {
-		t.Errorf("ejected for %v after long health, want %v", length, defaultBaseEjection)
+		t.Errorf("ejected for %v after a long time without failures, want %v", length, defaultBaseEjection)
 	}
 }
 
 func TestCompareEjectsTheWorst(t *testing.T) {
 	cases := []struct {
 		name     string
-		failures []int // of 100 requests, by server
-		want     int   // ejected server, -1: none
+		failures []int // number of failures in 100 requests, by server
+		want     int   // index of the ejected server; -1: none
 	}{
 		{"all well", []int{0, 1, 0, 2}, -1},
 		{"one bad", []int{1, 0, 40, 2}, 2},
--- a/pkg/traffic/place.go
+++ b/pkg/traffic/place.go
@@ -10,9 +10,9 @@
 	"martenwheel.dev/pkg/tree"
 )
 
-// refresh brings a model's state up to the newest settings and directory. Both
-// are read under the pool's lock, so that a slow request can't bring back the
-// older settings that it found the model in.
+// refresh updates a model's state to the newest settings and directory. It reads both
+// under the pool's lock, so that a slow request that resolved the model earlier can't
+// restore older settings.
 func (p *pool) refresh(model tree.Model) *modelState {
 	settings, _ := p.router.config.Control.Tree()
 	if newest, found := settings.Model(model.Name); found {
@@ -37,8 +37,8 @@
 	return state
 }
 
-// rebuildAll takes over a new directory. Models share usages, so all are
-// rebuilt at once.
+// rebuildAll switches the pool to a new directory. It rebuilds all models at once,
+// because they share usages.
 func (p *pool) rebuildAll(directory *Directory) {
 	p.directory = directory
 	for key, unused := range p.usages {
@@ -51,8 +51,8 @@
 	}
 }
 
-// refreshAll brings all models of the pool up to date and refuses what waits for
-// those that left the settings.
+// refreshAll updates all models of the pool, and refuses the requests that wait for
+// models that were removed from the settings.
 func (p *pool) refreshAll() {
 	settings, _ := p.router.config.Control.Tree()
 	for name, state := range p.models {
@@ -67,19 +67,19 @@
 	}
 }
 
-// forgetRemoved drops the idle models that left the settings.
+// forgetRemoved deletes the idle models that were removed from the settings.
 func (p *pool) forgetRemoved(settings *tree.Tree) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for name, state := range p.models {
 		_, found := settings.Model(name)
-		if !found && state.pace.running == 0 && p.waitingCount(state) == 0 {
+		if !found && state.throughput.running == 0 && p.waitingCount(state) == 0 {
 			delete(p.models, name)
 		}
 	}
 }
 
-// rebuild makes the list of a model's replicas from the directory.
+// rebuild builds the list of a model's replicas from the directory.
 func (p *pool) rebuild(state *modelState) {
 	state.replicas = state.replicas[:0]
 	for _, listed := range p.directory.Replicas[state.name] {
@@ -109,27 +109,27 @@
 	return known
 }
 
-// tryPlace chooses a replica for the request and takes a place on it. It
-// returns nil if none has room.
+// tryPlace chooses a replica for the request and takes a slot on it. It returns nil if
+// no replica can take the request.
 func (p *pool) tryPlace(now time.Time, state *modelState, request *Request, earlier attempts) *grant {
 	p.fillCandidates(now, state, request)
-	asked := routing.Request{
+	routingRequest := routing.Request{
 		Zone:   p.router.config.Zone,
 		Tokens: tokensOf(request),
 		Blocks: len(request.Prefixes),
 	}
 	if otherServes(state.candidates, earlier.tried) {
-		asked.Tried = earlier.tried
+		routingRequest.Tried = earlier.tried
 	}
-	index, found := p.chooser.Choose(p.random, &asked, state.candidates)
+	index, found := p.chooser.Choose(p.random, &routingRequest, state.candidates)
 	if !found {
 		return nil
 	}
-	return p.take(now, state, &state.replicas[index], request, earlier)
+	return p.grantSlot(now, state, &state.replicas[index], request, earlier)
 }
 
-// take takes a place on a replica.
-func (p *pool) take(now time.Time, state *modelState, chosen *replica, request *Request, earlier attempts) *grant {
+// grantSlot takes a slot on a replica.
+func (p *pool) grantSlot(now time.Time, state *modelState, chosen *replica, request *Request, earlier attempts) *grant {
 	tokens := tokensOf(request)
 	chosen.usage.add(now, tokens)
 	if chosen.baseUsage != nil {
@@ -137,7 +137,7 @@
 	}
 	chosen.server.inFlight.Add(1)
 	chosen.server.prefixes.Hint(now, state.seed, request.Prefixes)
-	state.pace.begin(now)
+	state.throughput.begin(now)
 	state.counters.granted++
 	p.router.running.Add(1)
 	return &grant{
@@ -147,10 +147,10 @@
 	}
 }
 
-// fillCandidates takes the snapshot that routing decides on.
+// fillCandidates fills state.candidates, the snapshot of the replicas for routing.
 func (p *pool) fillCandidates(now time.Time, state *modelState, request *Request) {
 	state.candidates = state.candidates[:0]
-	halfLife := reportHalfLife(state.pace.hold)
+	halfLife := reportHalfLife(state.throughput.holdTime)
 	for index := range state.replicas {
 		known := &state.replicas[index]
 		status := known.server.outliers.Status(now)
@@ -162,10 +162,10 @@
 			Unreachable:  known.server.unreachable(now, known.view),
 			Ejected:      status.Ejected,
 			Share:        status.Share,
-			Usage:        known.usage.within(&state.model.Settings),
+			Usage:        known.usage.routingUsage(&state.model.Settings),
 			Recent:       known.usage.recentBy(now),
 			ReportedLoad: known.server.othersLoad(now, halfLife),
-			AdapterSeen:  known.server.reports(state.name),
+			AdapterSeen:  known.server.reportsModel(state.name),
 		}
 		if p.router.config.off.leaving {
 			candidate.Leaving = false
@@ -174,7 +174,7 @@
 			candidate.Unreachable = false
 		}
 		if known.baseUsage != nil {
-			candidate.BaseUsage = known.baseUsage.within(&state.baseSettings)
+			candidate.BaseUsage = known.baseUsage.routingUsage(&state.baseSettings)
 		}
 		if len(request.Prefixes) > 0 && len(state.replicas) > 1 {
 			candidate.MatchedBlocks = known.server.prefixes.Match(now, state.seed, request.Prefixes)
@@ -184,8 +184,8 @@
 	p.capEjections(now, state)
 }
 
-// capEjections takes servers back in when too many of the model's replicas are
-// ejected: first those whose ejection ends soonest.
+// capEjections readmits servers if too many of the model's replicas are ejected,
+// starting with those whose ejection ends soonest.
 func (p *pool) capEjections(now time.Time, state *modelState) {
 	serving, ejected := 0, 0
 	for index := range state.candidates {
@@ -221,13 +221,14 @@
 	}
 }
 
-// serves tells whether the candidate's replica is ready, stays and answers.
+// serves reports whether the candidate's replica is ready and its server is reachable
+// and not leaving.
 func serves(candidate *routing.Candidate) bool {
 	return candidate.State == api.ReplicaReady && !candidate.Leaving && !candidate.Unreachable
 }
 
-// otherServes tells whether a candidate that was not tried yet could serve,
-// perhaps after some waiting.
+// otherServes reports whether a candidate that was not tried yet could serve the
+// request, now or once it has a free slot.
 func otherServes(candidates []routing.Candidate, tried []api.ServerID) bool {
 	for index := range candidates {
 		candidate := &candidates[index]
@@ -241,38 +242,38 @@
 	return false
 }
 
-// outlook gathers what is known of a model's near future.
-func (p *pool) outlook(now time.Time, state *modelState) outlook {
-	view := outlook{
-		now:        now,
-		ready:      state.anyServes(now),
-		loadedAt:   state.loadedAt(),
-		running:    state.pace.running,
-		perReplica: state.model.Settings.MaxConcurrency,
-		hold:       state.pace.expectedHold(now),
-		lastEnd:    state.pace.lastEnd,
-		firstToken: state.pace.firstToken,
+// forecast returns the model's current state for estimates of when requests start.
+func (p *pool) forecast(now time.Time, state *modelState) forecast {
+	f := forecast{
+		now:             now,
+		ready:           state.anyServes(now),
+		loadedAt:        state.loadedAt(),
+		running:         state.throughput.running,
+		slotsPerReplica: state.model.Settings.MaxConcurrency,
+		holdTime:        state.throughput.expectedHoldTime(now),
+		lastEnd:         state.throughput.lastEnd,
+		firstToken:      state.throughput.firstToken,
 	}
-	if view.ready {
-		state.answer.wanted = false
-		return view
+	if f.ready {
+		state.answer.accepted = false
+		return f
 	}
 	estimate, known := p.router.config.Control.Estimate(state.name)
 	if !known {
-		return view
+		return f
 	}
-	state.answer.hear(now, estimate)
+	state.answer.update(now, estimate)
 	if estimate.Accepted {
 		if estimate.ReadyBy.After(now) {
-			view.loadedAt = estimate.ReadyBy
+			f.loadedAt = estimate.ReadyBy
 		}
-		return view
+		return f
 	}
-	if !view.loadedAt.IsZero() {
-		return view
+	if !f.loadedAt.IsZero() {
+		return f
 	}
-	view.retryAfter, view.rejected = state.answer.rejection(now, state.demand.wokenAt)
-	view.loadFailed = state.answer.wanted
-	view.message = estimate.Reason
-	return view
+	f.retryAfter, f.rejected = state.answer.rejection(now, state.demand.wokenAt)
+	f.loadFailed = state.answer.accepted
+	f.message = estimate.Reason
+	return f
 }
--- a/pkg/traffic/pool.go
+++ b/pkg/traffic/pool.go
@@ -11,26 +11,26 @@
 	"martenwheel.dev/pkg/tree"
 )
 
-// maxEjectedShare is the part of a model's replicas that may be ejected at
+// maxEjectedShare is the maximum share of a model's replicas that may be ejected at
 // once. At least one is always kept.
 const maxEjectedShare = 0.5
 
-// pool is a base model with its adapters, which share the places of the base's
-// replicas. One lock guards all that is in it.
+// pool holds the state of a base model and its adapters, which share the slots of the
+// base's replicas.
 type pool struct {
 	router *Router
 
-	mutex     sync.Mutex
-	directory *Directory // that the models' replicas were made from
+	mutex     sync.Mutex // guards the fields below
+	directory *Directory // from which the models' replicas were built
 	models    map[api.ModelName]*modelState
 	usages    map[usageKey]*usage
 	queue     *fairqueue.Queue[*waiter]
-	retries   []*waiter // in order of arrival; they go before the queue
+	retries   []*waiter // retried requests in order of arrival; they are served before the queue
 	chooser   *routing.Chooser
 	random    *rand.Rand
 }
 
-// usageKey names a replica.
+// usageKey identifies a replica.
 type usageKey struct {
 	model  api.ModelName
 	server api.ServerID
@@ -51,20 +51,20 @@
 	}
 }
 
-// arrival is the pool's answer to a request: a grant, a refusal or a waiter.
+// arrival is the pool's answer to a new request: a grant, a refusal or a waiter.
 type arrival struct {
 	settlement
 	waiter *waiter
-	wake   *api.ModelDemand // to be reported at once
+	wake   *api.ModelDemand // report to be sent at once; nil: none
 }
 
-// arrive gives the request a place, queues it or refuses it.
+// arrive gives the request a slot, queues it or refuses it.
 func (p *pool) arrive(now time.Time, model tree.Model, request *Request, earlier attempts) arrival {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	state := p.refresh(model)
 	if len(earlier.tried) == 0 {
-		state.demand.arrive(now)
+		state.demand.countArrival(now)
 		state.budget.earn(model.Settings.RetryBudget)
 	}
 	if refusal := checkSize(request, &model.Settings); refusal != nil {
@@ -78,7 +78,7 @@
 	return p.wait(now, state, request, earlier)
 }
 
-// checkSize refuses a request that fits no replica.
+// checkSize returns a refusal if the request is too large for any replica, else nil.
 func checkSize(request *Request, settings *tree.Settings) *Refusal {
 	if settings.MaxTokens <= 0 || tokensOf(request) <= settings.MaxTokens {
 		return nil
@@ -87,16 +87,16 @@
 		Message: "the prompt and the tokens asked for exceed what a replica holds (max_tokens)"}
 }
 
-// wait queues a request, unless it gets a place or must be refused.
+// wait queues a request, unless it gets a slot or must be refused.
 func (p *pool) wait(now time.Time, state *modelState, request *Request, earlier attempts) arrival {
 	if refusal := p.router.reserveWaiting(state); refusal != nil {
 		return p.refused(state, earlier.refuse(refusal))
 	}
 	waiting := p.enqueue(state, request, earlier)
-	p.release(now)
+	p.serveWaiting(now)
 	p.trim(now, state, waiting)
 	if !waiting.settled {
-		p.judge(now, waiting, p.outlook(now, state), p.aheadOf(waiting))
+		p.refuseIfLate(now, waiting, p.forecast(now, state), p.aheadOf(waiting))
 	}
 	if waiting.settled {
 		return arrival{settlement: <-waiting.result}
@@ -108,13 +108,13 @@
 	return answer
 }
 
-// refused counts a refusal.
+// refused counts a refusal and returns it as the answer.
 func (p *pool) refused(state *modelState, refusal *Refusal) arrival {
 	state.counters.refuse(refusal.Reason)
 	return arrival{settlement: settlement{refusal: refusal}}
 }
 
-// enqueue puts a request among those that wait.
+// enqueue adds a request to the queue or to the waiting retries.
 func (p *pool) enqueue(state *modelState, request *Request, earlier attempts) *waiter {
 	waiting := &waiter{
 		request: *request, earlier: earlier, state: state,
@@ -134,7 +134,7 @@
 	return waiting
 }
 
-// dequeue takes a request from among those that wait and settles it.
+// dequeue removes a waiting request and settles it.
 func (p *pool) dequeue(waiting *waiter, end settlement) {
 	switch {
 	case waiting.isRetry():
@@ -164,8 +164,8 @@
 	}
 }
 
-// release gives free places to those that wait, in their order.
-func (p *pool) release(now time.Time) {
+// serveWaiting gives free slots to waiting requests, in their order.
+func (p *pool) serveWaiting(now time.Time) {
 	for index := 0; index < len(p.retries); {
 		if !p.serve(now, p.retries[index]) {
 			index++
@@ -182,7 +182,7 @@
 	}
 }
 
-// serve gives a waiting request a place, if there is one.
+// serve gives a waiting request a slot. It returns false if none is free.
 func (p *pool) serve(now time.Time, waiting *waiter) bool {
 	granted := p.tryPlace(now, waiting.state, &waiting.request, waiting.earlier)
 	if granted == nil {
@@ -192,9 +192,9 @@
 	return true
 }
 
-// trim refuses requests until the queue of the model is within its bounds. They
-// are taken from the caller that has most waiting, so that the queue of a
-// flooded model still takes in others.
+// trim refuses requests until the queue of the model is within its bounds. It takes
+// them from the caller with the highest total cost waiting, so that a caller that
+// floods the model does not keep others out of its queue.
 func (p *pool) trim(now time.Time, state *modelState, newcomer *waiter) {
 	class := string(state.name)
 	settings := &state.model.Settings
@@ -211,17 +211,18 @@
 		p.dequeue(victim, settlement{refusal: &Refusal{
 			Reason:     ReasonQueueFull,
 			Message:    "too many requests wait for the model",
-			RetryAfter: p.outlook(now, state).drainedIn(p.queue.ClassLen(class)),
+			RetryAfter: p.forecast(now, state).timeToDrain(p.queue.ClassLen(class)),
 		}})
 	}
 }
 
-// judge refuses a waiting request that can't be served by its deadline.
-func (p *pool) judge(now time.Time, waiting *waiter, view outlook, ahead int) {
+// refuseIfLate refuses a waiting request that can't be served by its deadline or by the
+// planned stop of the node.
+func (p *pool) refuseIfLate(now time.Time, waiting *waiter, f forecast, ahead int) {
 	if p.router.config.off.earlyRefusal {
 		return
 	}
-	if refusal := view.judge(waiting.request.Deadline, ahead); refusal != nil {
+	if refusal := f.refusal(waiting.request.Deadline, ahead); refusal != nil {
 		p.dequeue(waiting, settlement{refusal: refusal})
 		return
 	}
@@ -229,12 +230,12 @@
 	if stop.IsZero() {
 		return
 	}
-	if view.judge(stop, ahead) != nil || !now.Before(stop) {
+	if f.refusal(stop, ahead) != nil || !now.Before(stop) {
 		p.dequeue(waiting, settlement{refusal: stopRefusal()})
 	}
 }
 
-// aheadOf estimates how many requests are served before one that waits.
+// aheadOf estimates how many requests are served before a waiting one.
 func (p *pool) aheadOf(waiting *waiter) int {
 	if waiting.isRetry() {
 		return 0
@@ -242,8 +243,8 @@
 	return len(p.retries) + p.queue.Ahead(&waiting.item)
 }
 
-// sweep takes in the newest settings and view, gives out places and refuses
-// those that, by what is known now, can't be served in time.
+// sweep applies the newest settings and directory, gives free slots to waiting
+// requests and refuses those that can't be served in time any more.
 func (p *pool) sweep(now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -251,24 +252,24 @@
 		return
 	}
 	p.refreshAll()
-	p.release(now)
-	views := make(map[*modelState]outlook, len(p.models))
+	p.serveWaiting(now)
+	forecasts := make(map[*modelState]forecast, len(p.models))
 	ahead := make(map[*modelState]int, len(p.models))
 	for _, waiting := range p.inOrder() {
 		state := waiting.state
-		view, known := views[state]
+		f, known := forecasts[state]
 		if !known {
-			view = p.outlook(now, state)
-			views[state] = view
+			f = p.forecast(now, state)
+			forecasts[state] = f
 		}
-		p.judge(now, waiting, view, ahead[state])
+		p.refuseIfLate(now, waiting, f, ahead[state])
 		if !waiting.settled {
 			ahead[state]++
 		}
 	}
 }
 
-// inOrder returns all that wait in the order in which they will be served.
+// inOrder returns all waiting requests in the order in which they will be served.
 func (p *pool) inOrder() []*waiter {
 	ordered := append([]*waiter(nil), p.retries...)
 	for _, item := range p.queue.Ordered() {
@@ -302,8 +303,7 @@
 	return count
 }
 
-// abandon refuses a request that no longer waits for a place, unless it has
-// been settled before.
+// abandon refuses a waiting request, unless it was settled before.
 func (p *pool) abandon(waiting *waiter, refusal *Refusal) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -312,7 +312,7 @@
 	}
 }
 
-// refuse counts a refusal that was decided outside of the pool.
+// refuse counts a refusal that was decided outside the pool.
 func (p *pool) refuse(model tree.Model, refusal *Refusal) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/pkg/traffic/prefixcache/index.go
+++ b/pkg/traffic/prefixcache/index.go
@@ -1,7 +1,7 @@
-// Package prefixcache keeps an approximate index of the prompt prefixes that an
-// engine has in its prefix cache. It learns from the engine's cache events,
-// which come late and with gaps, and from the node's own routing decisions.
-// What it says is a hint for routing and may be wrong either way.
+// Package prefixcache keeps an approximate index of the prompt prefixes that an engine
+// has in its prefix cache. It is built from the engine's cache events, which arrive late
+// and with gaps, and from the node's own routing decisions. It is a hint for routing: it
+// may list prefixes that are not cached and lack some that are.
 package prefixcache
 
 import (
@@ -14,21 +14,21 @@
 	"martenwheel.dev/pkg/engine"
 )
 
-// The ages after which knowledge of a prefix no longer counts.
+// How long entries of the index are valid.
 const (
-	EventLifetime = 10 * time.Minute // told by an event
-	HintLifetime  = 1 * time.Minute  // guessed from an own request
-	GapLifetime   = 1 * time.Minute  // left after a gap in the events for what was known before it
+	EventLifetime = 10 * time.Minute // after an event that reported the prefix
+	HintLifetime  = 1 * time.Minute  // after a request of this node with the prefix
+	GapLifetime   = 1 * time.Minute  // after a gap in the events, for entries from before the gap
 )
 
-// DefaultCapacity bounds the prefixes per server.
+// DefaultCapacity is the default maximum number of prefixes per server.
 const DefaultCapacity = 8192
 
-// maxMisses is the number of unknown blocks in a row after which a lookup ends.
-// Above one, so that a single lost event doesn't hide a long match.
+// maxMisses is the number of unknown blocks in a row after which a lookup ends. It is
+// above one, so that a single lost event does not hide a long match.
 const maxMisses = 2
 
-// Seed separates the prefixes of different models.
+// Seed is combined with prefix hashes to separate the prefixes of different models.
 type Seed uint64
 
 // ModelSeed returns the seed of a model.
@@ -36,11 +36,11 @@
 	return Seed(xxhash.Sum64String(string(model)))
 }
 
-// Index holds the prefixes of one server. The zero value is ready to use with
-// the default capacity. Safe for concurrent use.
+// Index holds the prefixes of one server. The zero value is ready to use with the default
+// capacity. It is safe for concurrent use.
 //
-// It keeps two generations: what is not seen again until the newer one is full
-// twice is forgotten. Memory is thus bounded by the capacity.
+// It keeps two generations of entries, so that its memory is bounded by the capacity: an
+// entry that is not seen again is evicted after the newer generation was filled twice.
 type Index struct {
 	Capacity int // in prefixes; DefaultCapacity if zero
 
@@ -48,17 +48,17 @@
 	newer    map[uint64]entry
 	older    map[uint64]entry
 	instance string
-	last     uint64    // sequence of the last event
-	gapAt    time.Time // when the last gap showed; zero if there was none
+	last     uint64    // sequence number of the last event
+	gapAt    time.Time // when the last gap was detected; zero if there was none
 }
 
-// entry is what is known of one prefix.
+// entry records when a prefix was last seen and until when that is valid.
 type entry struct {
-	noted  time.Time
-	expiry time.Time
+	seenAt    time.Time
+	expiresAt time.Time
 }
 
-// Observe takes in a page of events.
+// Observe processes a page of events.
 func (x *Index) Observe(now time.Time, page engine.CacheEvents) {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
@@ -70,7 +70,7 @@
 		if event.Sequence <= x.last {
 			continue
 		}
-		x.noteGap(now, event.Sequence)
+		x.detectGap(now, event.Sequence)
 		x.last = event.Sequence
 		seed, known := seeds[event.Model]
 		if !known {
@@ -84,14 +84,14 @@
 func (x *Index) apply(now time.Time, seed Seed, event engine.CacheEvent) {
 	key := makeKey(seed, event.Prefix)
 	if event.Stored {
-		x.put(key, entry{noted: now, expiry: now.Add(EventLifetime)})
+		x.put(key, entry{seenAt: now, expiresAt: now.Add(EventLifetime)})
 		return
 	}
 	delete(x.newer, key)
 	delete(x.older, key)
 }
 
-// restart forgets all, for an engine that restarted has an empty cache.
+// restart clears the index, because a restarted engine has an empty cache.
 func (x *Index) restart(instance string) {
 	x.newer, x.older = nil, nil
 	x.instance = instance
@@ -99,32 +99,32 @@
 	x.gapAt = time.Time{}
 }
 
-// noteGap lets what was known before a gap age sooner, because the lost events
-// may have told that it left the cache.
-func (x *Index) noteGap(now time.Time, sequence uint64) {
+// detectGap detects a gap in the events. Entries from before a gap expire sooner, because
+// the lost events may have reported their eviction.
+func (x *Index) detectGap(now time.Time, sequence uint64) {
 	if x.last != 0 && sequence != x.last+1 {
 		x.gapAt = now
 	}
 }
 
-// Hint records that a prompt with these prefixes was just sent to the server,
-// which will cache them in all likelihood.
+// Hint records that a prompt with these prefixes was just sent to the server, which will
+// most likely cache them.
 func (x *Index) Hint(now time.Time, seed Seed, prefixes []uint64) {
 	if len(prefixes) == 0 {
 		return
 	}
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
-	hint := entry{noted: now, expiry: now.Add(HintLifetime)}
+	hint := entry{seenAt: now, expiresAt: now.Add(HintLifetime)}
 	for _, prefix := range prefixes {
 		key := makeKey(seed, prefix)
-		if known, found := x.get(key); !found || known.expiry.Before(hint.expiry) {
+		if known, found := x.get(key); !found || known.expiresAt.Before(hint.expiresAt) {
 			x.put(key, hint)
 		}
 	}
 }
 
-// Match returns how many leading blocks of a prompt are believed to be cached.
+// Match returns the number of leading blocks of a prompt that are believed to be cached.
 func (x *Index) Match(now time.Time, seed Seed, prefixes []uint64) int {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
@@ -144,10 +144,10 @@
 
 func (x *Index) valid(now time.Time, key uint64) bool {
 	known, found := x.get(key)
-	if !found || !now.Before(known.expiry) {
+	if !found || !now.Before(known.expiresAt) {
 		return false
 	}
-	return !known.noted.Before(x.gapAt) || now.Before(x.gapAt.Add(GapLifetime))
+	return !known.seenAt.Before(x.gapAt) || now.Before(x.gapAt.Add(GapLifetime))
 }
 
 func (x *Index) get(key uint64) (entry, bool) {
--- a/pkg/traffic/prefixcache/index_test.go
+++ b/pkg/traffic/prefixcache/index_test.go
@@ -60,13 +60,13 @@
 				t.Errorf("matched %d blocks, want %d", got, test.want)
 			}
 			if got := index.Match(start, ModelSeed("other"), prompt); got != 0 {
-				t.Errorf("matched %d blocks for another model", got)
+				t.Errorf("matched %d blocks for another model, want 0", got)
 			}
 		})
 	}
 }
 
-func TestGapAgesWhatWasKnownBefore(t *testing.T) {
+func TestGapExpiresEarlierEntries(t *testing.T) {
 	index := &Index{}
 	index.Observe(start, page("i", stored(1, 11)))
 	gap := start.Add(time.Second)
@@ -88,6 +88,6 @@
 		t.Errorf("%d prefixes held, want at most 100", held)
 	}
 	if got := index.Match(start, seed, []uint64{10_000}); got != 1 {
-		t.Error("the newest prefix was forgotten")
+		t.Error("the newest prefix was evicted")
 	}
 }
--- a/pkg/traffic/property_test.go
+++ b/pkg/traffic/property_test.go
@@ -17,15 +17,16 @@
 	"martenwheel.dev/pkg/api"
 )
 
-// propertySeed makes the properties draw the same cases in each run.
+// propertySeed makes the property tests reproducible.
 const propertySeed = 1407
 
-// meter counts what runs on each server and remembers the first breach.
+// meter counts the running requests and tokens of each server and records the last
+// violation of a rule.
 type meter struct {
-	mutex    sync.Mutex
-	requests map[api.ServerID]int
-	tokens   map[api.ServerID]int
-	breach   string
+	mutex     sync.Mutex
+	requests  map[api.ServerID]int
+	tokens    map[api.ServerID]int
+	violation string
 }
 
 func (m *meter) add(server api.ServerID, requests, tokens, maxRequests, maxTokens int) {
@@ -34,14 +35,14 @@
 	m.requests[server] += requests
 	m.tokens[server] += tokens
 	if m.requests[server] > maxRequests || m.tokens[server] > maxTokens {
-		m.breach = fmt.Sprintf("%s holds %d requests and %d tokens", server, m.requests[server], m.tokens[server])
+		m.violation = fmt.Sprintf("%s exceeds its limits with %d requests and %d tokens", server, m.requests[server], m.tokens[server])
 	}
 }
 
 func (m *meter) fail(format string, arguments ...any) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.breach = fmt.Sprintf(format, arguments...)
+	m.violation = fmt.Sprintf(format, arguments...)
 }
 
 const (
@@ -49,7 +50,7 @@
 	meterTokens   = 100
 )
 
-// randomRequest plays one request: it waits, runs, fails or leaves at random.
+// randomRequest simulates one request that waits, runs, fails or is cancelled at random.
 func randomRequest(router *Router, meter *meter, random *rand.Rand) {
 	time.Sleep(time.Duration(random.IntN(2000)) * time.Millisecond)
 	request := ask(time.Duration(50+random.IntN(3000)) * time.Millisecond)
@@ -64,7 +65,7 @@
 		tokens := request.PromptTokens
 		server := granted.Target().Server
 		if time.Now().After(request.Deadline) {
-			meter.fail("a place after the deadline")
+			meter.fail("a slot was granted after the deadline")
 		}
 		meter.add(server, 1, tokens, meterRequests, meterTokens)
 		time.Sleep(time.Duration(random.IntN(300)) * time.Millisecond)
@@ -78,15 +79,15 @@
 	}
 	var refusal *Refusal
 	if !errors.As(err, &refusal) {
-		meter.fail("ended with %v, which is no refusal", err)
+		meter.fail("got error %v, want a refusal", err)
 	}
 	if time.Now().After(request.Deadline.Add(time.Second)) {
 		meter.fail("refused %v after the deadline", time.Since(request.Deadline))
 	}
 }
 
-// runRandom plays random requests while replicas come and go. It returns the
-// first breach.
+// runRandom simulates random requests while the number of replicas changes. It returns the
+// recorded violation, empty if there is none.
 func runRandom(t *testing.T, seed uint64, maxConcurrency int) string {
 	control := newStubControl(t, "max_concurrency", fmt.Sprint(maxConcurrency), "max_tokens", fmt.Sprint(meterTokens),
 		"queue_requests", "40")
@@ -95,28 +96,28 @@
 		control.changed = make(chan struct{})
 		router := New(Config{Control: control, Seed: seed})
 		defer router.Close()
-		var players sync.WaitGroup
-		for player := range uint64(120) {
-			players.Go(func() { randomRequest(router, meter, rand.New(rand.NewPCG(seed, player))) })
+		var requests sync.WaitGroup
+		for index := range uint64(120) {
+			requests.Go(func() { randomRequest(router, meter, rand.New(rand.NewPCG(seed, index))) })
 		}
 		random := rand.New(rand.NewPCG(seed, 1<<32))
 		for range 8 {
 			time.Sleep(time.Duration(random.IntN(600)) * time.Millisecond)
 			control.publish(readyOn("m", random.IntN(4)))
 		}
-		players.Wait()
+		requests.Wait()
 		if stats := router.Stats(); stats.Running != 0 || stats.Waiting != 0 {
-			meter.fail("left over: %+v", stats)
+			meter.fail("requests left at the end: %+v", stats)
 		}
 		for _, pool := range poolsOf(router) {
 			for key, usage := range pool.usages {
 				if usage.requests != 0 || usage.tokens != 0 {
-					meter.fail("places of %v not given back: %+v", key, usage)
+					meter.fail("slots of %v not released: %+v", key, usage)
 				}
 			}
 		}
 	})
-	return meter.breach
+	return meter.violation
 }
 
 func poolsOf(router *Router) []*pool {
@@ -125,8 +126,8 @@
 	return pools
 }
 
-// Whatever happens, the limits of each replica hold, each request is served by
-// its deadline or refused, and each place is given back.
+// TestLimitsHoldAndPlacesBalance checks for random requests that the limits of each replica
+// hold, each request is served by its deadline or refused, and each slot is released.
 func TestLimitsHoldAndPlacesBalance(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(propertySeed)
 	parameters.MinSuccessfulTests = 60
@@ -139,15 +140,16 @@
 	}
 }
 
-// The meter notices a router that gives out one place too many.
-func TestMeterNoticesOneTooMany(t *testing.T) {
-	if breach := runRandom(t, propertySeed, meterRequests+1); breach == "" {
-		t.Error("no breach; TestLimitsHoldAndPlacesBalance proves nothing")
+// TestMeterDetectsExceededLimit verifies that the meter detects a router that grants one slot
+// too many.
+func TestMeterDetectsExceededLimit(t *testing.T) {
+	if violation := runRandom(t, propertySeed, meterRequests+1); violation == "" {
+		t.Error("no violation recorded; TestLimitsHoldAndPlacesBalance does not test the limits")
 	}
 }
 
-// Whoever is refused for the deadline and comes back after RetryAfter, when
-// nobody else has come, is not refused again.
+// TestRetryAfterIsTruthful checks that a request that is refused because of its deadline is
+// served when it is repeated after RetryAfter, if no other requests came in between.
 func TestRetryAfterIsTruthful(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(propertySeed)
 	parameters.MinSuccessfulTests = 60
@@ -155,26 +157,26 @@
 	refusals := 0
 	properties.Property("coming back after RetryAfter is served", prop.ForAll(
 		func(waiting, holdMillis, budgetMillis int) bool {
-			refused, kept := comesBack(t, waiting, time.Duration(holdMillis)*time.Millisecond,
+			refused, accepted := repeatAfterRefusal(t, waiting, time.Duration(holdMillis)*time.Millisecond,
 				time.Duration(budgetMillis)*time.Millisecond)
 			if refused {
 				refusals++
 			}
-			return kept
+			return accepted
 		}, gen.IntRange(1, 60), gen.IntRange(10, 500), gen.IntRange(600, 3000)))
 	if !properties.Run(gopter.ConsoleReporter(false)) {
 		t.Errorf("seed %d", propertySeed)
 	}
 	if refusals < 10 {
-		t.Errorf("only %d cases were refused; the property proves nothing", refusals)
+		t.Errorf("only %d cases were refused, want at least 10 to test the property", refusals)
 	}
 }
 
-// comesBack sends a request behind others that go first, and once more after
-// RetryAfter if it is refused.
-func comesBack(t *testing.T, waiting int, hold, budget time.Duration) (refused, kept bool) {
+// repeatAfterRefusal sends a request behind more urgent ones. If it is refused, it is sent
+// again after RetryAfter, and accepted is whether it is served then.
+func repeatAfterRefusal(t *testing.T, waiting int, hold, budget time.Duration) (refused, accepted bool) {
 	control := newStubControl(t, "max_concurrency", "2")
-	kept = true
+	accepted = true
 	synctest.Test(t, func(t *testing.T) {
 		control.changed = make(chan struct{})
 		router := New(Config{Control: control})
@@ -194,11 +196,11 @@
 			refusal := refusalOf(t, ended.err, ReasonDeadline)
 			time.Sleep(refusal.RetryAfter)
 			ended = <-serveLater(router, ask(budget), hold)
-			kept = ended.err == nil
+			accepted = ended.err == nil
 		}
 		for _, end := range ahead {
 			<-end
 		}
 	})
-	return refused, kept
+	return refused, accepted
 }
--- a/pkg/traffic/retry.go
+++ b/pkg/traffic/retry.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Retries wait between 0 and retryBase, which doubles up to retryMax.
+// The pause before a retry is random, from 0 to a limit that starts at retryBase and
+// doubles with each attempt up to retryMax.
 const (
 	retryBase = 10 * time.Millisecond
 	retryMax  = 500 * time.Millisecond
 )
 
-// The bounds of a retry budget: what a model starts with, so that one failure
-// after a start may be retried, and what it saves up at most.
+// Bounds of a retry budget.
 const (
-	initialRetries = 3
-	maxSavedRetry  = 20
+	initialRetries  = 3  // at the start, so that early failures can be retried
+	maxSavedRetries = 20 // maximum that is saved up
 )
 
 // retryBudget allows a number of retries in proportion to first attempts.
@@ -30,10 +30,10 @@
 		b.saved = initialRetries
 	}
 	b.started = true
-	b.saved = min(b.saved+ratio, maxSavedRetry)
+	b.saved = min(b.saved+ratio, maxSavedRetries)
 }
 
-// spend takes a retry out of the budget, and returns false if none is left.
+// spend takes a retry from the budget. It returns false if none is left.
 func (b *retryBudget) spend() bool {
 	if b.saved < 1 {
 		return false
@@ -42,15 +42,15 @@
 	return true
 }
 
-// backOff returns the wait before the retry that follows count failed attempts.
+// backOff returns the pause before the retry that follows count failed attempts.
 func backOff(random *rand.Rand, count int) time.Duration {
 	limit := min(retryMax, retryBase<<min(count-1, 10))
 	return time.Duration(random.Int64N(int64(limit)))
 }
 
-// checkRepeat returns the refusal of a request that must not be sent again
-// after outcome, or nil.
-func checkRepeat(request *Request, outcome Outcome) *Refusal {
+// checkRetry returns a refusal if the request must not be sent again after an attempt
+// with this outcome, or nil.
+func checkRetry(request *Request, outcome Outcome) *Refusal {
 	streamed := outcome.FirstToken > 0 || outcome.Tokens > 0
 	switch {
 	case outcome.Kind == OutcomeNotRun:
