--- a/pkg/traffic/retry_test.go
+++ b/pkg/traffic/retry_test.go
@@ -9,12 +9,12 @@
 	"martenwheel.dev/pkg/engine"
 )
 
-// attemptFault is how the first attempt of a request ends.
+// attemptFault is a case of how the first attempt of a request ends.
 type attemptFault struct {
 	name    string
 	unsafe  bool
 	outcome Outcome
-	reason  RefusalReason // empty: retried
+	reason  RefusalReason // expected reason; empty: retried
 }
 
 var attemptFaults = []attemptFault{
@@ -33,7 +33,7 @@
 	for _, fault := range attemptFaults {
 		t.Run(fault.name, func(t *testing.T) {
 			control := newStubControl(t)
-			virtually(t, Config{Control: control}, func(t *testing.T, router *Router) {
+			inVirtualTime(t, Config{Control: control}, func(t *testing.T, router *Router) {
 				control.publish(readyOn("m", 3))
 				request := ask(time.Minute)
 				request.Unsafe = fault.unsafe
@@ -41,7 +41,7 @@
 				second, err := first.Retry(context.Background(), fault.outcome)
 				if fault.reason != "" {
 					if refusal := refusalOf(t, err, fault.reason); refusal.NotRun {
-						t.Error("claims that the request was not run")
+						t.Error("the refusal says that the request was not run")
 					}
 					return
 				}
@@ -56,22 +56,23 @@
 
 func TestUnsafeRepeatsWithoutTheChecks(t *testing.T) {
 	control := newStubControl(t)
-	virtually(t, Config{Control: control, off: mechanisms{retryChecks: true}}, func(t *testing.T, router *Router) {
+	inVirtualTime(t, Config{Control: control, off: mechanisms{retryChecks: true}}, func(t *testing.T, router *Router) {
 		control.publish(readyOn("m", 2))
 		request := ask(time.Minute)
 		request.Unsafe = true
 		second, err := mustAcquire(t, router, request).Retry(context.Background(), Outcome{Kind: OutcomeUnknown})
 		if err != nil {
-			t.Fatal("not repeated with the checks off; TestRetryOnlyWhereSafe proves nothing")
+			t.Fatal("not retried with retryChecks off; TestRetryOnlyWhereSafe does not test them")
 		}
 		second.Done(served(time.Millisecond))
 	})
 }
 
-// A refusal after a retry must remember that an earlier attempt may have run.
+// TestRefusalRemembersEarlierAttempts checks that a refusal after a retry is not marked as
+// not run if an earlier attempt may have run.
 func TestRefusalRemembersEarlierAttempts(t *testing.T) {
 	control := newStubControl(t)
-	virtually(t, Config{Control: control}, func(t *testing.T, router *Router) {
+	inVirtualTime(t, Config{Control: control}, func(t *testing.T, router *Router) {
 		control.publish(readyOn("m", 2))
 		first := mustAcquire(t, router, ask(time.Second))
 		second, err := first.Retry(context.Background(), Outcome{Kind: OutcomeUnknown})
@@ -81,14 +82,14 @@
 		control.publish(makeDirectory())
 		_, err = second.Retry(context.Background(), Outcome{Kind: OutcomeNotRun})
 		if refusal := refusalOf(t, err, ReasonDeadline); refusal.NotRun {
-			t.Error("claims that the request was not run, but the first attempt is unknown")
+			t.Error("the refusal says that the request was not run, but the outcome of the first attempt is unknown")
 		}
 	})
 }
 
 func TestRetryGoesToAnotherServer(t *testing.T) {
 	control := newStubControl(t, "retry_budget", "1")
-	virtually(t, Config{Control: control}, func(t *testing.T, router *Router) {
+	inVirtualTime(t, Config{Control: control}, func(t *testing.T, router *Router) {
 		control.publish(readyOn("m", 3))
 		for range 30 {
 			first := mustAcquire(t, router, ask(time.Minute))
@@ -97,7 +98,7 @@
 				t.Fatal(err)
 			}
 			if second.Target() == first.Target() {
-				t.Fatalf("retried on %s, where it failed", first.Target().Server)
+				t.Fatalf("retried on %s, where the first attempt failed", first.Target().Server)
 			}
 			second.Done(served(time.Millisecond))
 		}
@@ -106,7 +107,7 @@
 
 func TestRetryGoesToTheSameServerOnlyIfThereIsNoOther(t *testing.T) {
 	control := newStubControl(t)
-	virtually(t, Config{Control: control}, func(t *testing.T, router *Router) {
+	inVirtualTime(t, Config{Control: control}, func(t *testing.T, router *Router) {
 		control.publish(readyOn("m", 1))
 		second, err := mustAcquire(t, router, ask(time.Minute)).Retry(context.Background(), Outcome{Kind: OutcomeNotRun})
 		if err != nil {
@@ -118,7 +119,7 @@
 
 func TestRetryBudget(t *testing.T) {
 	control := newStubControl(t, "retry_budget", "0.1")
-	virtually(t, Config{Control: control}, func(t *testing.T, router *Router) {
+	inVirtualTime(t, Config{Control: control}, func(t *testing.T, router *Router) {
 		control.publish(readyOn("m", 4))
 		const requests = 200
 		retried := 0
@@ -143,10 +144,10 @@
 func TestLeavingServerGetsNoNewWork(t *testing.T) {
 	for _, off := range []bool{false, true} {
 		control := newStubControl(t)
-		virtually(t, Config{Control: control, off: mechanisms{leaving: off}}, func(t *testing.T, router *Router) {
+		inVirtualTime(t, Config{Control: control, off: mechanisms{leaving: off}}, func(t *testing.T, router *Router) {
 			control.publish(readyOn("m", 2))
 			running := mustAcquire(t, router, ask(time.Minute))
-			other := mustAcquire(t, router, ask(time.Minute)) // else the idle server would be chosen anyway
+			other := mustAcquire(t, router, ask(time.Minute)) // load on the other server, which would be preferred otherwise
 			leaving := running.Target().Server
 			router.ObserveLeaving(leaving, "one")
 			chosen := 0
@@ -158,12 +159,12 @@
 				granted.Done(served(time.Millisecond))
 			}
 			if (chosen > 0) != off {
-				t.Errorf("leaving server chosen %d times with the mechanism off: %t", chosen, off)
+				t.Errorf("leaving server chosen %d times with its exclusion off: %t", chosen, off)
 			}
 			late := engine.LoadReport{Instance: "one", AsOf: time.Now()}
 			router.ObserveLoad(time.Now(), leaving, late)
 			if router.servers.get(leaving).leaving.Load() == nil {
-				t.Error("a late report of the leaving instance took the server in again")
+				t.Error("a late report of the leaving instance ended the exclusion of its server")
 			}
 			router.ObserveLoad(time.Now(), leaving, engine.LoadReport{Instance: "two", AsOf: time.Now()})
 			if router.servers.get(leaving).leaving.Load() != nil {
@@ -175,12 +176,12 @@
 	}
 }
 
-// A server that its owner can't reach gets new work only while it still answers
-// this node itself.
+// TestUnreachableServerGetsNoNewWork checks that a server that its owner can't reach gets
+// new requests only while it answers this node itself.
 func TestUnreachableServerGetsNoNewWork(t *testing.T) {
 	for _, off := range []bool{false, true} {
 		control := newStubControl(t)
-		virtually(t, Config{Control: control, off: mechanisms{unreachable: off}}, func(t *testing.T, router *Router) {
+		inVirtualTime(t, Config{Control: control, off: mechanisms{unreachable: off}}, func(t *testing.T, router *Router) {
 			directory := readyOn("m", 1)
 			lost := directory.Servers["s0"]
 			lost.Reachable = false
@@ -190,23 +191,24 @@
 			router.ObserveLoad(time.Now(), "s0", engine.LoadReport{Instance: "one", AsOf: time.Now()})
 			mustAcquire(t, router, ask(time.Minute)).Done(served(time.Millisecond))
 
-			time.Sleep(ownEvidence)
+			time.Sleep(answerValidity)
 			grant, err := router.Acquire(context.Background(), ask(2*time.Second))
 			if off {
 				grant.Done(served(time.Millisecond))
 				return
 			}
 			if refusal := refusalOf(t, err, ReasonDeadline); !refusal.NotRun {
-				t.Errorf("refusal %v, want not run", refusal)
+				t.Errorf("got refusal %v, want it not run", refusal)
 			}
 		})
 	}
 }
 
-// An engine that refuses because it leaves is out at once, without being asked.
+// TestRefusalOfLeavingEngineExcludesIt checks that an engine that refuses a request
+// because it leaves is excluded at once, without a load report.
 func TestRefusalOfLeavingEngineExcludesIt(t *testing.T) {
 	control := newStubControl(t)
-	virtually(t, Config{Control: control}, func(t *testing.T, router *Router) {
+	inVirtualTime(t, Config{Control: control}, func(t *testing.T, router *Router) {
 		control.publish(readyOn("m", 2))
 		first := mustAcquire(t, router, ask(time.Minute))
 		leaving := first.Target().Server
@@ -232,7 +234,7 @@
 
 func TestFailingServerIsEjectedButTheLastIsKept(t *testing.T) {
 	control := newStubControl(t, "retry_budget", "0")
-	virtually(t, Config{Control: control}, func(t *testing.T, router *Router) {
+	inVirtualTime(t, Config{Control: control}, func(t *testing.T, router *Router) {
 		control.publish(readyOn("m", 3))
 		bad := api.ServerID("s0")
 		onBad := 0
@@ -252,7 +254,7 @@
 		began := time.Now()
 		mustAcquire(t, router, ask(time.Minute)).Done(served(time.Millisecond))
 		if waited := time.Since(began); waited > 0 {
-			t.Errorf("waited %v for the last replica, which is not to be ejected", waited)
+			t.Errorf("waited %v for the last replica, which must not be ejected", waited)
 		}
 	})
 }
--- a/pkg/traffic/routing/filter_ejected.go
+++ b/pkg/traffic/routing/filter_ejected.go
@@ -6,7 +6,7 @@
 // Name returns "ejected".
 func (EjectedFilter) Name() string { return "ejected" }
 
-// Keep tells whether the server is not ejected.
+// Keep reports whether the server is not ejected.
 func (EjectedFilter) Keep(_ *Request, candidate *Candidate) bool {
 	return !candidate.Ejected
 }
--- a/pkg/traffic/routing/filter_leaving.go
+++ b/pkg/traffic/routing/filter_leaving.go
@@ -6,7 +6,7 @@
 // Name returns "leaving".
 func (LeavingFilter) Name() string { return "leaving" }
 
-// Keep tells whether the server stays.
+// Keep reports whether the server is not leaving.
 func (LeavingFilter) Keep(_ *Request, candidate *Candidate) bool {
 	return !candidate.Leaving
 }
--- a/pkg/traffic/routing/filter_reachable.go
+++ b/pkg/traffic/routing/filter_reachable.go
@@ -6,7 +6,7 @@
 // Name returns "reachable".
 func (ReachableFilter) Name() string { return "reachable" }
 
-// Keep tells whether the server answers.
+// Keep reports whether the server answers.
 func (ReachableFilter) Keep(_ *Request, candidate *Candidate) bool {
 	return !candidate.Unreachable
 }
--- a/pkg/traffic/routing/filter_tried.go
+++ b/pkg/traffic/routing/filter_tried.go
@@ -1,13 +1,13 @@
 package routing
 
 // TriedFilter drops the servers on which an earlier attempt of the request
-// failed. The caller leaves Request.Tried empty when there is no other server.
+// failed. The caller leaves Request.Tried empty if there is no other server.
 type TriedFilter struct{}
 
 // Name returns "tried".
 func (TriedFilter) Name() string { return "tried" }
 
-// Keep tells whether the server is new to the request.
+// Keep reports whether no earlier attempt went to the server.
 func (TriedFilter) Keep(request *Request, candidate *Candidate) bool {
 	return !request.hasTried(candidate.Server)
 }
--- a/pkg/traffic/routing/herding_test.go
+++ b/pkg/traffic/routing/herding_test.go
@@ -8,35 +8,35 @@
 	"martenwheel.dev/pkg/api"
 )
 
-// The herd: many routers see the same load report, which is a second old when
-// the next one comes. Times are in steps of 10 ms.
+// Parameters of the simulation. Many routers see the same load report, which is one
+// second old when the next one comes. One step is 10 ms.
 const (
-	herdRouters  = 20
-	herdServers  = 12
-	herdLimit    = 32
-	herdSteps    = 3000
-	reportSteps  = 100 // between two load reports
-	halfLife     = 15  // of a report: 0.3 of the mean hold
-	recentLife   = 500 // of an own request
-	meanHold     = 50  // steps that a request takes on average
-	meanInFlight = 8.0 // per server
-	slowFactor   = 3
+	herdRouters    = 20
+	herdServers    = 12
+	herdLimit      = 32
+	herdSteps      = 3000
+	reportSteps    = 100 // steps between two load reports
+	halfLife       = 15  // half-life of a report in steps, 0.3 of the mean hold time
+	recentHalfLife = 500 // half-life of a sent request in steps
+	meanHold       = 50  // mean duration of a request in steps
+	meanInFlight   = 8.0 // requests per server
+	slowFactor     = 3   // how much longer requests take on slow servers
 )
 
 // strategy chooses a server for a router.
 type strategy func(herd *herd, router int) int
 
-// herd is a simulation of routers before servers.
+// herd is the state of a simulation of routers that send requests to servers.
 type herd struct {
 	random   *rand.Rand
 	step     int
-	own      [herdRouters][herdServers]int
-	total    [herdServers]int
-	recent   [herdRouters][herdServers]float64
-	reported [herdServers]int
-	turns    [herdRouters]int
-	slow     int              // servers that take longer
-	ending   map[int][][2]int // by step: router and server
+	own      [herdRouters][herdServers]int     // requests in flight by router and server
+	total    [herdServers]int                  // requests in flight by server
+	recent   [herdRouters][herdServers]float64 // sent requests, decayed
+	reported [herdServers]int                  // total at the last report
+	sent     [herdRouters]int                  // requests sent, for round robin
+	slow     int                               // number of slow servers
+	ending   map[int][][2]int                  // router and server of the requests that end, by step
 	chooser  *Chooser
 	scratch  [herdServers]Candidate
 }
@@ -64,8 +64,8 @@
 func atRandom(h *herd, _ int) int { return h.random.IntN(herdServers) }
 
 func roundRobin(h *herd, router int) int {
-	h.turns[router]++
-	return (h.turns[router] + router) % herdServers
+	h.sent[router]++
+	return (h.sent[router] + router) % herdServers
 }
 
 func leastReported(h *herd, _ int) int {
@@ -78,8 +78,8 @@
 	return least
 }
 
-// imbalance runs the herd and returns the mean ratio of the fullest server to
-// the average one.
+// imbalance runs the simulation and returns the mean ratio of the load of the fullest
+// server to the average load.
 func imbalance(choose strategy, chooser *Chooser, slow int, seed uint64) float64 {
 	h := &herd{
 		random:  rand.New(rand.NewPCG(seed, 1)),
@@ -113,7 +113,7 @@
 func (h *herd) ageRecent() {
 	for router := range h.recent {
 		for server := range h.recent[router] {
-			h.recent[router][server] *= math.Exp2(-1.0 / recentLife)
+			h.recent[router][server] *= math.Exp2(-1.0 / recentHalfLife)
 		}
 	}
 }
@@ -144,7 +144,7 @@
 	return float64(most) * herdServers / float64(sum)
 }
 
-// meanImbalance averages over seeds.
+// meanImbalance returns the mean imbalance over several seeds.
 func meanImbalance(choose strategy, chooser func() *Chooser, slow int) float64 {
 	const seeds = 3
 	sum := 0.0
@@ -154,8 +154,7 @@
 	return sum / seeds
 }
 
-// bestPicker always takes the best score, as a router would that trusts what it
-// knows.
+// bestPicker always takes the candidate with the best score.
 type bestPicker struct{}
 
 func (bestPicker) Pick(_ Random, scored []Scored) int {
@@ -174,7 +173,7 @@
 	return chooser
 }
 
-// strategies are compared side by side; the first is the product's own.
+// strategies holds the strategies to compare. The first is the one that routers use.
 var strategies = []struct {
 	name    string
 	choose  strategy
@@ -187,7 +186,7 @@
 	{"least reported", leastReported, NewDefaultChooser},
 }
 
-// herdCases are servers that are all alike, and some that are slow.
+// herdCases differ in the number of slow servers.
 var herdCases = []struct {
 	name string
 	slow int
@@ -199,14 +198,14 @@
 			ratios := make(map[string]float64)
 			for _, strategy := range strategies {
 				ratios[strategy.name] = meanImbalance(strategy.choose, strategy.chooser, herd.slow)
-				t.Logf("%s: fullest server has %.2f times the average", strategy.name, ratios[strategy.name])
+				t.Logf("%s: the fullest server has %.2f times the average load", strategy.name, ratios[strategy.name])
 			}
 			own := ratios["two choices"]
 			if own >= ratios["random"] || own >= ratios["least reported"] {
-				t.Error("two choices are not more even than random or than the least reported load")
+				t.Error("two choices do not balance better than random and least reported load")
 			}
 			if own > ratios["round robin"]*1.02 {
-				t.Error("two choices are less even than round robin")
+				t.Error("two choices balance worse than round robin")
 			}
 		})
 	}
--- a/pkg/traffic/routing/plugins_test.go
+++ b/pkg/traffic/routing/plugins_test.go
@@ -7,7 +7,7 @@
 	"martenwheel.dev/pkg/api"
 )
 
-// good is a candidate that every filter keeps.
+// good returns a candidate that every filter keeps.
 func good() Candidate {
 	return Candidate{
 		Server: "s1", Zone: "a", State: api.ReplicaReady, Share: 1,
@@ -46,7 +46,7 @@
 		candidate := good()
 		test.change(&candidate)
 		if got := test.filter.Keep(&request, &candidate); got != test.keep {
-			t.Errorf("%s filter, %s: keep %t, want %t", test.filter.Name(), test.name, got, test.keep)
+			t.Errorf("%s filter, %s: Keep returned %t, want %t", test.filter.Name(), test.name, got, test.keep)
 		}
 	}
 }
@@ -82,7 +82,7 @@
 		candidate := good()
 		test.change(&candidate)
 		if got := test.scorer.Score(&request, &candidate); got != test.score {
-			t.Errorf("case %d, %s scorer: %v, want %v", index, test.scorer.Name(), got, test.score)
+			t.Errorf("case %d, %s scorer: score %v, want %v", index, test.scorer.Name(), got, test.score)
 		}
 	}
 }
@@ -109,7 +109,7 @@
 	picker := TwoChoicePicker{Margin: 0.5}
 	far := counts(picker, []Scored{{0, 1.0, 1}, {1, 0.4, 1}, {2, 0.9, 1}})
 	if far[1] != 0 || far[0] != 10_000 {
-		t.Errorf("candidate far below the best: picked %v", far)
+		t.Errorf("candidate far below the best: picked %v, want only candidate 0", far)
 	}
 	near := counts(picker, []Scored{{0, 1.0, 1}, {1, 0.9, 1}, {2, 0.8, 1}})
 	if near[0] < 6000 || near[1] < 3000 || near[2] != 0 {
@@ -117,10 +117,10 @@
 	}
 	returning := counts(picker, []Scored{{0, 1.0, 0.1}, {1, 0.9, 1}})
 	if returning[0] < 800 || returning[0] > 1200 {
-		t.Errorf("candidate with a tenth of its share: picked %v", returning)
+		t.Errorf("candidate with a tenth of its share: picked %v, want candidate 0 about 1000 times", returning)
 	}
 	if only := counts(picker, []Scored{{7, 0, 0.1}}); only[7] != 10_000 {
-		t.Errorf("only candidate: picked %v", only)
+		t.Errorf("single candidate: picked %v, want it always", only)
 	}
 }
 
@@ -128,11 +128,11 @@
 	chooser := NewDefaultChooser()
 	random := rand.New(rand.NewPCG(1, 2))
 	if _, found := chooser.Choose(random, &Request{}, nil); found {
-		t.Error("chose from nothing")
+		t.Error("found a candidate in an empty list")
 	}
 	candidate := good()
 	candidate.Leaving = true
 	if _, found := chooser.Choose(random, &Request{}, []Candidate{candidate}); found {
-		t.Error("chose a candidate that all filters should drop")
+		t.Error("chose a candidate whose server is leaving")
 	}
 }
--- a/pkg/traffic/routing/routing.go
+++ b/pkg/traffic/routing/routing.go
@@ -1,24 +1,24 @@
-// Package routing chooses the replica for a request over an immutable snapshot
+// Package routing chooses the replica for a request from an immutable snapshot
 // of candidates in three steps: filters drop the candidates that must not be
 // used, scorers rate the rest, and a picker takes one of them. Each step is a
 // small interface with one plug-in per file.
 //
-// Nothing here reads a clock or shares state: the caller fills the candidates
-// from what it knows at that moment.
+// The package reads no clock and shares no state: the caller fills in the candidates
+// with its current knowledge.
 package routing
 
 import "martenwheel.dev/pkg/api"
 
-// Request is what the plug-ins need to know of a request.
+// Request holds the properties of a request that the plug-ins need.
 type Request struct {
-	Zone   string         // of the node that asks
-	Region string         // of its zone; empty: not known
-	Tokens int            // that the request will hold on the replica
-	Blocks int            // of the prompt, for which prefix hashes are known
+	Zone   string         // zone of this node
+	Region string         // region of the zone; empty: unknown
+	Tokens int            // number of tokens that the request will hold on the replica
+	Blocks int            // number of leading blocks of the prompt with known prefix hashes
 	Tried  []api.ServerID // servers on which earlier attempts failed
 }
 
-// hasTried tells whether an earlier attempt went to server.
+// hasTried reports whether an earlier attempt went to the server.
 func (r *Request) hasTried(server api.ServerID) bool {
 	for _, tried := range r.Tried {
 		if tried == server {
@@ -28,14 +28,14 @@
 	return false
 }
 
-// Usage counts what this node has running on a replica. A maximum of zero means
-// that there is no limit.
+// Usage counts the running requests of this node on a replica, and their tokens. A
+// maximum of zero means that there is no limit.
 type Usage struct {
 	Requests, MaxRequests int
 	Tokens, MaxTokens     int
 }
 
-// HasRoom tells whether a request with tokens fits within both limits.
+// HasRoom reports whether another request with so many tokens is within both limits.
 func (u Usage) HasRoom(tokens int) bool {
 	if u.MaxRequests > 0 && u.Requests >= u.MaxRequests {
 		return false
@@ -47,21 +47,21 @@
 type Candidate struct {
 	Server        api.ServerID
 	Zone          string
-	Region        string // of the zone; empty: not known
+	Region        string // region of the zone; empty: unknown
 	State         api.ReplicaState
 	Leaving       bool
-	Unreachable   bool // answers neither the owner nor this node
+	Unreachable   bool // whether it answers neither the owner nor this node
 	Ejected       bool
-	Share         float64 // of its normal traffic; below 1 after an ejection
-	Usage         Usage   // of the model
-	BaseUsage     Usage   // of the base model and all its adapters, if the model is an adapter
-	Recent        float64 // requests that this node sent to the replica lately, decayed by their age
-	ReportedLoad  float64 // requests that others have on the server, decayed by the report's age
+	Share         float64 // share of its normal traffic; below 1 after an ejection
+	Usage         Usage   // usage by the model
+	BaseUsage     Usage   // usage by the base model and all its adapters, if the model is an adapter
+	Recent        float64 // requests that this node sent to the replica, decayed by their age
+	ReportedLoad  float64 // requests of other nodes on the server, decayed by the report's age
 	MatchedBlocks int     // leading blocks of the prompt believed to be cached
-	AdapterSeen   bool    // the engine's last load report lists the model
-	Connected     bool    // an unused connection to the server stands
-	Slowness      float64 // of its pace by that of the fastest server; zero: not known
-	Affinity      float64 // from 0 to 1: the keeper of the prompt's shared parts, see package affinity
+	AdapterSeen   bool    // whether the engine's last load report lists the model
+	Connected     bool    // whether an idle connection to the server is open
+	Slowness      float64 // speed of the fastest server divided by the server's; zero: unknown
+	Affinity      float64 // from 0 to 1: affinity of the prompt's shared parts to the server, see package affinity
 	Lane          float64 // from 0 to 1: how well it fits the request's lane, see package affinity
 }
 
@@ -91,13 +91,13 @@
 
 // Scored is a candidate that passed all filters.
 type Scored struct {
-	Index int // in the snapshot
+	Index int // index of the candidate in the snapshot
 	Score float64
 	Share float64
 }
 
-// Picker takes one of the scored candidates, of which there is at least one,
-// and returns its place in the slice. It may reorder the slice.
+// Picker takes one of the scored candidates, of which there is at least one, and returns
+// its index in the slice. It may reorder the slice.
 type Picker interface {
 	Pick(random Random, scored []Scored) int
 }
@@ -111,15 +111,14 @@
 	scored  []Scored
 }
 
-// NewChooser returns a chooser of the given plug-ins.
+// NewChooser returns a chooser with the given plug-ins.
 func NewChooser(filters []Filter, scorers []Weighted, picker Picker) *Chooser {
 	return &Chooser{filters: filters, scorers: scorers, picker: picker}
 }
 
-// The weights of the default scorers. What a node did itself weighs more than
-// the reported load, which all nodes follow at once; a whole cached prompt
-// outweighs half a replica's load; zone and adapter decide between replicas
-// that are otherwise alike.
+// Weights of the default scorers. A node's own requests weigh more than the reported
+// load, to which all nodes react at once. A whole cached prompt outweighs half a
+// replica's load. Zone and adapter only decide between replicas that are otherwise alike.
 const (
 	weightInFlight = 1.0
 	weightRecent   = 1.0
@@ -129,7 +128,7 @@
 	weightAdapter  = 0.1
 )
 
-// NewDefaultChooser returns a chooser with all plug-ins of this package.
+// NewDefaultChooser returns a chooser with the default plug-ins of this package.
 func NewDefaultChooser() *Chooser {
 	return NewChooser(
 		[]Filter{ReadyFilter{}, LeavingFilter{}, ReachableFilter{}, EjectedFilter{}, TriedFilter{}, RoomFilter{}},
@@ -145,8 +144,8 @@
 	)
 }
 
-// Choose returns the index of the candidate that gets the request, and false
-// if every candidate was dropped.
+// Choose returns the index of the candidate that gets the request; false if the filters
+// dropped every candidate.
 func (c *Chooser) Choose(random Random, request *Request, candidates []Candidate) (int, bool) {
 	c.scored = c.scored[:0]
 	for index := range candidates {
--- a/pkg/traffic/routing/scorer_adapter.go
+++ b/pkg/traffic/routing/scorer_adapter.go
@@ -1,7 +1,7 @@
 package routing
 
-// AdapterScorer prefers servers whose engine itself reported lately that the
-// model or adapter is loaded, over those known only from the owner's view.
+// AdapterScorer prefers servers whose engine itself reported that the model or adapter
+// is loaded over those known only from the owner.
 type AdapterScorer struct{}
 
 // Name returns "adapter".
--- a/pkg/traffic/routing/scorer_affinity.go
+++ b/pkg/traffic/routing/scorer_affinity.go
@@ -1,7 +1,7 @@
 package routing
 
-// AffinityScorer prefers the server that all nodes take for the keeper of the shared parts
-// of the prompt. Unlike PrefixScorer it goes by no knowledge of what is kept.
+// AffinityScorer prefers the server to which all nodes assign the shared parts of the
+// prompt. Unlike PrefixScorer it does not use knowledge of what the server has cached.
 type AffinityScorer struct{}
 
 // Name returns "affinity".
--- a/pkg/traffic/routing/scorer_connected.go
+++ b/pkg/traffic/routing/scorer_connected.go
@@ -1,13 +1,13 @@
 package routing
 
-// ConnectedScorer prefers servers to which an unused connection stands. Where
-// servers have room it keeps a node with few of them, so that connections last.
+// ConnectedScorer prefers servers to which an idle connection is open. While servers have
+// free capacity, it keeps a node on few of them, so that connections are reused.
 type ConnectedScorer struct{}
 
 // Name returns "connected".
 func (ConnectedScorer) Name() string { return "connected" }
 
-// Score is 1 if a connection is there, else 0.
+// Score is 1 if there is a connection, else 0.
 func (ConnectedScorer) Score(_ *Request, candidate *Candidate) float64 {
 	if candidate.Connected {
 		return 1
--- a/pkg/traffic/routing/scorer_in_flight.go
+++ b/pkg/traffic/routing/scorer_in_flight.go
@@ -1,11 +1,11 @@
 package routing
 
-// assumedLimit stands for the number of requests that fill a replica whose
-// settings give no limit.
+// assumedLimit is the assumed number of requests that fill a replica whose settings give
+// no limit.
 const assumedLimit = 32
 
-// InFlightScorer prefers replicas on which this node has few requests running.
-// Own requests are the freshest knowledge of load that a node has.
+// InFlightScorer prefers replicas on which this node has few requests running. A node's
+// own requests are its most current knowledge of the load.
 type InFlightScorer struct{}
 
 // Name returns "in-flight".
@@ -17,7 +17,7 @@
 	return freeShare(float64(requests), candidate)
 }
 
-// freeShare returns the part of the replica's limit that requests leave free.
+// freeShare returns the share of the replica's limit that the requests leave free.
 func freeShare(requests float64, candidate *Candidate) float64 {
 	limit := candidate.Usage.MaxRequests
 	if limit <= 0 {
--- a/pkg/traffic/routing/scorer_lane.go
+++ b/pkg/traffic/routing/scorer_lane.go
@@ -1,7 +1,7 @@
 package routing
 
-// LaneScorer prefers servers that serve requests like this one, so that long prompts are
-// read apart from streams whose pauses count.
+// LaneScorer prefers servers that serve requests similar to this one, so that long prompts
+// are processed on other servers than streams that are sensitive to pauses.
 type LaneScorer struct{}
 
 // Name returns "lane".
--- a/pkg/traffic/routing/scorer_prefix.go
+++ b/pkg/traffic/routing/scorer_prefix.go
@@ -7,7 +7,7 @@
 // Name returns "prefix".
 func (PrefixScorer) Name() string { return "prefix" }
 
-// Score is the cached part of the prompt.
+// Score is the share of the prompt's blocks that are believed to be cached.
 func (PrefixScorer) Score(request *Request, candidate *Candidate) float64 {
 	if request.Blocks == 0 {
 		return 0
--- a/pkg/traffic/routing/scorer_reported_load.go
+++ b/pkg/traffic/routing/scorer_reported_load.go
@@ -1,7 +1,7 @@
 package routing
 
-// ReportedLoadScorer prefers servers on which, by the engine's lagging report,
-// other nodes have few requests.
+// ReportedLoadScorer prefers servers on which other nodes have few requests, according to
+// the engine's delayed report.
 type ReportedLoadScorer struct{}
 
 // Name returns "reported-load".
--- a/pkg/traffic/run.go
+++ b/pkg/traffic/run.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// sweepInterval is how often the waiting requests are judged anew by what is
-// known of loads and service times, besides at each change of the directory.
+// sweepInterval is how often the waiting requests are checked again with the current
+// estimates of loads and service times. They are also checked at each change of the
+// directory.
 const sweepInterval = 100 * time.Millisecond
 
-// run is the router's own work: it follows changes of the settings and the
-// directory, sweeps the queues and reports demand.
+// run is the router's background loop. It checks the waiting requests periodically and
+// at changes of the settings or the directory, and reports demand.
 func (r *Router) run() {
 	sweeps := time.NewTicker(sweepInterval)
 	defer sweeps.Stop()
@@ -30,7 +31,7 @@
 	}
 }
 
-// sweep judges all waiting requests anew.
+// sweep checks all waiting requests again.
 func (r *Router) sweep() {
 	if r.waiting.Load() == 0 {
 		return
@@ -39,7 +40,8 @@
 	r.eachPool(func(p *pool) { p.sweep(now) })
 }
 
-// report hands the demand of all models to the control side.
+// report passes the demand of all models to the control plane, and removes servers and
+// models that no longer exist.
 func (r *Router) report() {
 	r.servers.forgetMissing(r.config.Control.Directory())
 	settings, _ := r.config.Control.Tree()
@@ -58,10 +60,10 @@
 	})
 }
 
-// reserveWaiting counts a request as waiting, or refuses it when its service
-// has as many waiting on this node as it may. What a service may use is its
-// weight times what all leave free ("dynamic thresholds", Choudhury and Hahne
-// 1998), so that no service fills the node's queues to the exclusion of others.
+// reserveWaiting counts a request as waiting, or refuses it if its service has too many
+// requests waiting on this node. The limit of a service is its weight times the free
+// capacity of the queues ("dynamic thresholds", Choudhury and Hahne 1998), so that no
+// service can exclude others by filling the node's queues.
 func (r *Router) reserveWaiting(state *modelState) *Refusal {
 	free := int64(r.config.MaxWaiting) - r.waiting.Load()
 	count := r.waitingOfService(state.model.Service)
@@ -90,26 +92,26 @@
 
 // stopAt returns the end of the planned stop, or zero if there is none.
 func (r *Router) stopAt() time.Time {
-	end := r.stopping.Load()
+	end := r.stopDeadline.Load()
 	if end == 0 {
 		return time.Time{}
 	}
 	return time.Unix(0, end)
 }
 
-// drainPoll is how often a planned stop looks whether all has ended.
+// drainPoll is how often a planned stop checks whether all requests have ended.
 const drainPoll = 10 * time.Millisecond
 
-// Leftover is what a planned stop left at its deadline.
+// Leftover describes what is left at the deadline of a planned stop.
 type Leftover struct {
-	Running int // requests whose grants are not done
+	Running int // requests that still hold a slot
 }
 
-// Drain begins the planned stop of the node and returns when nothing waits or
-// runs any more, or at the deadline. New requests are refused at once, and so
-// are waiting ones that can't begin by the deadline; the others are served.
+// Drain begins the planned stop of the node. It returns when no request waits or runs
+// any more, or at the deadline. New requests, and waiting ones that can't start by the
+// deadline, are refused at once; the others are served.
 func (r *Router) Drain(deadline time.Time) Leftover {
-	r.stopping.CompareAndSwap(0, deadline.UnixNano())
+	r.stopDeadline.CompareAndSwap(0, deadline.UnixNano())
 	r.sweep()
 	ticker := time.NewTicker(drainPoll)
 	defer ticker.Stop()
--- a/pkg/traffic/server.go
+++ b/pkg/traffic/server.go
@@ -12,57 +12,58 @@
 	"martenwheel.dev/pkg/traffic/prefixcache"
 )
 
-// A load report counts half at the age of reportTrust times the time that a
-// request holds its place. All nodes follow the same report, so that together
-// they even out what it shows long before the requests in it have ended.
+// Parameters of the half-life of load reports. It is shorter than the time that a request
+// holds its slot: all nodes react to the same report, so that together they balance the
+// load that it shows long before the requests in it have ended.
 const (
-	reportTrust       = 0.3
-	minReportHalfLife = 50 * time.Millisecond
-	maxReportHalfLife = 10 * time.Second
-	assumedHold       = 2 * time.Second // while it is not measured
+	reportHalfLifeShare = 0.3 // half-life as a share of the mean hold time
+	minReportHalfLife   = 50 * time.Millisecond
+	maxReportHalfLife   = 10 * time.Second
+	assumedHoldTime     = 2 * time.Second // hold time until one is measured
 )
 
-// reportHalfLife returns the half-life of load reports for a model's hold.
+// reportHalfLife returns the half-life of load reports for a model with the mean hold
+// time hold.
 func reportHalfLife(hold time.Duration) time.Duration {
 	if hold == 0 {
-		hold = assumedHold
+		hold = assumedHoldTime
 	}
-	halfLife := time.Duration(reportTrust * float64(hold))
+	halfLife := time.Duration(reportHalfLifeShare * float64(hold))
 	return max(minReportHalfLife, min(halfLife, maxReportHalfLife))
 }
 
-// decay returns what is left of a value after a time.
+// decay returns the value after exponential decay over its age.
 func decay(value float64, age, halfLife time.Duration) float64 {
 	return value * math.Exp2(-float64(max(0, age))/float64(halfLife))
 }
 
-// server is what this node learned itself about a server that runs an engine.
-// Safe for concurrent use.
+// server is what this node itself knows about a server that runs an engine. It is safe
+// for concurrent use.
 type server struct {
-	outliers *outlier.Tracker
-	prefixes prefixcache.Index
-	inFlight atomic.Int64 // own requests, of all models
-	load     atomic.Pointer[engine.LoadReport]
-	leaving  atomic.Pointer[string] // instance that said that it leaves; nil: none
-	answered atomic.Int64           // Unix nanoseconds of the last answer to this node
+	outliers   *outlier.Tracker
+	prefixes   prefixcache.Index
+	inFlight   atomic.Int64                      // requests of this node, of all models
+	load       atomic.Pointer[engine.LoadReport] // latest load report; nil: none
+	leaving    atomic.Pointer[string]            // engine instance that reported that it leaves; nil: none
+	answeredAt atomic.Int64                      // Unix nanoseconds of the last answer to this node
 }
 
-// ownEvidence is how long an answer to this node outweighs the owner's word
-// that a server is out of reach.
-const ownEvidence = 3 * time.Second
+// answerValidity is how long an answer to this node outweighs the owner's report that a
+// server is unreachable.
+const answerValidity = 3 * time.Second
 
-// observeAnswer notes that the engine answered this node.
+// observeAnswer records that the engine answered this node.
 func (s *server) observeAnswer(now time.Time) {
-	s.answered.Store(now.UnixNano())
+	s.answeredAt.Store(now.UnixNano())
 }
 
-// unreachable tells whether requests to the server would hang: its owner cannot
-// reach it, and this node has had no answer of it lately either.
+// unreachable reports whether requests to the server would hang: its owner can't reach
+// it, and it has not answered this node recently either.
 func (s *server) unreachable(now time.Time, view api.ServerView) bool {
-	return !view.Reachable && now.Sub(time.Unix(0, s.answered.Load())) >= ownEvidence
+	return !view.Reachable && now.Sub(time.Unix(0, s.answeredAt.Load())) >= answerValidity
 }
 
-// observeLoad takes in a load report unless a newer one is known.
+// observeLoad records a load report, unless a newer one of the same instance is known.
 func (s *server) observeLoad(report engine.LoadReport) {
 	s.observeInstance(report.Instance)
 	if report.Leaving {
@@ -74,8 +75,8 @@
 	}
 }
 
-// observeRefusal notes that the engine refused a request because it is leaving.
-// Its instance is that of the last load report.
+// observeRefusal records that the engine refused a request because it is leaving. Its
+// instance is taken from the last load report.
 func (s *server) observeRefusal() {
 	instance := ""
 	if report := s.load.Load(); report != nil {
@@ -84,8 +85,8 @@
 	s.leaving.CompareAndSwap(nil, &instance)
 }
 
-// observeInstance ends the exclusion of a server on which another instance of
-// the engine runs than the one that left.
+// observeInstance ends the exclusion of a leaving server if it runs another instance of
+// the engine than the one that left.
 func (s *server) observeInstance(instance string) {
 	left := s.leaving.Load()
 	if left != nil && instance != "" && *left != instance {
@@ -93,8 +94,8 @@
 	}
 }
 
-// othersLoad estimates the requests that other nodes have on the server. The
-// estimate falls with the age of the report.
+// othersLoad estimates the number of requests that other nodes have on the server. The
+// estimate decays with the age of the report.
 func (s *server) othersLoad(now time.Time, halfLife time.Duration) float64 {
 	report := s.load.Load()
 	if report == nil {
@@ -108,8 +109,8 @@
 	return decay(others, now.Sub(report.AsOf), halfLife)
 }
 
-// reports tells whether the engine's last load report lists the model.
-func (s *server) reports(model api.ModelName) bool {
+// reportsModel reports whether the engine's last load report lists the model.
+func (s *server) reportsModel(model api.ModelName) bool {
 	report := s.load.Load()
 	if report == nil {
 		return false
@@ -122,13 +123,13 @@
 	return false
 }
 
-// servers is the table of all known servers. Safe for concurrent use.
+// servers is the table of all known servers. It is safe for concurrent use.
 type servers struct {
 	config outlier.Config
 	byID   sync.Map // api.ServerID to *server
 }
 
-// get returns the server, which is added if it is new.
+// get returns the server and adds it if necessary.
 func (s *servers) get(id api.ServerID) *server {
 	if known, found := s.byID.Load(id); found {
 		return known.(*server)
@@ -137,7 +138,7 @@
 	return known.(*server)
 }
 
-// forgetMissing drops the servers that are in no cell any more.
+// forgetMissing deletes the idle servers that are no longer in any cell.
 func (s *servers) forgetMissing(directory *Directory) {
 	s.byID.Range(func(id, known any) bool {
 		_, listed := directory.Servers[id.(api.ServerID)]
--- a/pkg/traffic/stats.go
+++ b/pkg/traffic/stats.go
@@ -8,7 +8,7 @@
 	"martenwheel.dev/pkg/tree"
 )
 
-// counters count the ends of a model's requests on this node.
+// counters counts the grants, retries, ejections and refusals of a model on this node.
 type counters struct {
 	granted   uint64
 	retries   uint64
@@ -28,9 +28,9 @@
 	Model     api.ModelName            `json:"model"`
 	Waiting   int                      `json:"waiting"`
 	Running   int                      `json:"running"`
-	Granted   uint64                   `json:"granted"`   // places given, retries included
+	Granted   uint64                   `json:"granted"`   // slots granted, including retries
 	Retries   uint64                   `json:"retries"`   // attempts after the first
-	Ejections uint64                   `json:"ejections"` // of servers, by outcomes of this model
+	Ejections uint64                   `json:"ejections"` // ejections of servers caused by requests of the model
 	Refusals  map[RefusalReason]uint64 `json:"refusals"`
 }
 
@@ -39,15 +39,15 @@
 	Models       []ModelStats `json:"models"` // sorted by name
 	Waiting      int          `json:"waiting"`
 	Running      int          `json:"running"`
-	UnknownModel uint64       `json:"unknown_model"` // refusals for models that don't exist
+	UnknownModel uint64       `json:"unknown_model"` // refusals because the model does not exist
 }
 
-// Stats returns a snapshot. The models are read one after the other.
+// Stats returns a snapshot. It is not atomic: the pools are read one after the other.
 func (r *Router) Stats() Stats {
 	stats := Stats{
 		Waiting:      int(r.waiting.Load()),
 		Running:      int(r.running.Load()),
-		UnknownModel: r.unknown.Load(),
+		UnknownModel: r.unknownModels.Load(),
 	}
 	r.eachPool(func(p *pool) { stats.Models = append(stats.Models, p.stats()...) })
 	sort.Slice(stats.Models, func(i, j int) bool { return stats.Models[i].Model < stats.Models[j].Model })
@@ -62,7 +62,7 @@
 		all = append(all, ModelStats{
 			Model:     state.name,
 			Waiting:   p.waitingCount(state),
-			Running:   state.pace.running,
+			Running:   state.throughput.running,
 			Granted:   state.counters.granted,
 			Retries:   state.counters.retries,
 			Ejections: state.counters.ejections,
@@ -72,7 +72,7 @@
 	return all
 }
 
-// serviceShare returns the weight of a service in the settings.
+// serviceShare returns the FairShare of a service in the settings; 1 if there is none.
 func (r *Router) serviceShare(service string) float64 {
 	settings, _ := r.config.Control.Tree()
 	resolved, err := settings.Resolve(tree.Path("/" + service))
--- a/pkg/traffic/types.go
+++ b/pkg/traffic/types.go
@@ -1,12 +1,13 @@
-// Package traffic takes requests from their arrival at a node to a replica:
-// limits, waiting, routing, retries. It decides; package gateway carries the
-// bytes.
+// Package traffic assigns the requests that arrive at a node to replicas: rate
+// limits, queueing, routing and retries. It only decides; package gateway
+// transfers the data.
 //
-// A request's way, by file: dispatcher.go checks rates and finds the pool of its
-// base model; pool.go queues, serves and refuses under the pool's lock; place.go
-// chooses a replica, by the filters and scorers of package routing; outlook.go
-// tells what can't be ready by its deadline; grant.go ends or repeats an attempt;
-// run.go sweeps the pools and reports demand.
+// The files follow the path of a request: dispatcher.go checks rate limits and
+// finds the pool of the base model; pool.go queues, serves and refuses requests
+// under the pool's lock; place.go chooses a replica with the filters and scorers
+// of package routing; forecast.go estimates whether the deadline can be met;
+// grant.go ends or retries an attempt; run.go rechecks the queues periodically
+// and reports demand.
 package traffic
 
 import (
@@ -18,8 +19,8 @@
 	"martenwheel.dev/pkg/tree"
 )
 
-// Request is what the decisions need to know of a caller's request. Strings
-// are the caller's own copies: no buffer of the HTTP server is kept.
+// Request holds the properties of a caller's request that the decisions need.
+// Its strings must be copies, not slices of a buffer of the HTTP server.
 type Request struct {
 	ID           string
 	Caller       string // from the API key, never the key itself
@@ -28,25 +29,25 @@
 	Arrived      time.Time
 	Deadline     time.Time // for the first token
 	PromptTokens int       // estimate
-	MaxTokens    int       // asked for
+	MaxTokens    int       // maximum number of tokens to generate
 	Prefixes     []uint64  // hashes of the prompt's leading blocks, shortest first
-	Unsafe       bool      // must not be sent twice
+	Unsafe       bool      // not safe to run twice
 }
 
-// Target is the replica that a request was given.
+// Target is the replica that a request is assigned to.
 type Target struct {
 	Server  api.ServerID
 	Address string // IP:port of the engine
 	Zone    string
 }
 
-// Outcome tells how an attempt on a target ended.
+// Outcome describes how an attempt on a target ended.
 type Outcome struct {
 	Kind         OutcomeKind
-	FirstToken   time.Duration // zero if there was none
+	FirstToken   time.Duration // time to the first token; zero if there was none
 	Tokens       int
-	CachedTokens int  // of the prompt, as the engine reported
-	Leaving      bool // the engine said that it takes no new work
+	CachedTokens int  // cached tokens of the prompt, as reported by the engine
+	Leaving      bool // whether the engine reported that it takes no new work
 }
 
 // OutcomeKind classifies the end of an attempt.
@@ -55,38 +56,40 @@
 // The kinds of outcomes.
 const (
 	OutcomeServed    OutcomeKind = iota + 1
-	OutcomeNotRun                // the request surely did not reach the engine, or it refused it
-	OutcomeUnknown               // sent, but no whole answer came
+	OutcomeNotRun                // the request certainly did not reach the engine, or the engine refused it
+	OutcomeUnknown               // sent, but no complete answer came
 	OutcomeCancelled             // the caller left
 )
 
-// Grant is a place on a replica. Done must be called exactly once.
+// Grant is a slot on a replica for one attempt. Done must be called exactly once.
 type Grant interface {
 	Target() Target
-	// Done ends the attempt and gives the place back.
+	// Done ends the attempt and releases the slot.
 	Done(Outcome)
-	// Retry ends the attempt with outcome and asks for another replica. It
-	// returns a *Refusal when the request may not be repeated (unsafe and
-	// not surely unrun), the budget is spent or the deadline too near.
+	// Retry ends the attempt with outcome and acquires a slot on another
+	// replica. It returns a *Refusal if the request must not be repeated
+	// (unsafe, and it may have run), the retry budget is spent or the deadline
+	// is too near.
 	Retry(ctx context.Context, outcome Outcome) (Grant, error)
 }
 
-// Movable is a Grant whose running stream can go on at another replica.
+// Movable is a Grant whose running stream can continue on another replica.
 type Movable interface {
 	Grant
-	// Leaving tells whether the replica's server takes no new work.
+	// Leaving reports whether the replica's server takes no new work.
 	Leaving() bool
-	// Move takes a place on another ready replica of the same model for the
-	// rest of the running request. It never waits: a *Refusal means that none
-	// has room now. The Grant itself keeps its place until its own Done.
+	// Move acquires a slot on another ready replica of the same model for the
+	// rest of the running request. It never waits: it returns a *Refusal if no
+	// replica has a free slot now. The Grant itself keeps its slot until its own
+	// Done.
 	Move() (Movable, error)
 }
 
-// Dispatcher gives requests their replicas. Safe for concurrent use.
+// Dispatcher assigns requests to replicas. It is safe for concurrent use.
 type Dispatcher interface {
-	// Acquire waits until the request has a place on a replica. It returns
-	// a *Refusal at once when the request can't be served by its deadline,
-	// and when ctx ends (the caller left or the node stops).
+	// Acquire waits until the request has a slot on a replica. It returns a
+	// *Refusal as soon as it is known that the request can't be served by its
+	// deadline, and when ctx ends (the caller left or the node stops).
 	Acquire(ctx context.Context, request Request) (Grant, error)
 }
 
@@ -108,7 +111,7 @@
 	ReasonKeyInUse       RefusalReason = "idempotency_key_in_use"
 	ReasonKeyMismatch    RefusalReason = "idempotency_key_mismatch"
 	ReasonUnavailable    RefusalReason = "unavailable"
-	ReasonQuarantined    RefusalReason = "quarantined" // servers ended when they ran the request
+	ReasonQuarantined    RefusalReason = "quarantined" // servers crashed while they ran the request
 )
 
 // Refusal is the final answer to a request that is not served.
@@ -116,7 +119,7 @@
 	Reason     RefusalReason
 	Message    string
 	NotRun     bool          // true only if no engine ran any part of the request
-	RetryAfter time.Duration // zero: no advice
+	RetryAfter time.Duration // when to try again; zero: unknown
 }
 
 // Error describes the refusal for logs.
@@ -126,26 +129,25 @@
 
 // Directory is the routers' immutable view of the cells of their region.
 type Directory struct {
-	Cells map[api.CellName]api.CellView
-	// Index of ready and loading replicas by model, and servers by ID.
-	Replicas map[api.ModelName][]api.Replica
+	Cells    map[api.CellName]api.CellView
+	Replicas map[api.ModelName][]api.Replica // ready and loading replicas
 	Servers  map[api.ServerID]api.ServerView
 }
 
-// Control is what traffic needs of the control side. Safe for concurrent use;
-// no method blocks on the network.
+// Control is the interface of the control plane that a Router uses. It is safe for
+// concurrent use, and no method blocks on the network.
 type Control interface {
 	// Tree returns the newest settings in force and their revision.
 	Tree() (*tree.Tree, tree.Revision)
 	// Directory returns the newest view of the cells.
 	Directory() *Directory
-	// Changed returns a channel that is closed when the tree or the
-	// directory next changes.
+	// Changed returns a channel that is closed at the next change of the tree
+	// or the directory.
 	Changed() <-chan struct{}
-	// Report adds to the demand that goes to the owner of the model's cell.
-	// A first waiter of a model with no replica is sent on at once.
+	// Report adds to the demand that is sent to the owner of the model's cell.
+	// The first waiting request for a model without a replica is sent at once.
 	Report(demand api.ModelDemand)
-	// Estimate returns the owner's last word on a model that is not ready,
-	// and false if there is none yet.
+	// Estimate returns the owner's latest answer about a model that is not
+	// ready; false if there is none yet.
 	Estimate(model api.ModelName) (api.LoadEstimate, bool)
 }
--- a/pkg/traffic/waiter.go
+++ b/pkg/traffic/waiter.go
@@ -5,13 +5,13 @@
 	"martenwheel.dev/pkg/traffic/fairqueue"
 )
 
-// attempts is the history of a request that is retried.
+// attempts records the earlier attempts of a request.
 type attempts struct {
 	tried      []api.ServerID
-	mayHaveRun bool // an attempt ended with an unknown outcome
+	mayHaveRun bool // whether an attempt ended with any outcome but OutcomeNotRun
 }
 
-// after returns the history with one more attempt.
+// after returns the attempts with one more.
 func (a attempts) after(server api.ServerID, outcome Outcome) attempts {
 	tried := make([]api.ServerID, 0, len(a.tried)+1)
 	tried = append(tried, a.tried...)
@@ -21,39 +21,39 @@
 	}
 }
 
-// refuse completes a refusal with whether the request may have run.
+// refuse sets NotRun of a refusal according to the attempts.
 func (a attempts) refuse(refusal *Refusal) *Refusal {
 	refusal.NotRun = !a.mayHaveRun
 	return refusal
 }
 
-// waiter is a request that waits for a place. Its pool's lock guards it.
+// waiter is a request that waits for a slot. Its pool's lock guards it.
 type waiter struct {
 	request Request
 	earlier attempts
 	state   *modelState
-	item    fairqueue.Item[*waiter] // in the queue, unless the request is retried
-	settled bool
-	result  chan settlement // gets exactly one
+	item    fairqueue.Item[*waiter] // entry in the queue; unused for a retried request
+	settled bool                    // whether result was sent
+	result  chan settlement         // receives exactly one settlement
 }
 
-// settlement is the end of waiting: one of its fields is set.
+// settlement is the result of waiting. Exactly one field is set.
 type settlement struct {
 	grant   *grant
 	refusal *Refusal
 }
 
-// isRetry tells whether the waiter stands among the retries instead of in the
-// queue.
+// isRetry reports whether the waiter is in the list of retries instead of the queue.
 func (w *waiter) isRetry() bool { return len(w.earlier.tried) > 0 }
 
-// settle ends the waiting. The channel has room, so that it doesn't block.
+// settle ends the waiting. It does not block, because the channel is buffered.
 func (w *waiter) settle(end settlement) {
 	w.settled = true
 	w.result <- end
 }
 
-// tokensOf is what a request counts for on a replica and in a queue.
+// tokensOf returns the number of tokens that a request counts as, on a replica and in a
+// queue.
 func tokensOf(request *Request) int {
 	return max(1, request.PromptTokens+request.MaxTokens)
 }
