--- a/pkg/backend/condition.go
+++ b/pkg/backend/condition.go
@@ -10,67 +10,68 @@
 	"martenwheel.dev/pkg/backpressure"
 )
 
-// Condition is what this node found out about one life of a server. Safe for
+// Condition is what this node knows about one incarnation of a server beyond its record. Safe for
 // concurrent use.
 type Condition struct {
-	id           string // of the life
-	signals      func(status int, h http.Header) backpressure.Signals
-	heard        func(Heard)
-	moved        func() // tells those that wait for a change of the servers
-	pool         *pool
-	inFlight     atomic.Int64
-	draining     atomic.Bool
-	leavingSince atomic.Pointer[time.Time] // nil: it is not known to leave by its record
-	pressure     *pressure
-	left         atomic.Bool
-	released     atomic.Bool // this node lets go of the server, which goes on
-	evacuated    atomic.Bool
-
-	mu       sync.Mutex
-	beliefs  map[Need]belief
-	running  map[string]int           // this node's requests by model
-	paces    map[string]time.Duration // time of an event by model
-	slowness float64                  // of its pace by that of the fastest server; zero: not known
-	recent   float64                  // requests sent lately, decayed
-	recentAt time.Time
-	ends     []endWatch // who wants to know whether the server ends
-	wentAt   time.Time  // when its record went though it had not declared to leave; zero: it did not
-	failures int        // in a row
-	until    time.Time  // to be avoided
+	id             string // of the incarnation
+	readSignals    func(status int, h http.Header) backpressure.Signals
+	onSignalChange func(SignalUpdate)
+	notifyChanged  func() // wakes those that wait for a change of the servers
+	pool           *pool
+	inFlight       atomic.Int64
+	draining       atomic.Bool
+	leavingSince   atomic.Pointer[time.Time] // when its record first announced that it drains, or was removed; nil: neither
+	signalState    *signalState
+	delisted       atomic.Bool
+	released       atomic.Bool // this node stops using the server, which continues to run
+	evacuated      atomic.Bool
+
+	mu               sync.Mutex
+	holdingOverrides map[Need]holdingOverride
+	running          map[string]int           // number of this node's requests by model
+	eventTimes       map[string]time.Duration // time per event by model
+	slowness         float64                  // time per event relative to the fastest server; zero: unknown
+	recent           float64                  // requests sent recently, decayed
+	recentAt         time.Time
+	endWatches       []endWatch // callbacks for the end of the server
+	vanishedAt       time.Time  // when its record was removed without an announcement that it leaves; zero: not removed so
+	failures         int        // consecutive
+	avoidUntil       time.Time  // end of the time for which the server is avoided
 
 	coldUntil time.Time
 }
 
-// belief is what was learned of a server outside of its record.
-type belief struct {
+// holdingOverride says whether a server holds a model or adapter, regardless of its record.
+type holdingOverride struct {
 	holds bool
 	until time.Time
 }
 
 func newCondition(d *Directory, s *Server) *Condition {
 	c := &Condition{
-		id: s.ID, signals: d.Signals, heard: d.Heard, moved: d.moved,
-		pressure: d.departed.take(d.Time.Now(), s), pool: newPool(d.Dialer, d.Time, s.Address),
+		id: s.ID, readSignals: d.Signals, onSignalChange: d.OnSignalChange, notifyChanged: d.notifyChanged,
+		signalState: d.departed.take(d.Time.Now(), s), pool: newPool(d.Dialer, d.Time, s.Address),
 	}
-	c.pool.refused, c.pool.hear = c.tellEnd, c.hear
+	c.pool.onRefused, c.pool.onResponse = c.notifyEnd, c.observeResponse
 	return c
 }
 
-// Left tells whether the server's record is gone.
-func (c *Condition) Left() bool { return c.left.Load() }
+// Delisted reports whether the server's record has been removed.
+func (c *Condition) Delisted() bool { return c.delisted.Load() }
 
-// Leaving tells whether the server takes no new requests.
-func (c *Condition) Leaving() bool { return c.left.Load() || c.Declared() }
+// Leaving reports whether the server accepts no new requests.
+func (c *Condition) Leaving() bool { return c.delisted.Load() || c.AnnouncedLeaving() }
 
-// Declared tells whether the server said that it leaves, by its record or in an answer: its end is no crash.
-func (c *Condition) Declared() bool {
-	return c.draining.Load() || c.pressure.leavingSince.Load() != nil
+// AnnouncedLeaving reports whether the server announced that it leaves, by its record or in a response. Its
+// end is then no crash.
+func (c *Condition) AnnouncedLeaving() bool {
+	return c.draining.Load() || c.signalState.leavingSince.Load() != nil
 }
 
-// LeavingFor returns for how long it has been known that the server leaves; zero: it is not.
+// LeavingFor returns how long it has been known that the server leaves; zero: it does not leave.
 func (c *Condition) LeavingFor(now time.Time) time.Duration {
 	known := time.Duration(0)
-	for _, since := range []*time.Time{c.leavingSince.Load(), c.pressure.leavingSince.Load()} {
+	for _, since := range []*time.Time{c.leavingSince.Load(), c.signalState.leavingSince.Load()} {
 		if since != nil {
 			known = max(known, now.Sub(*since), 1)
 		}
@@ -78,9 +79,9 @@
 	return known
 }
 
-// drain notes whether the server's record declares that it drains. One without it may be older than the
-// server's own word.
-func (c *Condition) drain(now time.Time, draining bool) {
+// setDraining records whether the server's record declares that it drains. A record that does not declare
+// it may be older than a response in which the server announced that it leaves.
+func (c *Condition) setDraining(now time.Time, draining bool) {
 	c.draining.Store(draining)
 	if draining {
 		c.leavingSince.CompareAndSwap(nil, &now)
@@ -89,24 +90,23 @@
 	}
 }
 
-// leave ends the use of the server for new requests.
-func (c *Condition) leave() {
-	c.left.Store(true)
+// delist ends the use of the server for new requests.
+func (c *Condition) delist() {
+	c.delisted.Store(true)
 	if c.leavingSince.Load() == nil {
 		now := c.pool.time.Now()
 		c.leavingSince.Store(&now)
 	}
-	if !c.Declared() && !c.released.Load() {
+	if !c.AnnouncedLeaving() && !c.released.Load() {
 		c.mu.Lock()
-		c.wentAt = c.pool.time.Now()
+		c.vanishedAt = c.pool.time.Now()
 		c.mu.Unlock()
-		c.tellEnd()
+		c.notifyEnd()
 	}
 	c.pool.closeIdle()
 }
 
-// InUse tells whether requests of this node run at the server, or somebody waits to know whether it
-// ends.
+// InUse reports whether requests of this node run at the server, or callbacks for its end are pending.
 func (c *Condition) InUse() bool {
 	if c.InFlight() > 0 {
 		return true
@@ -114,16 +114,16 @@
 	now := c.pool.time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return slices.ContainsFunc(c.ends, func(w endWatch) bool { return !now.After(w.until) })
+	return slices.ContainsFunc(c.endWatches, func(w endWatch) bool { return !now.After(w.until) })
 }
 
-// InFlight returns this node's requests at the server.
+// InFlight returns the number of this node's requests at the server.
 func (c *Condition) InFlight() int { return int(c.inFlight.Load()) }
 
 // recentHalfLife is the time in which the count of recent requests halves.
 const recentHalfLife = 2 * time.Second
 
-// Begin counts a request that goes to the server.
+// Begin counts a request that is sent to the server.
 func (c *Condition) Begin(now time.Time, model string) {
 	c.inFlight.Add(1)
 	c.mu.Lock()
@@ -132,11 +132,11 @@
 		c.running = make(map[string]int)
 	}
 	c.running[model]++
-	c.recent = c.recentBy(now) + 1
+	c.recent = c.decayedRecent(now) + 1
 	c.recentAt = now
 }
 
-// End takes back Begin.
+// End reverts Begin when the request is over.
 func (c *Condition) End(model string) {
 	c.inFlight.Add(-1)
 	c.mu.Lock()
@@ -146,15 +146,15 @@
 	}
 }
 
-// Recent returns the requests sent lately, decayed by their age.
+// Recent returns the number of requests sent recently, decayed by their age.
 func (c *Condition) Recent(now time.Time) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.recentBy(now)
+	return c.decayedRecent(now)
 }
 
-// recentBy halves the count once for each half-life, in steps.
-func (c *Condition) recentBy(now time.Time) float64 {
+// decayedRecent halves the count once per half-life, with linear interpolation between.
+func (c *Condition) decayedRecent(now time.Time) float64 {
 	age := now.Sub(c.recentAt)
 	if age >= 10*recentHalfLife {
 		return 0
@@ -166,75 +166,75 @@
 	return count * (1 - 0.5*float64(age)/float64(recentHalfLife))
 }
 
-// How long a server that fails is avoided: the first failure costs shortAvoid,
-// further ones in a row double it up to longAvoid.
+// How long a failing server is avoided: minAvoidTime after the first failure, doubled by each further
+// consecutive one up to maxAvoidTime.
 const (
-	shortAvoid = 500 * time.Millisecond
-	longAvoid  = 4 * time.Second
+	minAvoidTime = 500 * time.Millisecond
+	maxAvoidTime = 4 * time.Second
 )
 
-// Failed notes that the server did not serve a request.
+// Failed records that the server did not serve a request.
 func (c *Condition) Failed(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	pause := shortAvoid << min(c.failures, 4)
+	pause := minAvoidTime << min(c.failures, 4)
 	c.failures++
-	c.until = now.Add(min(pause, longAvoid))
+	c.avoidUntil = now.Add(min(pause, maxAvoidTime))
 }
 
-// Answered notes that the server served a request.
+// Answered records that the server served a request.
 func (c *Condition) Answered() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.failures = 0
-	c.until = time.Time{}
+	c.avoidUntil = time.Time{}
 }
 
-// Avoid tells whether the server failed a moment ago.
+// Avoid reports whether requests should avoid the server because it failed recently.
 func (c *Condition) Avoid(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return now.Before(c.until)
+	return now.Before(c.avoidUntil)
 }
 
-func (c *Condition) believe(n Need, holds bool, until time.Time) {
+func (c *Condition) overrideHolding(n Need, holds bool, until time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.beliefs == nil {
-		c.beliefs = make(map[Need]belief)
+	if c.holdingOverrides == nil {
+		c.holdingOverrides = make(map[Need]holdingOverride)
 	}
-	c.beliefs[n] = belief{holds: holds, until: until}
+	c.holdingOverrides[n] = holdingOverride{holds: holds, until: until}
 }
 
-func (c *Condition) believes(now time.Time, n Need) (holds, known bool) {
+func (c *Condition) holdingOverride(now time.Time, n Need) (holds, overridden bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	b, known := c.beliefs[n]
-	if !known {
+	override, overridden := c.holdingOverrides[n]
+	if !overridden {
 		return false, false
 	}
-	if now.After(b.until) {
-		delete(c.beliefs, n)
+	if now.After(override.until) {
+		delete(c.holdingOverrides, n)
 		return false, false
 	}
-	return b.holds, true
+	return override.holds, true
 }
 
-// relearn drops the beliefs that a newer record confirms.
-func (c *Condition) relearn(before, after *Server) {
+// dropConfirmed removes the overrides with which a newer record agrees.
+func (c *Condition) dropConfirmed(before, after *Server) {
 	if before.Version == after.Version {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for n, b := range c.beliefs {
+	for n, b := range c.holdingOverrides {
 		if after.Holds(n) == b.holds {
-			delete(c.beliefs, n)
+			delete(c.holdingOverrides, n)
 		}
 	}
 }
 
-// EachRunning calls f for each model that requests of this node run on.
+// EachRunning calls f for each model on which requests of this node run.
 func (c *Condition) EachRunning(f func(model string, n int)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/pkg/backend/conn.go
+++ b/pkg/backend/conn.go
@@ -17,33 +17,34 @@
 // Dialer opens a connection to a server.
 type Dialer func(ctx context.Context, address string) (net.Conn, error)
 
+// Errors of an exchange.
 // Errors of an exchange.
 var (
 	// ErrNotSent means that no byte of the request left this process.
 	ErrNotSent = errors.New("backend: not sent")
-	// ErrNoAnswer means that some of the request was sent and no answer came.
+	// ErrNoAnswer means that at least a part of the request was sent, but no response came.
 	ErrNoAnswer = errors.New("backend: sent, no answer")
-	// ErrBroken means that the answer broke off.
+	// ErrBroken means that the response ended before it was complete.
 	ErrBroken = errors.New("backend: answer broke off")
 
-	errIdleClosed = errors.New("backend: connection closed while idle")
-	errCrossed    = errors.New("backend: too many answers of other requests")
+	errIdleClosed       = errors.New("backend: connection closed while idle")
+	errForeignResponses = errors.New("backend: too many answers of other requests")
 )
 
-// maxCrossed bounds the answers of other requests that are read over on one
+// maxForeignResponses is the maximum number of responses to other requests that are skipped on one
 // connection.
-const maxCrossed = 4
+const maxForeignResponses = 4
 
-// Message is a request as it is written to a server.
+// Message is a request in the form in which it is written to a server.
 type Message struct {
 	Method string
-	Target string // path and query as the caller sent them
-	Head   []byte // header lines, each ended by CRLF
+	Target string // path and query exactly as sent by the caller
+	Head   []byte // header lines, each ending in CRLF
 	Body   []byte
-	// Control lets the message open a connection beyond the bound.
+	// Control lets the message open a connection beyond the limit.
 	Control bool
-	// IsAnswer tells whether an answer belongs to the request. Others are read
-	// over. Nil takes every answer.
+	// IsAnswer reports whether a response belongs to the request. Other responses are skipped. Nil accepts
+	// every response.
 	IsAnswer func(http.Header) bool
 }
 
@@ -66,33 +67,34 @@
 	return err
 }
 
-// conn is a connection to a server. Its read loop waits for answers, and notices
-// bytes and ends that come while no request is under way.
+// conn is a connection to a server. Its read loop waits for responses, and also detects data and connection
+// closes that arrive while no request is in progress.
 type conn struct {
 	net.Conn
 	pool    *pool
 	reader  *bufio.Reader
-	idleAt  time.Time     // since when it is unused
-	idleFor time.Duration // the server closes it after; zero: not told
-	// slept is how long the machine had been suspended when it was put back: one that slept
-	// may have ended meanwhile without a word, and what is sent on it may have run or not.
-	slept time.Duration
+	idleAt  time.Time     // when the connection became idle
+	idleFor time.Duration // idle time after which the server closes the connection; zero: unknown
+	// suspended is the total time for which the machine had been suspended when the connection became idle.
+	// After a suspension the connection may be dead without notice, and it would be unknown whether a
+	// request sent on it was executed.
+	suspended time.Duration
 
 	mu      sync.Mutex
 	current *exchange
-	closed  error // why it can't be used any more
+	closed  error // why the connection is unusable; nil: usable
 }
 
-// exchange is one request on a connection.
+// exchange is one request and its response on a connection.
 type exchange struct {
 	message *Message
-	sent    time.Time     // when it began to be sent
-	answers chan answered // gets one value
-	done    chan bool     // gets whether the body was read to its end
+	sent    time.Time         // when the node began to send the request
+	answers chan headerResult // receives one value
+	done    chan bool         // receives whether the body was read completely
 }
 
-// answered is the head of an answer or the reason that there is none.
-type answered struct {
+// headerResult is the header of a response, or the error in its place.
+type headerResult struct {
 	response *http.Response
 	err      error
 }
@@ -105,7 +107,7 @@
 	return c
 }
 
-// read is the read loop. It ends with the connection.
+// read is the read loop. It returns when the connection ends.
 func (c *conn) read() {
 	for {
 		_, err := c.reader.Peek(1)
@@ -116,14 +118,14 @@
 		}
 		var response *http.Response
 		if err == nil {
-			response, err = c.readHead(x)
+			response, err = c.readHeader(x)
 		}
 		if err != nil {
-			x.answers <- answered{err: err}
+			x.answers <- headerResult{err: err}
 			c.fail(err)
 			return
 		}
-		x.answers <- answered{response: response}
+		x.answers <- headerResult{response: response}
 		if !<-x.done || response.Close {
 			c.fail(errIdleClosed)
 			return
@@ -136,11 +138,11 @@
 	}
 }
 
-// readHead reads the head of the exchange's own answer, over informational ones
-// and those of other requests.
-func (c *conn) readHead(x *exchange) (*http.Response, error) {
+// readHeader reads the header of the response to the exchange. It skips informational responses and
+// responses to other requests.
+func (c *conn) readHeader(x *exchange) (*http.Response, error) {
 	request := &http.Request{Method: x.message.Method}
-	for range maxCrossed {
+	for range maxForeignResponses {
 		response, err := http.ReadResponse(c.reader, request)
 		if err != nil {
 			return nil, err
@@ -149,21 +151,21 @@
 			continue
 		}
 		if x.message.IsAnswer == nil || x.message.IsAnswer(response.Header) {
-			c.pool.hear(x.sent, response)
+			c.pool.onResponse(x.sent, response)
 			return response, nil
 		}
-		c.pool.hear(time.Time{}, response)
+		c.pool.onResponse(time.Time{}, response)
 		if _, err := io.Copy(io.Discard, response.Body); err != nil {
 			return nil, err
 		}
 		if response.Close {
-			return nil, errCrossed
+			return nil, errForeignResponses
 		}
 	}
-	return nil, errCrossed
+	return nil, errForeignResponses
 }
 
-// keepAlive returns how long the server says that it keeps an idle connection.
+// keepAlive returns how long the server announces to keep an idle connection open; zero: not announced.
 func keepAlive(h http.Header) time.Duration {
 	for _, field := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
@@ -180,7 +182,7 @@
 	return c.current
 }
 
-// fail ends the connection.
+// fail closes the connection and removes it from the pool. Only the first call has an effect.
 func (c *conn) fail(err error) {
 	c.mu.Lock()
 	first := c.closed == nil
@@ -194,7 +196,7 @@
 	}
 }
 
-// begin takes the connection for an exchange, and fails if it has ended.
+// begin assigns the connection to an exchange. It fails if the connection is closed.
 func (c *conn) begin(x *exchange) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -205,42 +207,41 @@
 	return nil
 }
 
-// counted tells whether any byte was taken by the connection.
-type counted struct {
+// countingConn counts the bytes that were written to the connection.
+type countingConn struct {
 	net.Conn
 	n int
 }
 
-func (w *counted) Write(p []byte) (int, error) {
+func (w *countingConn) Write(p []byte) (int, error) {
 	n, err := w.Conn.Write(p)
 	w.n += n
 	return n, err
 }
 
-// send writes the message and waits for the head of its answer. When ctx ends
-// the connection closes.
+// send writes the message and waits for the header of its response. If ctx ends, the connection is closed.
 func (c *conn) send(ctx context.Context, m *Message) (*Answer, error) {
-	x := &exchange{message: m, sent: c.pool.time.Now(), answers: make(chan answered, 1), done: make(chan bool, 1)}
+	x := &exchange{message: m, sent: c.pool.time.Now(), answers: make(chan headerResult, 1), done: make(chan bool, 1)}
 	if err := c.begin(x); err != nil {
 		return nil, errors.Wrap(ErrNotSent, err.Error())
 	}
-	writing := make(chan wrote, 1)
+	writing := make(chan writeResult, 1)
 	go func() {
-		w := counted{Conn: c.Conn}
+		w := countingConn{Conn: c.Conn}
 		err := m.write(&w)
-		writing <- wrote{w.n, err}
+		writing <- writeResult{w.n, err}
 	}()
-	whole := false
+	written := false
 	for {
 		select {
 		case end := <-writing:
-			whole = end.err == nil
+			written = end.err == nil
 			if end.err != nil && end.n == 0 {
 				c.abandon(x, end.err)
 				return nil, errors.Wrap(ErrNotSent, end.err.Error())
 			}
 			if end.err != nil {
-				// The answer may still be there; the read loop tells.
+				// The server may have responded before it closed; the read loop finds out.
 				_ = c.SetReadDeadline(time.Now().Add(answerAfterReset))
 			}
 			writing = nil
@@ -249,7 +250,7 @@
 				return nil, errors.Wrap(ErrNoAnswer, a.err.Error())
 			}
 			answer := newAnswer(ctx, c, x, a.response)
-			answer.whole, answer.writing = whole, writing
+			answer.written, answer.writing = written, writing
 			return answer, nil
 		case <-ctx.Done():
 			c.abandon(x, context.Cause(ctx))
@@ -258,35 +259,34 @@
 	}
 }
 
-// wrote tells how the writing of a message ended.
-type wrote struct {
+// writeResult is the outcome of writing a message.
+type writeResult struct {
 	n   int
 	err error
 }
 
-// abandon ends the connection and an exchange whose answer nobody reads.
+// abandon closes the connection and ends an exchange whose response nobody will read.
 func (c *conn) abandon(x *exchange, err error) {
 	c.fail(err)
 	x.done <- false
 }
 
-// answerAfterReset is how long an answer is waited for after the server broke
-// the connection that the request was written to.
+// answerAfterReset is how long to wait for a response after writing the request failed.
 const answerAfterReset = 50 * time.Millisecond
 
-// Answer is a server's answer. Close must be called.
+// Answer is a server's response. Callers must call Close.
 type Answer struct {
 	Status int
 	Header http.Header
-	Length int64 // of the body; -1: not told
-	Framed bool  // the body tells its own end; else it ends with its connection
+	Length int64 // of the body; -1: unknown
+	Framed bool  // the body has a length or is chunked; otherwise it ends with the connection
 
 	conn     *conn
 	exchange *exchange
 	body     io.ReadCloser
-	whole    bool         // the request was written to its end
-	writing  <-chan wrote // tells it, if it was not known when the answer came
-	ended    bool         // the body was read to its end
+	written  bool               // the request was written completely
+	writing  <-chan writeResult // delivers the result if writing had not finished when the response came
+	ended    bool               // the body was read completely
 	closed   bool
 	stop     func() bool
 }
@@ -298,7 +298,7 @@
 	return a
 }
 
-// Read reads the body. It returns io.EOF only at the whole body's end.
+// Read reads the body. It returns io.EOF only at the end of a complete body.
 func (a *Answer) Read(p []byte) (int, error) {
 	n, err := a.body.Read(p)
 	if err == io.EOF {
@@ -311,24 +311,24 @@
 	return n, nil
 }
 
-// ReadWithin bounds the wait for the next bytes.
+// ReadWithin sets a timeout for the next read.
 func (a *Answer) ReadWithin(d time.Duration) {
-	_ = a.conn.SetReadDeadline(time.Now().Add(d)) // an end of the connection shows with the read
+	_ = a.conn.SetReadDeadline(time.Now().Add(d)) // if the connection is closed, Read returns the error
 }
 
-// ReadUnbounded takes the bound of the wait back.
+// ReadUnbounded removes the timeout set by ReadWithin.
 func (a *Answer) ReadUnbounded() { _ = a.conn.SetReadDeadline(time.Time{}) }
 
-// writeRest is how long the end of a request is waited for whose answer has come
-// to its end: mostly it was written and only its writer did not tell yet.
-const writeRest = 20 * time.Millisecond
+// writeEndTimeout is how long to wait for the request to be completely written after its response has
+// ended. Usually it has been written and only the writing goroutine has not reported it yet.
+const writeEndTimeout = 20 * time.Millisecond
 
-// wrote tells whether the request was written to its end.
-func (a *Answer) wrote() bool {
-	if a.whole || a.writing == nil {
-		return a.whole
+// requestWritten reports whether the request was written completely.
+func (a *Answer) requestWritten() bool {
+	if a.written || a.writing == nil {
+		return a.written
 	}
-	timer := time.NewTimer(writeRest)
+	timer := time.NewTimer(writeEndTimeout)
 	defer timer.Stop()
 	select {
 	case end := <-a.writing:
@@ -338,8 +338,8 @@
 	}
 }
 
-// Close ends the reading. The connection is kept if the body was read to its
-// end; else it closes, which stops the server's work.
+// Close releases the connection. It is kept if the body was read completely. Otherwise it is closed, which
+// stops the server's work.
 func (a *Answer) Close() {
 	if a.closed {
 		return
@@ -348,7 +348,7 @@
 	if !a.stop() {
 		a.ended = false
 	}
-	if a.ended && a.wrote() {
+	if a.ended && a.requestWritten() {
 		_ = a.conn.SetReadDeadline(time.Time{})
 		a.exchange.done <- true
 		return
--- a/pkg/backend/conn_test.go
+++ b/pkg/backend/conn_test.go
@@ -15,7 +15,7 @@
 	"github.com/pkg/errors"
 )
 
-// serve answers the requests of a connection in turn.
+// serve responds to the requests of a connection with the answers in order.
 func serve(conn net.Conn, answers ...string) {
 	reader := bufio.NewReader(conn)
 	for _, answer := range answers {
@@ -30,23 +30,23 @@
 
 const good = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nKeep-Alive: timeout=10\r\n\r\ngood"
 
-// slowWriter tells that bytes were written a while after they were.
+// slowWriter returns from a write some time after the bytes were written.
 type slowWriter struct{ net.Conn }
 
 func (w slowWriter) Write(p []byte) (int, error) {
 	n, err := w.Conn.Write(p)
-	time.Sleep(writeRest / 4)
+	time.Sleep(writeEndTimeout / 4)
 	return n, err
 }
 
-// toServer returns a member whose connections are dialled by dial.
-func toServer(dial Dialer) *Member {
+// newMember returns a member whose connections are opened by dial.
+func newMember(dial Dialer) *Member {
 	d := &Directory{Dialer: dial}
 	d.Replace([]*Server{{ID: "i-1", Service: "s", Address: "server"}}, 1)
 	return d.Snapshot().Member("i-1")
 }
 
-// exchangeWith sends a request and reads the whole answer.
+// exchangeWith sends a request and reads the complete response.
 func exchangeWith(t *testing.T, m *Member) string {
 	t.Helper()
 	message := &Message{Method: http.MethodPost, Target: "/", Head: []byte("Host: x\r\n"), Body: []byte("body")}
@@ -62,22 +62,22 @@
 	return string(body)
 }
 
-// waitIdle waits until a connection is unused.
+// waitIdle waits until a connection is idle.
 func waitIdle(t *testing.T, m *Member) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); m.Idle() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("the connection is not kept")
+			t.Fatal("no connection became idle within 10 s")
 		}
 	}
 }
 
-// TestConnectionIsKeptThoughTheAnswerWasFaster: an answer that is there before
-// the request's writer has returned does not cost the connection.
+// TestConnectionIsKeptThoughTheAnswerWasFaster: a response that arrives before the goroutine that writes
+// the request has returned must not close the connection.
 func TestConnectionIsKeptThoughTheAnswerWasFaster(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) { // a busy machine's writer took longer than any answer is waited with
+	synctest.Test(t, func(t *testing.T) { // fake time: on a busy machine the write returned later than writeEndTimeout
 		var dials atomic.Int32
-		m := toServer(func(context.Context, string) (net.Conn, error) {
+		m := newMember(func(context.Context, string) (net.Conn, error) {
 			dials.Add(1)
 			near, far := net.Pipe()
 			go serve(far, good, good, good)
@@ -91,17 +91,17 @@
 			waitIdle(t, m)
 		}
 		if dials.Load() != 1 {
-			t.Errorf("%d dials for three requests in turn", dials.Load())
+			t.Errorf("%d connections were opened for three sequential requests, want 1", dials.Load())
 		}
 	})
 }
 
-// TestUnsolicitedBytesEndAConnection: bytes that come while no request is under
-// way are no answer to the next one.
+// TestUnsolicitedBytesEndAConnection: bytes that arrive while no request is in progress must not be taken
+// as the response to the next request.
 func TestUnsolicitedBytesEndAConnection(t *testing.T) {
 	late := "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nevil"
 	var dials atomic.Int32
-	m := toServer(func(context.Context, string) (net.Conn, error) {
+	m := newMember(func(context.Context, string) (net.Conn, error) {
 		near, far := net.Pipe()
 		if dials.Add(1) == 1 {
 			go serve(far, good+late)
@@ -120,7 +120,8 @@
 	}
 }
 
-// TestEnded: only a refused connection shows that a server has ended.
+// TestEnded: only a refused connection shows that a server has ended. A connection attempt that times out
+// does not.
 func TestEnded(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -129,26 +130,26 @@
 	dial := func(ctx context.Context, _ string) (net.Conn, error) {
 		return new(net.Dialer).DialContext(ctx, "tcp", listener.Addr().String())
 	}
-	m := toServer(dial)
+	m := newMember(dial)
 	if m.Ended(t.Context()) || m.Idle() != 1 {
-		t.Errorf("a server that listens has ended, %d connections are kept", m.Idle())
+		t.Errorf("a listening server is reported as ended, or its connection is not kept: %d idle connections", m.Idle())
 	}
 	listener.Close()
-	if !toServer(dial).Ended(t.Context()) {
-		t.Error("a server that does not listen runs")
+	if !newMember(dial).Ended(t.Context()) {
+		t.Error("a server without a listener is not reported as ended")
 	}
-	silent := toServer(func(ctx context.Context, _ string) (net.Conn, error) {
+	silent := newMember(func(ctx context.Context, _ string) (net.Conn, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	})
 	if silent.Ended(t.Context()) {
-		t.Error("a server that is silent has ended")
+		t.Error("a server that does not respond is reported as ended")
 	}
 }
 
-// TestConnectionLimit: beyond it only messages of control go out.
+// TestConnectionLimit: at the limit, only control messages open further connections.
 func TestConnectionLimit(t *testing.T) {
-	m := toServer(func(context.Context, string) (net.Conn, error) {
+	m := newMember(func(context.Context, string) (net.Conn, error) {
 		near, far := net.Pipe()
 		go serve(far, good)
 		return near, nil
@@ -165,20 +166,20 @@
 	if err := send(); err != nil {
 		t.Fatal(err)
 	}
-	if err := send(); !errors.Is(err, ErrCrowded) {
-		t.Errorf("the second connection: %v", err)
+	if err := send(); !errors.Is(err, ErrTooManyConnections) {
+		t.Errorf("got %v for the second connection, want ErrTooManyConnections", err)
 	}
 	message.Control = true
 	if err := send(); err != nil {
-		t.Errorf("a message of control: %v", err)
+		t.Errorf("a control message failed: %v", err)
 	}
 }
 
-// TestServersThatRefuseConnectionsAreGone: a server that refused a connection serves
-// no model until it is tried again, or until a connection comes up.
+// TestServersThatRefuseConnectionsAreGone: a server that refused a connection counts as serving no model
+// until GoneTime is over or a connection succeeds.
 func TestServersThatRefuseConnectionsAreGone(t *testing.T) {
 	refuse := true
-	m := toServer(func(context.Context, string) (net.Conn, error) {
+	m := newMember(func(context.Context, string) (net.Conn, error) {
 		if refuse {
 			return nil, &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}
 		}
@@ -189,29 +190,29 @@
 	m.Models = []Holding{{Model: "m"}}
 	need := Need{Model: "m"}
 	if !m.Serves(time.Now(), need) {
-		t.Fatal("the server does not serve what it holds")
+		t.Fatal("the server does not serve the model that it holds")
 	}
 	if !m.Ended(t.Context()) {
-		t.Fatal("a refused connection is not told")
+		t.Fatal("a server that refuses connections is not reported as ended")
 	}
 	if now := time.Now(); m.Serves(now, need) || !m.Serves(now, Need{}) || !m.Serves(now.Add(GoneTime+time.Second), need) {
-		t.Error("a server that refuses connections counts as serving, or for good as gone")
+		t.Error("a server that refused a connection still serves its model, serves nothing at all, or is still gone after GoneTime")
 	}
 	refuse = false
 	exchangeWith(t, m)
 	if !m.Serves(time.Now(), need) {
-		t.Error("a server that is back counts as gone")
+		t.Error("a server that accepts connections again is still gone")
 	}
 }
 
-// TestLooksAtAServerAreShared has all requests of a server look at once whether it ended, as
-// they do when it breaks off under them.
-func TestLooksAtAServerAreShared(t *testing.T) {
+// TestProbesOfAServerAreShared checks whether a server ended for all its requests at once, as happens when
+// the server crashes. The probes must share one connection attempt.
+func TestProbesOfAServerAreShared(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var dials atomic.Int32
-		m := toServer(func(context.Context, string) (net.Conn, error) {
+		m := newMember(func(context.Context, string) (net.Conn, error) {
 			dials.Add(1)
-			time.Sleep(endedTimeout / 2)
+			time.Sleep(probeTimeout / 2)
 			return nil, &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}
 		})
 		const requests = 30
@@ -221,11 +222,11 @@
 		}
 		for range requests {
 			if !<-ended {
-				t.Error("a server that refuses connections runs")
+				t.Error("a server that refuses connections is not reported as ended")
 			}
 		}
 		if n := dials.Load(); n != 1 {
-			t.Errorf("%d connections were tried, want 1", n)
+			t.Errorf("%d connection attempts, want 1", n)
 		}
 	})
 }
--- a/pkg/backend/departed.go
+++ b/pkg/backend/departed.go
@@ -6,71 +6,75 @@
 	"martenwheel.dev/pkg/backpressure"
 )
 
-// departed keeps what servers said of themselves that are not listed: their rows may lapse while the platform's store
-// is away, or be read in parts, and the same lives are back then. Answers to requests under way go on telling of them
-// meanwhile, and so do nodes that list a server sooner than this one. The zero value is empty. The directory's mu
-// guards it.
-type departed struct {
-	lives map[string]departedLife // by ID
+// departedServers keeps the signal states of servers that are not listed. Their records may lapse while the
+// platform's store is unavailable, or be read only in part, and the same incarnations return afterwards. In
+// the meantime, responses to requests in progress still carry signals, and nodes that list a server earlier
+// than this one report them. The zero value is empty. The directory's mu guards it.
+type departedServers struct {
+	servers map[string]departedServer // by ID
 }
 
-// departedLife is what is kept of one life.
-type departedLife struct {
-	address  string    // empty: it was not listed here yet
-	at       time.Time // when it was listed last, or another node told of it
-	pressure *pressure
+// departedServer is what is kept of one incarnation.
+type departedServer struct {
+	address     string    // empty: it has not been listed by this node yet
+	at          time.Time // when it was last listed, or last reported by another node
+	signalState *signalState
 }
 
 const (
-	// departedTime is how long a life is kept: as long as what it may have asked for.
-	departedTime = backpressure.MostRest
-	// mostDeparted bounds the lives that are kept.
-	mostDeparted = 4096
+	// departedTime is how long an incarnation is kept: as long as the longest back-off that it may have
+	// asked for.
+	departedTime = backpressure.MaxBackOff
+	// maxDeparted is the maximum number of incarnations that are kept.
+	maxDeparted = 4096
 )
 
-// keep keeps what a server said that has just left the list, if it asked for anything or may do so yet.
-func (d *departed) keep(now time.Time, m *Member) {
-	if m.InFlight() == 0 && !m.pressure.asking.Load() {
+// keep stores the signal state of a server that was just removed from the list, if a signal is in effect or
+// running requests may still bring one.
+func (d *departedServers) keep(now time.Time, m *Member) {
+	if m.InFlight() == 0 && !m.signalState.active.Load() {
 		return
 	}
-	if d.room(now) {
-		d.lives[m.ID] = departedLife{m.Address, now, m.pressure}
+	if d.makeRoom(now) {
+		d.servers[m.ID] = departedServer{m.Address, now, m.signalState}
 	}
 }
 
-// room forgets lives that are over and tells whether there is room for one more.
-func (d *departed) room(now time.Time) bool {
-	for id, life := range d.lives {
-		if now.Sub(life.at) > departedTime {
-			delete(d.lives, id)
+// makeRoom removes expired entries and reports whether another one fits.
+func (d *departedServers) makeRoom(now time.Time) bool {
+	for id, entry := range d.servers {
+		if now.Sub(entry.at) > departedTime {
+			delete(d.servers, id)
 		}
 	}
-	if d.lives == nil {
-		d.lives = make(map[string]departedLife)
+	if d.servers == nil {
+		d.servers = make(map[string]departedServer)
 	}
-	return len(d.lives) < mostDeparted
+	return len(d.servers) < maxDeparted
 }
 
-// tell takes in what another node believes of a life that is not listed here, and returns what it changed.
-func (d *departed) tell(now time.Time, server string, b backpressure.Belief) Heard {
-	life, kept := d.lives[server]
+// merge merges the signal state that another node reported for an incarnation that is not listed, and
+// returns the change.
+func (d *departedServers) merge(now time.Time, server string, shared backpressure.SharedState) SignalUpdate {
+	entry, kept := d.servers[server]
 	if !kept {
-		if !d.room(now) {
-			return Heard{Server: server}
+		if !d.makeRoom(now) {
+			return SignalUpdate{Server: server}
 		}
-		life = departedLife{pressure: new(pressure)}
+		entry = departedServer{signalState: new(signalState)}
 	}
-	life.at = now
-	d.lives[server] = life
-	return life.pressure.take(now, server, func(s *backpressure.State) backpressure.Change { return s.Tell(b) })
+	entry.at = now
+	d.servers[server] = entry
+	return entry.signalState.apply(now, server, func(s *backpressure.State) backpressure.Change { return s.Merge(shared) })
 }
 
-// take returns what a server that is listed anew said, if it is the same life.
-func (d *departed) take(now time.Time, s *Server) *pressure {
-	life, kept := d.lives[s.ID]
-	delete(d.lives, s.ID)
-	if !kept || life.address != "" && life.address != s.Address || now.Sub(life.at) > departedTime {
-		return new(pressure)
+// take removes and returns the signal state of a server that is listed again, or a new one unless the entry
+// is of the same incarnation.
+func (d *departedServers) take(now time.Time, s *Server) *signalState {
+	entry, kept := d.servers[s.ID]
+	delete(d.servers, s.ID)
+	if !kept || entry.address != "" && entry.address != s.Address || now.Sub(entry.at) > departedTime {
+		return new(signalState)
 	}
-	return life.pressure
+	return entry.signalState
 }
--- a/pkg/backend/directory.go
+++ b/pkg/backend/directory.go
@@ -11,7 +11,7 @@
 	"martenwheel.dev/pkg/revision"
 )
 
-// Snapshot is the servers known at one moment. It is immutable.
+// Snapshot is the set of servers known at one moment. It is immutable.
 type Snapshot struct {
 	version  revision.Revision
 	at       time.Time
@@ -25,27 +25,27 @@
 // At returns when the snapshot was taken.
 func (s *Snapshot) At() time.Time { return s.at }
 
-// Service returns the servers of a service. The slice is not to be changed.
+// Service returns the servers of a service. The caller must not change the slice.
 func (s *Snapshot) Service(name string) []*Member { return s.services[name] }
 
-// Member returns the server with an ID, nil if it is not known.
+// Member returns the server with the given ID, or nil if it is unknown.
 func (s *Snapshot) Member(id string) *Member { return s.members[id] }
 
-// Members returns all servers by ID. The map is not to be changed.
+// Members returns all servers by ID. The caller must not change the map.
 func (s *Snapshot) Members() map[string]*Member { return s.members }
 
-// Member is a server with what this node found out about it.
+// Member is a server with what this node knows about its condition.
 type Member struct {
 	*Server
 	*Condition
 }
 
-// Serves tells whether the server may get a new request that needs n.
+// Serves reports whether the server may get a new request that needs n.
 func (m *Member) Serves(now time.Time, n Need) bool {
-	return !m.Cold(now) && m.Rest(now) == 0 && m.serves(now, n)
+	return !m.Cold(now) && m.BackOff(now) == 0 && m.serves(now, n)
 }
 
-// serves is Serves for a server that may be cold or at rest.
+// serves is Serves without the checks for cold servers and back-off.
 func (m *Member) serves(now time.Time, n Need) bool {
 	if m.Evacuated() {
 		return false
@@ -53,38 +53,37 @@
 	if m.Leaving() || n.Model != "" && m.Gone(now) {
 		return false
 	}
-	if believed, known := m.believes(now, n); known {
-		return believed
+	if holds, overridden := m.holdingOverride(now, n); overridden {
+		return holds
 	}
 	return m.Holds(n)
 }
 
-// Directory keeps the newest snapshot. Safe for concurrent use. Set the fields
-// before the first Replace.
+// Directory keeps the newest snapshot. Safe for concurrent use. Set the exported fields before the first
+// call of Replace.
 type Directory struct {
 	Dialer Dialer
 	Time   clock.Clock
-	// ColdFor returns for how long servers of a service are cold after a start, see Evacuate; nil:
-	// none are.
+	// ColdFor returns how long the servers of a service are cold after a start, see Evacuate; nil: never.
 	ColdFor func(service string) time.Duration
-	// Signals reads what an answer tells of its server; nil: answers tell nothing.
+	// Signals reads the backpressure signals of a response; nil: responses carry none.
 	Signals func(status int, h http.Header) backpressure.Signals
-	// Heard is told of each change of what is believed of a server by its own word; may be nil. It is
-	// not to block.
-	Heard func(Heard)
+	// OnSignalChange is called for each change of a server's signal state by the server's own responses;
+	// may be nil. It must not block.
+	OnSignalChange func(SignalUpdate)
 
-	pacing sync.Mutex
-	paced  map[pacedKey]map[*Condition]bool // servers that streamed a model
+	streamedMu sync.Mutex
+	streamed   map[serviceModel]map[*Condition]bool // servers that streamed a model
 
 	mu        sync.Mutex
-	evacuated map[string]bool // zones
+	evacuated map[string]bool // by zone
 	reports   []report
-	departed  departed
+	departed  departedServers
 	current   atomic.Pointer[Snapshot]
 	changed   chan struct{}
 }
 
-// Snapshot returns the newest snapshot; an empty one before the first Replace.
+// Snapshot returns the newest snapshot, which is empty before the first call of Replace.
 func (d *Directory) Snapshot() *Snapshot {
 	if s := d.current.Load(); s != nil {
 		return s
@@ -92,11 +91,10 @@
 	return &Snapshot{}
 }
 
-// Known tells whether a list of servers was taken in.
+// Known reports whether Replace has been called.
 func (d *Directory) Known() bool { return d.current.Load() != nil }
 
-// Changed returns a channel that is closed at the next change of the servers or
-// of what is believed of them.
+// Changed returns a channel that is closed at the next change of the servers or of their condition.
 func (d *Directory) Changed() <-chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -106,23 +104,23 @@
 	return d.changed
 }
 
-// moved wakes those that wait for a change.
-func (d *Directory) moved() {
+// notifyChanged wakes those that wait for a change.
+func (d *Directory) notifyChanged() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.announce()
+	d.notifyChangedLocked()
 }
 
-// announce wakes those that wait for a change. The caller holds mu.
-func (d *Directory) announce() {
+// notifyChangedLocked wakes those that wait for a change. The caller holds mu.
+func (d *Directory) notifyChangedLocked() {
 	if d.changed != nil {
 		close(d.changed)
 		d.changed = nil
 	}
 }
 
-// Replace takes in the whole list of servers. Lives of servers that are missing get no
-// new requests from now on, also if the next life of the server is in the list.
+// Replace sets the complete list of servers. An incarnation that is missing from it gets no new requests,
+// even if the next incarnation of the same server is listed.
 func (d *Directory) Replace(servers []*Server, version revision.Revision) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -138,45 +136,45 @@
 		before := old.members[s.ID]
 		if before != nil && before.Address == s.Address {
 			m.Condition = before.Condition
-			m.Condition.relearn(before.Server, s)
+			m.Condition.dropConfirmed(before.Server, s)
 		} else {
 			m.Condition = newCondition(d, s)
 		}
-		m.drain(next.at, s.Draining)
-		d.withdraw(m)
+		m.setDraining(next.at, s.Draining)
+		d.applyWithdrawal(m)
 		next.members[s.ID] = m
 		next.services[s.Service] = append(next.services[s.Service], m)
 	}
 	d.current.Store(next)
 	for id, m := range old.members {
 		if now := next.members[id]; now == nil || now.Condition != m.Condition {
-			m.Condition.leave()
+			m.Condition.delist()
 			d.departed.keep(next.at, m)
 		}
 	}
-	d.announce()
+	d.notifyChangedLocked()
 }
 
-// Release tells that the next list lacks lives that go on: this node lets go of them, which is no end
-// of theirs.
-func (d *Directory) Release(lives []string) {
+// Release announces that the next list will omit incarnations that continue to run: this node stops using
+// them, which does not count as their end.
+func (d *Directory) Release(ids []string) {
 	snapshot := d.Snapshot()
-	for _, id := range lives {
+	for _, id := range ids {
 		if m := snapshot.Member(id); m != nil {
 			m.released.Store(true)
 		}
 	}
 }
 
-// Believe notes, until the time, that a server holds n or not, whatever the
-// list says. It is dropped when the list tells of another state of the model.
-func (d *Directory) Believe(id string, n Need, holds bool, until time.Time) {
+// OverrideHolding sets whether a server holds n until the given time, regardless of its record. The
+// override is dropped when a newer record agrees with it.
+func (d *Directory) OverrideHolding(id string, n Need, holds bool, until time.Time) {
 	m := d.Snapshot().Member(id)
 	if m == nil {
 		return
 	}
-	m.believe(n, holds, until)
+	m.overrideHolding(n, holds, until)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.announce()
+	d.notifyChangedLocked()
 }
--- a/pkg/backend/ended.go
+++ b/pkg/backend/ended.go
@@ -10,76 +10,77 @@
 	"github.com/pkg/errors"
 )
 
-// Times of looks at servers that may have ended.
+// Times of the probes that find out whether a server has ended.
 const (
-	endedTimeout = 100 * time.Millisecond // for a connection to come up or to be refused
-	// lookShared is for how long the result of a look serves others: all requests that run
-	// at a server break within a few milliseconds when it ends.
-	lookShared = 100 * time.Millisecond
+	probeTimeout = 100 * time.Millisecond // for a connection to succeed or be refused
+	// probeSharedTime is how long the result of a probe is reused: when a server ends, all its requests
+	// fail within a few milliseconds.
+	probeSharedTime = 100 * time.Millisecond
 )
 
-// endLook is one look at whether a server has ended.
-type endLook struct {
+// endProbe is a check whether a server has ended, made by connecting to it.
+type endProbe struct {
 	began time.Time
-	done  chan struct{} // closed when ended is known
+	done  chan struct{} // closed when ended is set
 	ended atomic.Bool
 }
 
-// Ended tells whether surely nobody listens any more where the server did. A
-// connection that comes up is kept for requests. Callers at about the same time share one
-// look.
+// Ended reports whether the server's port certainly has no listener any more, because it refuses a
+// connection. A connection that succeeds is kept for requests. Calls at about the same time share one
+// probe.
 func (c *Condition) Ended(ctx context.Context) bool {
 	p := c.pool
 	now := p.time.Now()
 	p.mu.Lock()
-	look := p.look
-	fresh := look == nil || now.Sub(look.began) > lookShared
+	probe := p.lastProbe
+	fresh := probe == nil || now.Sub(probe.began) > probeSharedTime
 	if fresh {
-		look = &endLook{began: now, done: make(chan struct{})}
-		p.look = look
+		probe = &endProbe{began: now, done: make(chan struct{})}
+		p.lastProbe = probe
 	}
 	p.mu.Unlock()
 	if fresh {
 		go func() {
-			defer close(look.done)
-			look.ended.Store(p.refuses(context.WithoutCancel(ctx)))
+			defer close(probe.done)
+			probe.ended.Store(p.refuses(context.WithoutCancel(ctx)))
 		}()
 	}
 	select {
-	case <-look.done:
-		return look.ended.Load()
+	case <-probe.done:
+		return probe.ended.Load()
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// endWatch is somebody who wants to know whether the server ends by a time.
+// endWatch is a callback to run if the server ends before a given time.
 type endWatch struct {
 	until time.Time
 	f     func()
 }
 
-// IfItEnds has f called, in a goroutine of its own, if the server is found to have ended
-// within a time: it refuses a connection of this node, or its record goes though it had not
-// declared to leave, which it may have done while the request ran. No connection is made to find out.
-func (c *Condition) IfItEnds(within time.Duration, f func()) {
+// OnEnd calls f in a new goroutine if the server is found to have ended within the given time: it refuses a
+// connection of this node, or its record is removed although it had not announced that it leaves. The
+// record may also have been removed up to that long before the call, while the request was running. OnEnd
+// itself opens no connection.
+func (c *Condition) OnEnd(within time.Duration, f func()) {
 	now := c.pool.time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.wentAt.After(now.Add(-within)) {
+	if c.vanishedAt.After(now.Add(-within)) {
 		go f()
 		return
 	}
-	c.ends = slices.DeleteFunc(c.ends, func(w endWatch) bool { return now.After(w.until) })
-	c.ends = append(c.ends, endWatch{now.Add(within), f})
+	c.endWatches = slices.DeleteFunc(c.endWatches, func(w endWatch) bool { return now.After(w.until) })
+	c.endWatches = append(c.endWatches, endWatch{now.Add(within), f})
 }
 
-// tellEnd tells those who want to know that the server has ended.
-func (c *Condition) tellEnd() {
+// notifyEnd runs the callbacks that wait for the end of the server.
+func (c *Condition) notifyEnd() {
 	now := c.pool.time.Now()
 	c.mu.Lock()
-	watches := c.ends
-	c.ends = nil
+	watches := c.endWatches
+	c.endWatches = nil
 	c.mu.Unlock()
 	for _, w := range watches {
 		if !now.After(w.until) {
@@ -88,9 +89,9 @@
 	}
 }
 
-// refuses tells whether a new connection is refused.
+// refuses reports whether the server refuses a new connection.
 func (p *pool) refuses(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, endedTimeout)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	nc, err := p.connect(ctx, false)
 	if err == nil {
--- a/pkg/backend/pool.go
+++ b/pkg/backend/pool.go
@@ -14,42 +14,41 @@
 	"martenwheel.dev/pkg/clock"
 )
 
-// ErrCrowded means that the node has as many connections to the server as it
-// may have. Nothing was sent.
-var ErrCrowded = errors.New("backend: too many connections to the server")
+// ErrTooManyConnections means that the node has reached its limit of connections to the server. Nothing was
+// sent.
+var ErrTooManyConnections = errors.New("backend: too many connections to the server")
 
 // Limits of idle connections.
 const (
 	maxIdle = time.Minute
-	// idleMargin is how long before the server closes an idle connection it is
-	// not used any more.
+	// idleMargin is how long before the server closes an idle connection the node stops using it.
 	idleMargin = 500 * time.Millisecond
 )
 
-// pool holds the connections to one life of a server. Safe for concurrent use.
+// pool holds the connections to one incarnation of a server. Safe for concurrent use.
 type pool struct {
 	dial    Dialer
 	time    clock.Clock
 	address string
-	limit   atomic.Int64 // connections; zero: none
+	limit   atomic.Int64 // maximum number of connections; zero: unlimited
 
 	mu        sync.Mutex
-	idle      []*conn // the last used at the end
+	idle      []*conn // most recently used last
 	open      int
 	ended     bool
-	goneUntil time.Time // it refused a connection
-	look      *endLook  // the last one
-	refused   func()    // told when a connection was refused
-	// hear is told of each head of an answer that came, with when its request began to be sent: zero
-	// for an answer that is another request's.
-	hear func(sent time.Time, r *http.Response)
+	goneUntil time.Time // end of the time for which a refused connection marks the server as gone
+	lastProbe *endProbe // the latest probe
+	onRefused func()    // called when a connection was refused
+	// onResponse is called with the header of each response and the time at which the node began to send
+	// its request, which is zero for a response that belongs to another request.
+	onResponse func(sent time.Time, r *http.Response)
 }
 
 func newPool(dial Dialer, t clock.Clock, address string) *pool {
 	return &pool{dial: dial, time: t, address: address}
 }
 
-// take returns an idle connection, nil if there is none.
+// take returns a usable idle connection, or nil if there is none.
 func (p *pool) take(now time.Time) *conn {
 	for {
 		c := p.pop()
@@ -60,7 +59,7 @@
 		if c.idleFor > 0 {
 			bound = min(bound, max(c.idleFor-idleMargin, c.idleFor/2))
 		}
-		if now.Sub(c.idleAt) < bound && c.slept == clock.Slept() {
+		if now.Sub(c.idleAt) < bound && c.suspended == clock.Slept() {
 			return c
 		}
 		c.fail(errIdleClosed)
@@ -78,9 +77,9 @@
 	return c
 }
 
-// put gives a connection back.
+// put returns a connection to the pool.
 func (p *pool) put(c *conn) {
-	c.idleAt, c.slept = p.time.Now(), clock.Slept()
+	c.idleAt, c.suspended = p.time.Now(), clock.Slept()
 	p.mu.Lock()
 	ended := p.ended
 	if !ended {
@@ -92,7 +91,7 @@
 	}
 }
 
-// drop forgets a connection that has ended.
+// drop removes a closed connection from the pool.
 func (p *pool) drop(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -105,7 +104,7 @@
 	}
 }
 
-// closeIdle closes the unused connections, and the others once they are unused.
+// closeIdle closes the idle connections now, and each of the others when it is returned.
 func (p *pool) closeIdle() {
 	p.mu.Lock()
 	p.ended = true
@@ -117,12 +116,12 @@
 	}
 }
 
-// connect opens a connection; control tells that the bound does not hold for it.
+// connect opens a connection. The limit does not apply to control connections.
 func (p *pool) connect(ctx context.Context, control bool) (*conn, error) {
 	p.mu.Lock()
 	if limit := int(p.limit.Load()); limit > 0 && p.open >= limit && !control {
 		p.mu.Unlock()
-		return nil, ErrCrowded
+		return nil, ErrTooManyConnections
 	}
 	p.open++
 	p.mu.Unlock()
@@ -137,7 +136,7 @@
 	return newConn(p, nc), nil
 }
 
-// failed notes that no connection came up.
+// failed records that a connection attempt failed.
 func (p *pool) failed(err error) {
 	refused := errors.Is(err, syscall.ECONNREFUSED)
 	p.mu.Lock()
@@ -147,42 +146,42 @@
 	}
 	p.mu.Unlock()
 	if refused {
-		p.refused()
+		p.onRefused()
 	}
 }
 
-// GoneTime is how long a server that refused a connection counts as gone before it is
-// tried again: about as long as its entry stays in the list.
+// GoneTime is how long a server that refused a connection is considered gone before it is tried again:
+// about as long as its entry stays in the list.
 const GoneTime = 2 * time.Second
 
-// Gone tells whether nobody listened any more, a moment ago, where the server did.
+// Gone reports whether a connection to the server was refused within the last GoneTime and none succeeded
+// after that.
 func (c *Condition) Gone(now time.Time) bool {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	return now.Before(c.pool.goneUntil)
 }
 
-// Idle returns the number of unused connections to the server.
+// Idle returns the number of idle connections to the server.
 func (c *Condition) Idle() int {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	return len(c.pool.idle)
 }
 
-// SetConnectionLimit bounds the connections to the server; zero: no bound.
+// SetConnectionLimit sets the maximum number of connections to the server; zero: unlimited.
 func (c *Condition) SetConnectionLimit(n int) { c.pool.limit.Store(int64(n)) }
 
-// notSent tells that err kept a request from being sent.
+// notSent marks err as the reason why a request was not sent.
 func notSent(err error) error {
-	if errors.Is(err, ErrCrowded) {
+	if errors.Is(err, ErrTooManyConnections) {
 		return err
 	}
-	return fmt.Errorf("%w: %w", err, ErrNotSent) // both are looked for
+	return fmt.Errorf("%w: %w", err, ErrNotSent) // callers test for either error
 }
 
-// Send writes a request to the server once and waits for the head of its
-// answer. check is asked right before the first byte goes out; its error keeps
-// the request from being sent.
+// Send writes a request to the server once and waits for the header of its response. It calls check right
+// before the first byte is sent; if check returns an error, the request is not sent.
 func (c *Condition) Send(ctx context.Context, m *Message, check func() error) (*Answer, error) {
 	for {
 		nc := c.pool.take(c.pool.time.Now())
@@ -199,7 +198,7 @@
 		}
 		a, err := nc.send(ctx, m)
 		if err != nil && !fresh && errors.Is(err, ErrNotSent) && ctx.Err() == nil {
-			continue // it had closed while idle
+			continue // the idle connection was closed: use another
 		}
 		return a, err
 	}
--- a/pkg/backend/server.go
+++ b/pkg/backend/server.go
@@ -1,6 +1,6 @@
-// Package backend knows the servers behind a node: which there are, what each
-// holds and how it does, and the connections to them. Begin with directory.go;
-// conn.go carries one request at a time over a pooled connection.
+// Package backend holds a node's view of the model servers: which exist, which models each holds, their
+// condition, and the connections to them. Start reading at directory.go; conn.go carries one request at a
+// time over a pooled connection.
 package backend
 
 import (
@@ -11,29 +11,29 @@
 	"martenwheel.dev/pkg/revision"
 )
 
-// Server is what the platform tells of one life of a server. It is immutable.
+// Server is the platform's record of one incarnation of a server. It is immutable.
 type Server struct {
-	ID       string // of this life, see Life; a restarted server has another one
+	ID       string // of the incarnation; a restarted server has another one
 	Service  string
 	Address  string // IP:port
 	Zone     string
 	Slots    int
 	Draining bool
-	LeaveAt  time.Time // when a server that leaves at short notice is gone; else zero
-	// ColdUntil is when it stops to be cold after a start; zero: it is not.
+	LeaveAt  time.Time // when a server that leaves at short notice will be gone; zero: none announced
+	// ColdUntil is when the server stops being cold after a start; zero: it is not cold.
 	ColdUntil time.Time
 	Models    []Holding
-	InMemory  []string          // models whose weights lie in the server's memory
-	OnDisk    []string          // models whose weights lie on its disk
-	Version   revision.Revision // of the record that tells this
-	Written   float64           // the server's own count as it wrote the record, which rises in one life
+	InMemory  []string          // models whose weights are in the server's memory
+	OnDisk    []string          // models whose weights are on the server's disk
+	Version   revision.Revision // of the record
+	Written   float64           // counter that the server put into the record; it rises within one incarnation
 }
 
-// Life returns which life of a server this is.
-func (s *Server) Life() Life { return ParseLife(s.ID) }
+// Incarnation returns the incarnation that the server's ID identifies.
+func (s *Server) Incarnation() Incarnation { return ParseIncarnation(s.ID) }
 
-// Instance returns the name that the server answers to. Its next life may have it as well.
-func (s *Server) Instance() string { return s.Life().Instance }
+// Instance returns the name of the server, which its next incarnation may share.
+func (s *Server) Instance() string { return s.Incarnation().Instance }
 
 // Holding is a model that a server holds, with its adapters.
 type Holding struct {
@@ -42,17 +42,16 @@
 	Adapters []string
 }
 
-// Need is what a server must hold to serve a request. The zero value needs
-// nothing.
+// Need is what a server must hold to serve a request. The zero value needs nothing.
 type Need struct {
 	Model   string
-	Adapter string // empty: the model alone
+	Adapter string // empty: the base model
 }
 
-// adapterSeparator stands between a model and its adapter in a Need's text.
+// adapterSeparator separates a model from its adapter in the text form of a Need.
 const adapterSeparator = "/"
 
-// ParseNeed reads "model" or "model/adapter".
+// ParseNeed parses "model" or "model/adapter".
 func ParseNeed(text string) Need {
 	model, adapter, _ := strings.Cut(text, adapterSeparator)
 	return Need{Model: model, Adapter: adapter}
@@ -66,7 +65,7 @@
 	return n.Model + adapterSeparator + n.Adapter
 }
 
-// Holds tells whether the server holds what a request needs.
+// Holds reports whether the server holds what a request needs.
 func (s *Server) Holds(n Need) bool {
 	if n.Model == "" {
 		return true
--- a/pkg/backend/withdrawn.go
+++ b/pkg/backend/withdrawn.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// A server may be kept from requests though it runs: its zone is evacuated, or it is cold after a
-// start and falls over under more than few requests.
+// A running server may be withheld from requests because its zone is evacuated, or because it is cold
+// after a start and would fail under more than a few requests.
 
-// Evacuate sets the zones whose servers get no new requests until they are not among them any more.
-// Servers of a zone that is taken back may have started a moment ago and count as cold.
+// Evacuate sets the zones whose servers get no new requests, until a later call omits them. Servers of a
+// zone that is no longer evacuated may have started recently and are considered cold.
 func (d *Directory) Evacuate(zones map[string]bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Time.Now()
 	for _, m := range d.Snapshot().members {
 		if m.evacuated.Swap(zones[m.Zone]) && !zones[m.Zone] {
-			m.cool(now.Add(d.coldFor(m.Service)))
+			m.setCold(now.Add(d.coldFor(m.Service)))
 		}
 	}
 	d.evacuated = zones
-	d.announce()
+	d.notifyChangedLocked()
 }
 
-// coldFor returns for how long servers of a service are cold after a start; zero: they bear all
-// requests at once.
+// coldFor returns how long servers of a service are cold after a start; zero: they can take the full load
+// at once.
 func (d *Directory) coldFor(service string) time.Duration {
 	if d.ColdFor == nil {
 		return 0
@@ -29,16 +29,17 @@
 	return d.ColdFor(service)
 }
 
-// withdraw takes in what the list and the operator tell of a server. The caller holds mu.
-func (d *Directory) withdraw(m *Member) {
+// applyWithdrawal applies the evacuated zones and the server's own ColdUntil to a server. The caller holds
+// mu.
+func (d *Directory) applyWithdrawal(m *Member) {
 	m.evacuated.Store(d.evacuated[m.Zone])
 	if d.coldFor(m.Service) > 0 {
-		m.cool(m.ColdUntil)
+		m.setCold(m.ColdUntil)
 	}
 }
 
-// cool has the server count as cold until a time.
-func (c *Condition) cool(until time.Time) {
+// setCold makes the server count as cold until the given time.
+func (c *Condition) setCold(until time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if until.After(c.coldUntil) {
@@ -46,21 +47,21 @@
 	}
 }
 
-// Cold tells whether the server bears few requests only.
+// Cold reports whether the server can take only few requests yet.
 func (c *Condition) Cold(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return now.Before(c.coldUntil)
 }
 
-// Evacuated tells whether the operator has the server's zone emptied.
+// Evacuated reports whether the operator evacuates the server's zone.
 func (c *Condition) Evacuated() bool { return c.evacuated.Load() }
 
-// Withdrawn tells whether the server leaves or its zone is evacuated: it takes no new requests, and
-// other servers are to hold what it holds.
+// Withdrawn reports whether the server leaves or its zone is evacuated: it accepts no new requests, and
+// other servers should load the models that it holds.
 func (c *Condition) Withdrawn() bool { return c.Leaving() || c.Evacuated() }
 
-// ServesCold tells whether the server could get a request that needs n but for being cold.
+// ServesCold reports whether the server is cold and could otherwise get a request that needs n.
 func (m *Member) ServesCold(now time.Time, n Need) bool {
-	return m.Cold(now) && m.Rest(now) == 0 && m.serves(now, n)
+	return m.Cold(now) && m.BackOff(now) == 0 && m.serves(now, n)
 }
--- a/pkg/backpressure/compare_test.go
+++ b/pkg/backpressure/compare_test.go
@@ -8,37 +8,37 @@
 	"time"
 )
 
-// player is a way for nodes to keep together to a server's limit.
-type player interface {
-	// send returns when a request of a node may go, false if it is turned away, and the messages that
-	// it took to find out.
+// strategy is a way for nodes to stay within a server's limit together.
+type strategy interface {
+	// send returns when a request of a node may go, or false if it is rejected, and the number of messages
+	// between nodes that it took to decide.
 	send(now time.Time, node int) (at time.Time, granted bool, messages int)
 }
 
-// equalShares gives each node the same part of the limit.
+// equalShares gives each node the same share of the limit.
 type equalShares struct {
-	perNode float64
-	room    []float64
-	filled  []time.Time
+	perNode  float64
+	tokens   []float64
+	filledAt []time.Time
 }
 
 func newEqualShares(limit float64, nodes int) *equalShares {
-	return &equalShares{perNode: limit / float64(nodes), room: make([]float64, nodes), filled: make([]time.Time, nodes)}
+	return &equalShares{perNode: limit / float64(nodes), tokens: make([]float64, nodes), filledAt: make([]time.Time, nodes)}
 }
 
 func (e *equalShares) send(now time.Time, node int) (time.Time, bool, int) {
-	if !e.filled[node].IsZero() {
-		e.room[node] = min(e.room[node]+e.perNode*now.Sub(e.filled[node]).Seconds(), max(e.perNode, 1))
+	if !e.filledAt[node].IsZero() {
+		e.tokens[node] = min(e.tokens[node]+e.perNode*now.Sub(e.filledAt[node]).Seconds(), max(e.perNode, 1))
 	}
-	e.filled[node] = now
-	if e.room[node] < 1 {
+	e.filledAt[node] = now
+	if e.tokens[node] < 1 {
 		return now, false, 0
 	}
-	e.room[node]--
+	e.tokens[node]--
 	return now, true, 0
 }
 
-// rations have the names of nodes and server choose who sends.
+// rations selects the nodes that may send by a hash of the names of node and server.
 type rations struct {
 	limit float64
 	nodes []Ration
@@ -48,38 +48,39 @@
 	return now, r.nodes[node].Take(now, fmt.Sprint("node-", node), "server", r.limit, len(r.nodes)), 0
 }
 
-// lent has one node give out slots. In the last part of each while nobody does, and then the next one.
-type lent struct {
-	slots   *Slots
-	rations rations
-	limit   float64
-	while   time.Duration // of one holder; zero: it stays
-	away    time.Duration // between two holders
+// centralSlots has one node grant slots. Near the end of each term no node does, and then the next node
+// takes over.
+type centralSlots struct {
+	slots      *Slots
+	rations    rations
+	limit      float64
+	termLength time.Duration // length of a term; zero: the same node grants slots all the time
+	gap        time.Duration // time without a granting node between two terms
 }
 
-func (l *lent) send(now time.Time, node int) (time.Time, bool, int) {
-	if l.while > 0 {
-		term, into := now.Sub(start)/l.while, now.Sub(start)%l.while
-		if into >= l.while-l.away {
-			_, granted, _ := l.rations.send(now, node)
+func (c *centralSlots) send(now time.Time, node int) (time.Time, bool, int) {
+	if c.termLength > 0 {
+		term, into := now.Sub(start)/c.termLength, now.Sub(start)%c.termLength
+		if into >= c.termLength-c.gap {
+			_, granted, _ := c.rations.send(now, node)
 			return now, granted, 1
 		}
-		l.slots.Begin(start.Add(term*l.while), uint64(term)+2)
+		c.slots.Begin(start.Add(term*c.termLength), uint64(term)+2)
 	}
-	slot := l.slots.Take(now, []Ask{{"server", l.limit}}, MostWait)
+	slot := c.slots.Take(now, []Ask{{"server", c.limit}}, MaxWait)
 	return now.Add(slot.Wait), slot.Granted, 2
 }
 
-// played is what came of a way.
-type played struct {
-	most     int     // arrivals in 4 s
-	used     float64 // of the limit, after the first 2 s
-	messages float64 // a second
+// outcome is the result of a simulation run.
+type outcome struct {
+	mostArrivals int     // most arrivals within 4 s
+	used         float64 // part of the limit, after the first 2 s
+	messages     float64 // per second
 }
 
-// play sends five times the limit for 24 s. If skewed, nearly all of it comes to one node.
-func play(p player, limit float64, nodes int, skewed bool) played {
-	const length, window, learned = 24 * time.Second, 4 * time.Second, 2 * time.Second
+// simulate sends five times the limit for 24 s. If skewed, more than 90% of it comes to one node.
+func simulate(s strategy, limit float64, nodes int, skewed bool) outcome {
+	const length, window, warmup = 24 * time.Second, 4 * time.Second, 2 * time.Second
 	random := rand.New(rand.NewPCG(uint64(nodes), uint64(limit)))
 	var sent []time.Time
 	messages := 0
@@ -88,15 +89,15 @@
 		if skewed && random.IntN(10) > 0 {
 			node = 0
 		}
-		at, granted, m := p.send(now, node)
+		at, granted, m := s.send(now, node)
 		messages += m
 		if granted {
 			sent = append(sent, at)
 		}
 	}
 	slices.SortFunc(sent, time.Time.Compare)
-	result := played{messages: float64(messages) / length.Seconds()}
-	late := 0
+	result := outcome{messages: float64(messages) / length.Seconds()}
+	afterWarmup := 0
 	for i, at := range sent {
 		n := 0
 		for _, other := range sent[i:] {
@@ -104,47 +105,47 @@
 				n++
 			}
 		}
-		result.most = max(result.most, n)
-		if at.Sub(start) >= learned {
-			late++
+		result.mostArrivals = max(result.mostArrivals, n)
+		if at.Sub(start) >= warmup {
+			afterWarmup++
 		}
 	}
-	result.used = float64(late) / (limit * (length - learned).Seconds())
+	result.used = float64(afterWarmup) / (limit * (length - warmup).Seconds())
 	return result
 }
 
-// TestWaysToShareALimit plays the ways beside each other. Slots that one node gives out use the limit at any
-// number of nodes, and keep to what may arrive in 4 s (1.5 of the limit and 5 more). Equal shares come due at
-// many nodes at once, or serve nothing where few nodes have the requests.
+// TestWaysToShareALimit compares the strategies. Slots granted by one node use the limit with any number of
+// nodes, and keep to what may arrive in 4 s (1.5 times the limit and 5 requests). With equal shares,
+// many nodes may send at the same moment, or little is served if few nodes have the requests.
 func TestWaysToShareALimit(t *testing.T) {
 	for _, nodes := range []int{3, 30, 300} {
 		for _, limit := range []float64{1, 20} {
 			for _, skewed := range []bool{false, true} {
-				newLent := func() *lent {
-					l := &lent{slots: &Slots{}, limit: limit, rations: rations{AloneShare * limit, make([]Ration, nodes)}}
+				newCentralSlots := func() *centralSlots {
+					l := &centralSlots{slots: &Slots{}, limit: limit, rations: rations{UncoordinatedShare * limit, make([]Ration, nodes)}}
 					l.slots.Begin(start.Add(-time.Minute), 1)
 					return l
 				}
-				changing := newLent()
-				changing.while, changing.away = 5*time.Second, 2500*time.Millisecond
-				for _, way := range []struct {
+				changing := newCentralSlots()
+				changing.termLength, changing.gap = 5*time.Second, 2500*time.Millisecond
+				for _, s := range []struct {
 					name string
-					player
+					strategy
 					kept  bool
-					least float64 // of the limit that is used
+					least float64 // part of the limit that must be used
 				}{
 					{"equal shares", newEqualShares(limit, nodes), false, 0},
 					{"rations", &rations{limit, make([]Ration, nodes)}, true, 0},
-					{"slots", newLent(), true, 0.9},
+					{"slots", newCentralSlots(), true, 0.9},
 					{"slots, a holder each 5 s, none for half of the time", changing, true, 0.4},
 				} {
-					got := play(way, limit, nodes, skewed)
-					t.Logf("%3d nodes, %2g a second, skewed %5v, %s: most %d, used %.2f, %.0f messages a second", nodes, limit, skewed, way.name, got.most, got.used, got.messages)
-					if most := 1.5*limit*4 + 5; way.kept && float64(got.most) > most {
-						t.Errorf("%s of %d nodes: %d in 4 s, %g may arrive", way.name, nodes, got.most, most)
+					got := simulate(s, limit, nodes, skewed)
+					t.Logf("%3d nodes, %2g a second, skewed %5v, %s: most %d, used %.2f, %.0f messages a second", nodes, limit, skewed, s.name, got.mostArrivals, got.used, got.messages)
+					if most := 1.5*limit*4 + 5; s.kept && float64(got.mostArrivals) > most {
+						t.Errorf("%s of %d nodes: %d arrivals in 4 s, at most %g allowed", s.name, nodes, got.mostArrivals, most)
 					}
-					if got.used < way.least {
-						t.Errorf("%s of %d nodes: %.2f of a limit of %g are used, want %.2f", way.name, nodes, got.used, limit, way.least)
+					if got.used < s.least {
+						t.Errorf("%s of %d nodes: %.2f of the limit of %g was used, want at least %.2f", s.name, nodes, got.used, limit, s.least)
 					}
 				}
 			}
@@ -152,8 +153,8 @@
 	}
 }
 
-// TestSlotsOfATermFollowThoseOfTheLast: what the last holder gave out is over before the next one gives
-// out any.
+// TestSlotsOfATermFollowThoseOfTheLast: all slots of the previous term are over before the first one of the
+// next term.
 func TestSlotsOfATermFollowThoseOfTheLast(t *testing.T) {
 	var last, next Slots
 	last.Begin(at(0), 1)
@@ -167,32 +168,32 @@
 	}
 	next.Begin(at(10), 2)
 	if slot := next.Take(at(10), []Ask{{"a", 5}}, time.Hour); !slot.Granted || at(10).Add(slot.Wait).Before(end) {
-		t.Errorf("%+v, and the last one gave out slots until %v later", slot, end.Sub(at(10)))
+		t.Errorf("the first slot of the term is %+v, while the previous term granted slots until %v after its start", slot, end.Sub(at(10)))
 	}
 }
 
-// TestThoseTurnedAwayComeBackOneByOne: each is told a later time, and that there was too little room is
-// known.
+// TestThoseTurnedAwayComeBackOneByOne: rejected requests are told different retry times, and the servers
+// count as overloaded.
 func TestThoseTurnedAwayComeBackOneByOne(t *testing.T) {
 	var s Slots
 	s.Begin(at(0), 1)
-	var told []time.Duration
+	var retryTimes []time.Duration
 	for range 8 {
 		if slot := s.Take(at(10), []Ask{{"a", 2}, {"b", 2}}, 100*time.Millisecond); !slot.Granted {
-			told = append(told, slot.Wait)
+			retryTimes = append(retryTimes, slot.Wait)
 		}
 	}
-	if len(told) != 6 {
-		t.Fatalf("%d were turned away, want all but one at each of two servers", len(told))
+	if len(retryTimes) != 6 {
+		t.Fatalf("%d requests were rejected, want all 8 but one at each of two servers", len(retryTimes))
 	}
-	slices.Sort(told)
-	if spread := told[5] - told[0]; spread < time.Second || len(slices.Compact(told)) < 3 {
-		t.Errorf("they were told to come back after %v", told)
+	slices.Sort(retryTimes)
+	if spread := retryTimes[5] - retryTimes[0]; spread < time.Second || len(slices.Compact(retryTimes)) < 3 {
+		t.Errorf("the retry times are %v, want at least 3 different ones over at least 1 s", retryTimes)
 	}
-	if short := s.Short(at(10)); len(short) != 2 {
-		t.Errorf("%v are short", short)
+	if short := s.Overloaded(at(10)); len(short) != 2 {
+		t.Errorf("the overloaded servers are %v, want both", short)
 	}
-	if short := s.Short(at(14)); len(short) != 0 {
-		t.Errorf("%v are short 4 s later", short)
+	if short := s.Overloaded(at(14)); len(short) != 0 {
+		t.Errorf("%v are still overloaded 4 s later", short)
 	}
 }
--- a/pkg/backpressure/ration.go
+++ b/pkg/backpressure/ration.go
@@ -6,27 +6,29 @@
 	"time"
 )
 
-// Ration bounds what a node sends to servers that bear few requests, so that all nodes together send
-// no more, without a word to each other: by the names of node and server some of the nodes may send one
-// request each interval. The zero value is ready to use. Safe for concurrent use.
+// Ration bounds what a node sends to servers that can take only few requests, so that all nodes together
+// stay within that bound without communicating: a hash of the node's and the server's names selects some of
+// the nodes, each of which may send one request per interval. The zero value is ready to use. Safe for
+// concurrent use.
 type Ration struct {
 	mu   sync.Mutex
-	sent map[string]time.Time // by the life of the server
+	sent map[string]time.Time // last request by incarnation of the server
 }
 
 const (
-	// rationInterval is the least time between two requests of a node to a server. It is a little over
-	// the second in which servers count.
+	// rationInterval is the minimum time between two requests of a node to a server. It is a little longer
+	// than the second over which servers count requests.
 	rationInterval = 1050 * time.Millisecond
-	// rationUse is the part of what a server bears that nodes use: how many of them its name selects is
-	// a matter of chance.
+	// rationUse is the part of a server's rate that nodes use. The rest is margin, since the number of
+	// nodes that the hash selects varies.
 	rationUse = 0.75
-	// rationPerNode is how many requests a second one node sends at most.
+	// rationPerNode is how many requests per second one node sends at most.
 	rationPerNode = 1.0
 )
 
-// Take tells whether a node among so many may send a request to a server that bears so many a second, and
-// counts it. Without a number of nodes (zero) none may.
+// Take reports whether a node may send a request now, given the number of nodes and the requests per second
+// that the server can take, and records the request if so. No node may send if the number of nodes is
+// unknown (zero).
 func (r *Ration) Take(now time.Time, node, server string, perSecond float64, nodes int) bool {
 	if nodes <= 0 || rank(node, server) >= rationUse*perSecond/(rationPerNode*float64(nodes)) {
 		return false
@@ -48,7 +50,7 @@
 	return true
 }
 
-// rank is a number from 0 to 1 that nodes and servers have in pairs.
+// rank returns a number in [0, 1) that is a hash of a node and a server.
 func rank(node, server string) float64 {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(node + "/" + server)) // never fails
@@ -59,6 +61,7 @@
 	return float64(mixed>>11) / (1 << 53)
 }
 
-// AloneShare is the part of a server's limit that nodes use by their rations while nobody gives out slots:
-// together with the slots that were given out it is no more than servers bear for a few seconds.
-const AloneShare = 0.25
+// UncoordinatedShare is the part of a server's limit that nodes use by their rations while no node grants
+// slots. Together with the slots that were already granted, it is no more than servers can take for a few
+// seconds.
+const UncoordinatedShare = 0.25
--- a/pkg/backpressure/signals.go
+++ b/pkg/backpressure/signals.go
@@ -1,9 +1,9 @@
-// Package backpressure keeps what servers ask of their clients in the answers that they give: to be
-// sent no more than so many requests a second by all nodes together (a limit), to be left alone by one
-// node for a while (a rest), or to get nothing new because they leave. Its decisions need no network.
+// Package backpressure tracks what servers ask of their clients in their responses: to receive at most a
+// given rate of requests from all nodes together (a limit), to receive nothing from one node for a while (a
+// back-off), or to receive nothing new because they leave. Its decisions need no network.
 //
-// signals.go is what one answer tells, state.go what a node believes of one life of a server by the
-// answers that it got and by what other nodes told.
+// signals.go defines the signals of one response. state.go combines the signals that a node received from
+// one incarnation of a server with those that other nodes reported.
 package backpressure
 
 import (
@@ -11,36 +11,39 @@
 	"time"
 )
 
-// Signals is what one answer tells of its server. The zero value asks for nothing.
+// Signals are the backpressure signals of one response. The zero value asks for nothing.
 type Signals struct {
 	Limited bool
-	Limit   float64       // requests a second from all nodes together, of a limited server
+	Limit   float64       // requests per second from all nodes together, if Limited
 	Leaving bool          // the server takes no new requests
-	Rest    time.Duration // for which the node that got the answer is to send nothing; zero: not asked
-	// Unclear tells that the answer names a limit that can't be read: it neither sets nor ends one.
-	Unclear bool
+	BackOff time.Duration // for which the node that got the response must send nothing; zero: none
+	// Unreadable means that the response names a limit that can't be parsed. It neither sets nor ends a
+	// limit.
+	Unreadable bool
 }
 
+// Bounds of what servers may ask for.
 // Bounds of what servers may ask for.
 const (
-	// LeastLimit stands for lower limits, in requests a second: a server that nobody sends anything
-	// could not tell that its limit is over.
-	LeastLimit = 0.2
-	// MostLimit stands for higher limits, in requests a second: no server gets as many.
-	MostLimit = 1e6
-	// MostRest is the longest rest that is kept; a server that still wants none asks again then.
-	MostRest = 10 * time.Minute
+	// MinLimit replaces lower limits, in requests per second: a server that gets no requests could not
+	// signal that its limit ended.
+	MinLimit = 0.2
+	// MaxLimit replaces higher limits, in requests per second: no server gets that many.
+	MaxLimit = 1e6
+	// MaxBackOff is the longest back-off. A server that still wants no requests afterwards asks for another
+	// one.
+	MaxBackOff = 10 * time.Minute
 )
 
-// Bounded returns the signals within the bounds.
-func (w Signals) Bounded() Signals {
-	if w.Limited {
-		if math.IsNaN(w.Limit) || w.Limit < 0 {
-			w.Limited, w.Limit, w.Unclear = false, 0, true
+// Bounded returns the signals limited to the bounds.
+func (s Signals) Bounded() Signals {
+	if s.Limited {
+		if math.IsNaN(s.Limit) || s.Limit < 0 {
+			s.Limited, s.Limit, s.Unreadable = false, 0, true
 		} else {
-			w.Limit = min(max(w.Limit, LeastLimit), MostLimit)
+			s.Limit = min(max(s.Limit, MinLimit), MaxLimit)
 		}
 	}
-	w.Rest = min(max(w.Rest, 0), MostRest)
-	return w
+	s.BackOff = min(max(s.BackOff, 0), MaxBackOff)
+	return s
 }
--- a/pkg/backpressure/slots.go
+++ b/pkg/backpressure/slots.go
@@ -5,68 +5,69 @@
 	"time"
 )
 
-// Slots gives out when requests of all nodes may go to servers that name a limit, one after the other at
-// the pace that each server takes. One node decides for all, in terms; a term may follow one of another
-// node, whose last slots are not over yet. The zero value with a term begun is ready to use. Safe for
-// concurrent use.
+// Slots grants times at which requests of any node may go to servers with a limit, spaced at the rate that
+// each server allows. One node grants slots for all, for the length of its term. A term may follow that of
+// another node whose last slots still lie in the future. The zero value is ready to use after Begin. Safe
+// for concurrent use.
 //
-// It answers this load: an overloaded server, or all servers of a service, and every node has more for them
-// than they take. Each request gets a time within MostWait, or is turned away at once.
+// It is designed for the case that a server, or all servers of a service, are overloaded and every node has
+// more requests for them than they accept. Each request gets a slot within MaxWait or is rejected at once.
 type Slots struct {
-	mu    sync.Mutex
-	term  uint64
-	began time.Time
-	lines map[string]*line
-	swept time.Time
+	mu        sync.Mutex
+	term      uint64
+	began     time.Time
+	schedules map[string]*serverSchedule
+	sweptAt   time.Time
 }
 
-// line is one server's part.
-type line struct {
-	next    time.Time // the first time that is not given out
-	back    time.Time // up to which those that were turned away were told to come back
-	refused time.Time // when one was last turned away
+// serverSchedule holds the granted slots of one server.
+type serverSchedule struct {
+	nextSlot   time.Time // first time that is not granted yet
+	retryAt    time.Time // latest time at which a rejected request was told to retry
+	rejectedAt time.Time // when a request was last rejected
 }
 
-// Ask is a server that a request may go to, with the limit that it names.
+// Ask is a server to which a request may go, with the limit that the server set.
 type Ask struct {
-	Server string // the ID of its life
+	Server string // ID of the incarnation
 	Limit  float64
 }
 
-// Interval is the time between two requests at the server's limit.
-func (a Ask) Interval() time.Duration {
-	return time.Duration(float64(time.Second) / min(max(a.Limit, LeastLimit), MostLimit))
+// Interval returns the time between two requests at the server's limit.
+func (ask Ask) Interval() time.Duration {
+	return time.Duration(float64(time.Second) / min(max(ask.Limit, MinLimit), MaxLimit))
 }
 
-// Slot is when a request may go to a server.
+// Slot says when a request may go to a server, or that it was rejected.
 type Slot struct {
 	Granted bool
-	Server  string        // of one that is granted
-	Wait    time.Duration // until it may go, or until there is room for one that is turned away
+	Server  string        // ID of the server's incarnation, if granted
+	Wait    time.Duration // until the request may go, or until a rejected one should retry
 }
 
 const (
-	// MostWait is the longest wait for a slot. What is given out beyond it could overlap with what the
-	// next term gives out.
-	MostWait = time.Second
-	// mostBack is the longest time that those turned away are told: the limit may be over by then.
-	mostBack = 15 * time.Second
-	// shortTime is for how long a server counts as short of room after it was too little for a request.
-	shortTime = 3 * time.Second
-	// forgetTime is after which a server that nobody asks for is forgotten.
+	// MaxWait is the longest wait for a slot. Slots further in the future could overlap with those of the
+	// next term.
+	MaxWait = time.Second
+	// maxRetryAfter limits the retry time of rejected requests, since the server's limit may have ended by
+	// then.
+	maxRetryAfter = 15 * time.Second
+	// overloadedTime is how long a server counts as overloaded after it had no slot for a request.
+	overloadedTime = 3 * time.Second
+	// forgetTime is how long after its last slot or retry time a server is removed.
 	forgetTime = time.Minute
 )
 
-// Begin begins a term, unless it has begun.
+// Begin starts a term. It does nothing if the term is already the current one.
 func (s *Slots) Begin(now time.Time, term uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if term != s.term {
-		s.term, s.began, s.lines, s.swept = term, now, make(map[string]*line), now
+		s.term, s.began, s.schedules, s.sweptAt = term, now, make(map[string]*serverSchedule), now
 	}
 }
 
-// Take gives out the first slot at one of the servers, if it is within a time.
+// Take grants the earliest slot at any of the servers if it lies within the given time.
 func (s *Slots) Take(now time.Time, asks []Ask, within time.Duration) Slot {
 	if len(asks) == 0 {
 		return Slot{}
@@ -74,72 +75,71 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sweep(now)
-	best, bestLine := 0, s.line(now, asks[0].Server)
+	best, bestSchedule := 0, s.schedule(now, asks[0].Server)
 	for i, a := range asks[1:] {
-		if l := s.line(now, a.Server); l.next.Before(bestLine.next) {
-			best, bestLine = i+1, l
+		if sched := s.schedule(now, a.Server); sched.nextSlot.Before(bestSchedule.nextSlot) {
+			best, bestSchedule = i+1, sched
 		}
 	}
 	ask := asks[best]
 	pause := ask.Interval()
-	wait := bestLine.next.Sub(now)
-	if wait <= min(within, MostWait) {
-		bestLine.next = bestLine.next.Add(pause)
+	wait := bestSchedule.nextSlot.Sub(now)
+	if wait <= min(within, MaxWait) {
+		bestSchedule.nextSlot = bestSchedule.nextSlot.Add(pause)
 		return Slot{Granted: true, Server: ask.Server, Wait: wait}
 	}
 	for _, a := range asks {
-		s.line(now, a.Server).refused = now
+		s.schedule(now, a.Server).rejectedAt = now
 	}
-	return Slot{Wait: bestLine.comeBack(now, pause)}
+	return Slot{Wait: bestSchedule.retryAfter(now, pause)}
 }
 
-// line returns a server's line, which does not begin before what an earlier term may have given out is
-// over.
-func (s *Slots) line(now time.Time, server string) *line {
-	l := s.lines[server]
-	if l == nil {
-		l = &line{next: s.began.Add(MostWait)}
-		s.lines[server] = l
+// schedule returns a server's schedule. It starts after all slots that an earlier term may have granted.
+func (s *Slots) schedule(now time.Time, server string) *serverSchedule {
+	sched := s.schedules[server]
+	if sched == nil {
+		sched = &serverSchedule{nextSlot: s.began.Add(MaxWait)}
+		s.schedules[server] = sched
 	}
-	if l.next.Before(now) {
-		l.next = now
+	if sched.nextSlot.Before(now) {
+		sched.nextSlot = now
 	}
-	return l
+	return sched
 }
 
-// comeBack tells a request that is turned away when there is room, each one a little later than the last.
-func (l *line) comeBack(now time.Time, pause time.Duration) time.Duration {
-	if l.back.Before(l.next) {
-		l.back = l.next
+// retryAfter returns when a rejected request should retry, each one a little later than the one before.
+func (sched *serverSchedule) retryAfter(now time.Time, pause time.Duration) time.Duration {
+	if sched.retryAt.Before(sched.nextSlot) {
+		sched.retryAt = sched.nextSlot
 	}
-	if l.back.Sub(now) < mostBack {
-		l.back = l.back.Add(pause)
+	if sched.retryAt.Sub(now) < maxRetryAfter {
+		sched.retryAt = sched.retryAt.Add(pause)
 	}
-	return l.back.Sub(now)
+	return sched.retryAt.Sub(now)
 }
 
-// Short returns the servers that were too little for a request of late.
-func (s *Slots) Short(now time.Time) []string {
+// Overloaded returns the servers that recently had no slot for a request.
+func (s *Slots) Overloaded(now time.Time) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []string
-	for server, l := range s.lines {
-		if !l.refused.IsZero() && now.Sub(l.refused) < shortTime {
+	for server, sched := range s.schedules {
+		if !sched.rejectedAt.IsZero() && now.Sub(sched.rejectedAt) < overloadedTime {
 			list = append(list, server)
 		}
 	}
 	return list
 }
 
-// sweep forgets servers that nobody asks for, now and then.
+// sweep removes servers that are no longer in use, at most once per forgetTime.
 func (s *Slots) sweep(now time.Time) {
-	if now.Sub(s.swept) < forgetTime {
+	if now.Sub(s.sweptAt) < forgetTime {
 		return
 	}
-	s.swept = now
-	for server, l := range s.lines {
-		if now.Sub(l.next) > forgetTime && now.Sub(l.back) > forgetTime {
-			delete(s.lines, server)
+	s.sweptAt = now
+	for server, sched := range s.schedules {
+		if now.Sub(sched.nextSlot) > forgetTime && now.Sub(sched.retryAt) > forgetTime {
+			delete(s.schedules, server)
 		}
 	}
 }
--- a/pkg/backpressure/state.go
+++ b/pkg/backpressure/state.go
@@ -2,105 +2,106 @@
 
 import "time"
 
-// State is what a node believes of one life of a server. The zero value believes nothing. Not safe for
-// concurrent use.
+// State is what a node knows of one incarnation of a server by its signals. The zero value means no signal.
+// Not safe for concurrent use.
 //
-// A server that leaves does so for the rest of its life, whatever later answers lack. A limit ends with
-// an answer that names none, if it was surely given later than the last one that named it. After a rest one
-// request goes first, to find out whether the server takes any: of all that wait for it each would be turned
-// away by a server that does not.
+// Leaving is permanent for the incarnation, even if later responses lack the signal. A limit ends with a
+// response that names none, if that response was certainly sent after the last one that named it. After a
+// back-off, a single request probes whether the server accepts requests, since a server that does not would
+// reject all those that wait for it.
 type State struct {
-	limited   bool
-	limit     float64
-	limitedAt time.Time // when the last word with a limit came
-	endedAt   time.Time // when the last word came that ended one
-	endedBy   time.Time // when the request was sent whose answer ended it
-	leaving   bool
-	closed    bool // it asked for rest, and has not taken a request since
-	restUntil time.Time
-	rests     int       // in a row
-	probedAt  time.Time // when a request last went to find out whether the rest is over
+	limited             bool
+	limit               float64
+	limitedAt           time.Time // when the last response or report with the limit came
+	limitEndedAt        time.Time // when the last response or report came that ended a limit
+	limitEndRequestedAt time.Time // when the request was sent whose response ended the limit
+	leaving             bool
+	backingOff          bool // the server asked for a back-off and has not accepted a request since then
+	backOffUntil        time.Time
+	backOffs            int       // consecutive
+	probedAt            time.Time // when the last probe after the back-off was sent; zero: none
 }
 
-// Change tells how signals changed what is believed.
+// Change is a set of changes to the state of a server.
 type Change uint8
 
-// Changes; an answer may bring several.
+// The changes. One response may cause several.
 const (
-	LimitSet Change = 1 << iota // or moved
+	LimitSet Change = 1 << iota // a new or different limit
 	LimitEnded
-	Left // the server is known to leave now
-	RestSet
+	LeavingSet // the server is now known to leave
+	BackOffSet
 )
 
-// overtakeTime is how much later an answer may come than another one that was given after it.
-const overtakeTime = time.Second
+// reorderTime is by how much a response may be overtaken by one that the server sent later.
+const reorderTime = time.Second
 
-// Hear takes in the signals of an answer that came now to a request that was sent at a time; the zero time
-// if that is not known.
-func (s *State) Hear(sent, now time.Time, w Signals) Change {
-	w = w.Bounded()
+// Observe applies the signals of a response that came now to a request that was sent at the given time,
+// which is zero if unknown.
+func (s *State) Observe(sent, now time.Time, signals Signals) Change {
+	signals = signals.Bounded()
 	var change Change
-	if w.Leaving && !s.leaving {
+	if signals.Leaving && !s.leaving {
 		s.leaving = true
-		change |= Left
+		change |= LeavingSet
 	}
-	change |= s.hearRest(sent, now, w.Rest)
+	change |= s.observeBackOff(sent, now, signals.BackOff)
 	switch {
-	case w.Unclear:
-	case w.Limited:
-		change |= s.setLimit(sent, now, w.Limit)
+	case signals.Unreadable:
+	case signals.Limited:
+		change |= s.setLimit(sent, now, signals.Limit)
 	case s.limited && sent.After(s.limitedAt):
-		s.limited, s.limit, s.endedAt, s.endedBy = false, 0, now, sent
+		s.limited, s.limit, s.limitEndedAt, s.limitEndRequestedAt = false, 0, now, sent
 		change |= LimitEnded
 	}
 	return change
 }
 
-// Belief is what a node believes of a server for all nodes. Rests are between a server and one node.
-type Belief struct {
+// SharedState is the part of a server's state that applies to all nodes. Back-offs are not part of it,
+// since they apply to one node only.
+type SharedState struct {
 	Leaving bool
 	Limited bool
-	Limit   float64 // of one that is limited
-	// LimitAt is when the limit was heard, or, of one that ended, when the request was sent whose answer told
-	// it; zero: no limit is known of.
+	Limit   float64 // requests per second, if Limited
+	// LimitAt is when the limit was received. For a limit that ended, it is when the request was sent whose
+	// response ended it. Zero: the server never had a limit.
 	LimitAt time.Time
 }
 
-// Belief returns what is believed for all nodes.
-func (s *State) Belief() Belief {
-	b := Belief{Leaving: s.leaving, Limited: s.limited, Limit: s.limit, LimitAt: s.endedBy}
+// Shared returns the part of the state that applies to all nodes.
+func (s *State) Shared() SharedState {
+	shared := SharedState{Leaving: s.leaving, Limited: s.limited, Limit: s.limit, LimitAt: s.limitEndRequestedAt}
 	if s.limited {
-		b.LimitAt = s.limitedAt
+		shared.LimitAt = s.limitedAt
 	}
-	return b
+	return shared
 }
 
-// Tell takes in what another node believes.
-func (s *State) Tell(b Belief) Change {
+// Merge applies the state that another node reported.
+func (s *State) Merge(shared SharedState) Change {
 	var change Change
-	if b.Leaving && !s.leaving {
+	if shared.Leaving && !s.leaving {
 		s.leaving = true
-		change |= Left
+		change |= LeavingSet
 	}
-	w, at := Signals{Limited: b.Limited, Limit: b.Limit}.Bounded(), b.LimitAt
+	signals, at := Signals{Limited: shared.Limited, Limit: shared.Limit}.Bounded(), shared.LimitAt
 	switch {
-	case w.Unclear:
-	case w.Limited && at.After(s.limitedAt) && at.After(s.endedAt):
-		if !s.limited || s.limit != w.Limit {
+	case signals.Unreadable:
+	case signals.Limited && at.After(s.limitedAt) && at.After(s.limitEndedAt):
+		if !s.limited || s.limit != signals.Limit {
 			change |= LimitSet
 		}
-		s.limited, s.limit, s.limitedAt = true, w.Limit, at
-	case !w.Limited && s.limited && at.After(s.limitedAt):
-		s.limited, s.limit, s.endedAt, s.endedBy = false, 0, at, at
+		s.limited, s.limit, s.limitedAt = true, signals.Limit, at
+	case !signals.Limited && s.limited && at.After(s.limitedAt):
+		s.limited, s.limit, s.limitEndedAt, s.limitEndRequestedAt = false, 0, at, at
 		change |= LimitEnded
 	}
 	return change
 }
 
-// setLimit takes in a limit, unless it was overtaken by the word that ended it.
+// setLimit applies a limit, unless a response sent later has overtaken it and already ended the limit.
 func (s *State) setLimit(sent, now time.Time, limit float64) Change {
-	if !s.limited && sent.Before(s.endedAt) && now.Sub(s.endedAt) < overtakeTime {
+	if !s.limited && sent.Before(s.limitEndedAt) && now.Sub(s.limitEndedAt) < reorderTime {
 		return 0
 	}
 	before, was := s.limit, s.limited
@@ -111,65 +112,64 @@
 	return LimitSet
 }
 
-// Limit returns how many requests a second the server takes from all nodes together, false if it
-// names no limit.
+// Limit returns the limit in requests per second from all nodes together, or false if the server set none.
 func (s *State) Limit() (float64, bool) { return s.limit, s.limited }
 
-// Asks tells whether the server asks for anything.
-func (s *State) Asks() bool { return s.limited || s.leaving || s.closed }
+// Active reports whether any signal is in effect.
+func (s *State) Active() bool { return s.limited || s.leaving || s.backingOff }
 
-// Leaving tells whether the server said that it leaves.
+// Leaving reports whether the server announced that it leaves.
 func (s *State) Leaving() bool { return s.leaving }
 
-// hearRest takes in the rest that an answer asked for; zero: none.
-func (s *State) hearRest(sent, now time.Time, rest time.Duration) Change {
-	if rest <= 0 {
-		if s.closed && !sent.Before(s.restUntil) {
-			s.closed, s.rests = false, 0
+// observeBackOff applies the back-off of a response; zero: none.
+func (s *State) observeBackOff(sent, now time.Time, backOff time.Duration) Change {
+	if backOff <= 0 {
+		if s.backingOff && !sent.Before(s.backOffUntil) {
+			s.backingOff, s.backOffs = false, 0
 		}
 		return 0
 	}
-	until := now.Add(rest)
-	if !until.After(s.restUntil) {
+	until := now.Add(backOff)
+	if !until.After(s.backOffUntil) {
 		return 0
 	}
-	if !s.closed || !sent.Before(s.restUntil) {
-		s.rests++
+	if !s.backingOff || !sent.Before(s.backOffUntil) {
+		s.backOffs++
 	}
-	s.closed, s.restUntil, s.probedAt = true, until, time.Time{}
-	return RestSet
+	s.backingOff, s.backOffUntil, s.probedAt = true, until, time.Time{}
+	return BackOffSet
 }
 
-// probeTime is how long one request after a rest is waited for before the next one goes: servers that turn
-// requests away do so at once.
+// probeTime is how long to wait for the response to a probe before the next request is sent: servers that
+// reject requests do so at once.
 const probeTime = 500 * time.Millisecond
 
-// Rest returns for how much longer this node is to send nothing; zero: it may.
-func (s *State) Rest(now time.Time) time.Duration {
+// BackOff returns how much longer this node must not send requests to the server; zero: it may send.
+func (s *State) BackOff(now time.Time) time.Duration {
 	switch {
-	case !s.closed:
+	case !s.backingOff:
 		return 0
-	case now.Before(s.restUntil):
-		return s.restUntil.Sub(now)
+	case now.Before(s.backOffUntil):
+		return s.backOffUntil.Sub(now)
 	case s.probedAt.IsZero():
 		return 0
 	}
 	return max(probeTime-now.Sub(s.probedAt), 0)
 }
 
-// Take tells whether a request may go to the server now by its rests, and counts it.
-func (s *State) Take(now time.Time) bool {
-	if s.Rest(now) > 0 {
+// Admit reports whether the back-offs allow a request now, and records it as a probe if one is due.
+func (s *State) Admit(now time.Time) bool {
+	if s.BackOff(now) > 0 {
 		return false
 	}
-	if s.closed {
+	if s.backingOff {
 		s.probedAt = now
 	}
 	return true
 }
 
-// Returns returns in what time the server is expected to take requests, if it is at rest. It is not hopeful of
-// one that asked for rest again after a rest: requests are not to wait for it.
-func (s *State) Returns(now time.Time) (in time.Duration, hopeful bool) {
-	return s.Rest(now), s.rests <= 1
+// ExpectedReturn returns the remaining back-off, and whether the server is likely to accept requests
+// afterwards. It is not likely after consecutive back-offs, so requests should not wait for such a server.
+func (s *State) ExpectedReturn(now time.Time) (in time.Duration, likely bool) {
+	return s.BackOff(now), s.backOffs <= 1
 }
--- a/pkg/clock/lint_test.go
+++ b/pkg/clock/lint_test.go
@@ -21,7 +21,7 @@
 	"pkg/lease/lease.go: due = time.Now().Add(pause)":                                                                    "the same",
 	"pkg/lease/lease.go: if pause, may := l.pollAfterSuspicion(); may && time.Until(due) > pause {":                                  "the same",
 	"pkg/backend/conn.go: _ = c.SetReadDeadline(time.Now().Add(answerAfterReset))":                                       "deadlines of connections go by the steady clock",
-	"pkg/backend/conn.go: _ = a.conn.SetReadDeadline(time.Now().Add(d)) // an end of the connection shows with the read": "the same",
+	"pkg/backend/conn.go: _ = a.conn.SetReadDeadline(time.Now().Add(d)) // if the connection is closed, Read returns the error": "the same",
 	`platform/run.go: Name: settings.Name, Life: time.Now().UnixNano(), Zone: settings.Zone,`:                            "numbers lives by the time of day",
 	`platform/config.go: "tenants", countTenants(table), "keys", countKeys(table), "at", time.Now().UnixMilli())`:        "the time of day, for a log line",
 }
--- a/pkg/coordinator/announcements.go
+++ b/pkg/coordinator/announcements.go
@@ -23,7 +23,7 @@
 }
 
 // newSaid returns the message about a server.
-func newSaid(now time.Time, server string, b backpressure.Belief) Said {
+func newSaid(now time.Time, server string, b backpressure.SharedState) Said {
 	s := Said{Server: server, Leaving: b.Leaving, Limited: b.Limited, Limit: b.Limit, KnowsLimit: !b.LimitAt.IsZero()}
 	if s.KnowsLimit {
 		s.LimitAge = now.Sub(b.LimitAt)
@@ -32,8 +32,8 @@
 }
 
 // belief is the inverse of newSaid. An announcement that would lie in the future is dated now.
-func (s Said) belief(now time.Time) backpressure.Belief {
-	b := backpressure.Belief{Leaving: s.Leaving, Limited: s.Limited && s.KnowsLimit, Limit: s.Limit}
+func (s Said) belief(now time.Time) backpressure.SharedState {
+	b := backpressure.SharedState{Leaving: s.Leaving, Limited: s.Limited && s.KnowsLimit, Limit: s.Limit}
 	if s.KnowsLimit {
 		b.LimitAt = now.Add(-max(s.LimitAge, 0))
 	}
@@ -59,15 +59,15 @@
 // zero value is empty. Safe for concurrent use.
 type pendingSaid struct {
 	mu      sync.Mutex
-	beliefs map[string]backpressure.Belief // by the incarnation of the server
+	beliefs map[string]backpressure.SharedState // by the incarnation of the server
 }
 
 // add queues what is believed of a server.
-func (l *pendingSaid) add(server string, b backpressure.Belief) {
+func (l *pendingSaid) add(server string, b backpressure.SharedState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.beliefs == nil {
-		l.beliefs = make(map[string]backpressure.Belief)
+		l.beliefs = make(map[string]backpressure.SharedState)
 	}
 	l.beliefs[server] = b
 }
@@ -106,24 +106,24 @@
 }
 
 // Heard handles a server's announcement that changed what this node believes of it.
-func (m *Member) Heard(h backend.Heard) {
+func (m *Member) Heard(h backend.SignalUpdate) {
 	logBelief(m.Logger, h, "")
-	if h.Change&(backpressure.Left|backpressure.LimitSet|backpressure.LimitEnded) != 0 {
-		m.pendingSaid.add(h.Server, h.Belief)
+	if h.Change&(backpressure.LeavingSet|backpressure.LimitSet|backpressure.LimitEnded) != 0 {
+		m.pendingSaid.add(h.Server, h.Shared)
 	}
 }
 
 // logBelief logs a change of belief; by tells who reported it, empty: the server itself.
-func logBelief(logger hclog.Logger, h backend.Heard, by string) {
+func logBelief(logger hclog.Logger, h backend.SignalUpdate, by string) {
 	fields := []any{"server", h.Server}
-	if h.Change&backpressure.Left != 0 {
+	if h.Change&backpressure.LeavingSet != 0 {
 		fields = append(fields, "leaving", true)
 	}
-	if h.Change&backpressure.RestSet != 0 {
-		fields = append(fields, "rest_ms", h.Rest.Milliseconds())
+	if h.Change&backpressure.BackOffSet != 0 {
+		fields = append(fields, "rest_ms", h.BackOff.Milliseconds())
 	}
 	if h.Change&backpressure.LimitSet != 0 {
-		fields = append(fields, "limit", h.Belief.Limit)
+		fields = append(fields, "limit", h.Shared.Limit)
 	}
 	if h.Change&backpressure.LimitEnded != 0 {
 		fields = append(fields, "limit_ended", true)
@@ -143,7 +143,7 @@
 	}
 	if m.Holder.address() != m.Self.Peers { // otherwise this node's own beliefs are the same or newer
 		for _, s := range answer.Said {
-			if h := m.Servers.Tell(s.Server, s.belief(now)); h.Change != 0 {
+			if h := m.Servers.MergeSignals(s.Server, s.belief(now)); h.Change != 0 {
 				logBelief(m.Logger, h, "holder")
 			}
 		}
@@ -158,12 +158,12 @@
 func (h *Holder) exchangeSaid(now time.Time, b *Beat, answer *BeatAnswer) {
 	own := b.Node.Peers == h.address()
 	for _, s := range b.Said[:min(len(b.Said), maxSaidPerMessage)] {
-		heard := h.Servers.Tell(s.Server, s.belief(now))
+		heard := h.Servers.MergeSignals(s.Server, s.belief(now))
 		if heard.Change != 0 {
 			logBelief(h.Logger, heard, b.Node.Name)
 		}
 		if heard.Change != 0 || own || h.beliefs.get(s.Server) == nil { // beliefs of this node, and of the last term, are already applied
-			h.noteSaid(now, s.Server, heard.Belief)
+			h.noteSaid(now, s.Server, heard.Shared)
 		}
 	}
 	known := uint64(0)
@@ -179,12 +179,12 @@
 
 // announcedBelief is a belief about a server that nodes are sent, with the time of its last change.
 type announcedBelief struct {
-	belief backpressure.Belief
+	belief backpressure.SharedState
 	at     time.Time
 }
 
 // noteSaid queues what this node now believes of a server for sending to the nodes. The server may not be listed yet.
-func (h *Holder) noteSaid(now time.Time, server string, b backpressure.Belief) {
+func (h *Holder) noteSaid(now time.Time, server string, b backpressure.SharedState) {
 	h.beliefs.set(server, announcedBelief{b, now})
 	h.planSoon = true // other servers must hold what it holds
 }
@@ -198,10 +198,10 @@
 }
 
 // activeBeliefs yields the servers that have a limit or are leaving, as this node believes.
-func activeBeliefs(servers *backend.Directory) iter.Seq2[string, backpressure.Belief] {
-	return func(yield func(string, backpressure.Belief) bool) {
+func activeBeliefs(servers *backend.Directory) iter.Seq2[string, backpressure.SharedState] {
+	return func(yield func(string, backpressure.SharedState) bool) {
 		for id, m := range servers.Snapshot().Members() {
-			if b := m.Belief(); (b.Limited || b.Leaving) && !yield(id, b) {
+			if b := m.SharedSignals(); (b.Limited || b.Leaving) && !yield(id, b) {
 				return
 			}
 		}
--- a/pkg/coordinator/crashingload.go
+++ b/pkg/coordinator/crashingload.go
@@ -26,7 +26,7 @@
 
 // noteLoadCrash records that a server is gone that was loading a model, or had an order to.
 func (h *Holder) noteLoadCrash(now time.Time, s *serverState) {
-	if s.busy == nil || !s.busy.load || s.member == nil || s.member.Declared() {
+	if s.busy == nil || !s.busy.load || s.member == nil || s.member.AnnouncedLeaving() {
 		return
 	}
 	key := demandKey{s.member.Service, s.busy.need.Model}
--- a/pkg/coordinator/explore_announcements_test.go
+++ b/pkg/coordinator/explore_announcements_test.go
@@ -31,7 +31,7 @@
 		return leaveAnnouncement{}, false
 	}
 	id := list[random.IntN(len(list))].ID
-	heard := n.node.servers.Tell(id, backpressure.Belief{Leaving: true})
+	heard := n.node.servers.MergeSignals(id, backpressure.SharedState{Leaving: true})
 	n.member.Heard(heard)
 	sim.logEvent("%s announces to %s that it leaves", id, n.name)
 	return leaveAnnouncement{n, id, time.Since(sim.leaseStore.started)}, true
@@ -48,7 +48,7 @@
 		}
 		for _, n := range sim.nodes {
 			m := n.node.servers.Snapshot().Member(a.server)
-			if m != nil && !m.Belief().Leaving {
+			if m != nil && !m.SharedSignals().Leaving {
 				sim.t.Errorf("%s does not know that %s leaves, which it announced to %s at %v", n.name, a.server, a.node.name, a.at)
 			}
 		}
--- a/pkg/coordinator/explore_limit_test.go
+++ b/pkg/coordinator/explore_limit_test.go
@@ -60,9 +60,9 @@
 	if n.isFrozen() || !n.waitUntilRunning() {
 		return
 	}
-	slot, err := n.member.TakeSlot(s.sim.t.Context(), []backpressure.Ask{{Server: "server-0", Limit: s.limit}}, backpressure.MostWait)
+	slot, err := n.member.TakeSlot(s.sim.t.Context(), []backpressure.Ask{{Server: "server-0", Limit: s.limit}}, backpressure.MaxWait)
 	if err != nil {
-		slot = backpressure.Slot{Granted: s.ration(n).Take(time.Now(), n.member.Self.Name, "server-0", backpressure.AloneShare*s.limit, n.member.Fleet())}
+		slot = backpressure.Slot{Granted: s.ration(n).Take(time.Now(), n.member.Self.Name, "server-0", backpressure.UncoordinatedShare*s.limit, n.member.Fleet())}
 	}
 	if !slot.Granted {
 		return
--- a/pkg/coordinator/harness_test.go
+++ b/pkg/coordinator/harness_test.go
@@ -265,7 +265,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	state := e.servers[s.Instance()]
-	if state.incarnation != s.Life().Born {
+	if state.incarnation != s.Incarnation().Started {
 		return Report{}, ErrOtherIncarnation
 	}
 	state.completeDue()
--- a/pkg/coordinator/holder.go
+++ b/pkg/coordinator/holder.go
@@ -437,7 +437,7 @@
 
 // sendNotice applies a notice here and sends it to the nodes that are interested in it.
 func (h *Holder) sendNotice(n Notice) {
-	h.Servers.Believe(n.Server, backend.ParseNeed(n.Need), n.Holds, h.Time.Now().Add(noticeTime))
+	h.Servers.OverrideHolding(n.Server, backend.ParseNeed(n.Need), n.Holds, h.Time.Now().Add(noticeTime))
 	sendAll(h.Transport, h.interested(h.Time.Now(), n), n)
 }
 
--- a/pkg/coordinator/incarnations.go
+++ b/pkg/coordinator/incarnations.go
@@ -33,7 +33,7 @@
 
 // instance returns the shared state of a server's incarnations, creating it if needed.
 func (h *Holder) instance(id string) *instance {
-	name := backend.ParseLife(id).Instance
+	name := backend.ParseIncarnation(id).Instance
 	i := h.instances[name]
 	if i == nil {
 		i = &instance{}
--- a/pkg/coordinator/lives_test.go
+++ b/pkg/coordinator/lives_test.go
@@ -18,7 +18,7 @@
 	name := s.serverRecords[i].Instance()
 	s.engines.resetServer(name)
 	next := *s.serverRecords[i]
-	next.ID = backend.Life{Instance: name, Born: s.engines.servers[name].incarnation}.ID()
+	next.ID = backend.Incarnation{Instance: name, Started: s.engines.servers[name].incarnation}.ID()
 	next.Version, next.Models = next.Version+1, nil
 	s.serverRecords = append([]*backend.Server(nil), s.serverRecords...)
 	s.serverRecords[i] = &next
@@ -144,13 +144,13 @@
 // TestAnOrderForAnEndedIncarnation checks that such an order is not sent.
 func TestAnOrderForAnEndedIncarnation(t *testing.T) {
 	directory := &backend.Directory{}
-	directory.Replace([]*backend.Server{{ID: backend.Life{Instance: "i", Born: 1}.ID()}}, 1)
+	directory.Replace([]*backend.Server{{ID: backend.Incarnation{Instance: "i", Started: 1}.ID()}}, 1)
 	first := directory.Snapshot().Members()["i~1"]
 	may := sendAllowed(lease.Permit{Until: time.Now().Add(time.Hour)}, first)
 	if err := may(); err != nil {
 		t.Error(err)
 	}
-	directory.Replace([]*backend.Server{{ID: backend.Life{Instance: "i", Born: 2}.ID()}}, 2)
+	directory.Replace([]*backend.Server{{ID: backend.Incarnation{Instance: "i", Started: 2}.ID()}}, 2)
 	if err := may(); !errors.Is(err, errIncarnationOver) {
 		t.Errorf("the error for an ended incarnation is %v", err)
 	}
--- a/pkg/coordinator/locate.go
+++ b/pkg/coordinator/locate.go
@@ -103,7 +103,7 @@
 // and requests here wait for its model, the server's details are loaded first.
 func (m *Member) applyNotice(n Notice) {
 	apply := func() {
-		m.Servers.Believe(n.Server, backend.ParseNeed(n.Need), n.Holds, m.Time.Now().Add(noticeTime))
+		m.Servers.OverrideHolding(n.Server, backend.ParseNeed(n.Need), n.Holds, m.Time.Now().Add(noticeTime))
 	}
 	if !n.Holds || m.EnsureServers == nil || m.Servers.Snapshot().Member(n.Server) != nil {
 		apply()
--- a/pkg/coordinator/orders.go
+++ b/pkg/coordinator/orders.go
@@ -144,7 +144,7 @@
 		switch {
 		case !permit.Valid():
 			return errPermitOver
-		case server.Left():
+		case server.Delisted():
 			return errIncarnationOver
 		}
 		return nil
--- a/pkg/coordinator/paces_test.go
+++ b/pkg/coordinator/paces_test.go
@@ -13,7 +13,7 @@
 // reportStreams reports the end of the given number of streams to a node.
 func (n *simNode) reportStreams(server string, perEvent time.Duration, streams int) {
 	for range streams {
-		n.servers.Paced(server, "m0", perEvent)
+		n.servers.RecordPace(server, "m0", perEvent)
 		n.servers.Report(backend.Pace{Server: server, Model: "m0", PerEvent: perEvent})
 	}
 }
@@ -94,7 +94,7 @@
 		t.Errorf("a forgotten server is reported as %v", list)
 	}
 	p.note(late, "c", math.Inf(1))
-	if list, _ = p.since(late, 0); list[len(list)-1].Ratio != backend.MostSlowness {
+	if list, _ = p.since(late, 0); list[len(list)-1].Ratio != backend.MaxSlowness {
 		t.Errorf("an absurd speed is reported as %v", list)
 	}
 }
@@ -170,7 +170,7 @@
 	d.Replace(servers, 1)
 	for i := 0; b.Loop(); i++ {
 		for j := range speedReportsPerSecond {
-			d.Learn([]backend.Pace{{Server: servers[(i*speedReportsPerSecond+j)%1200].ID, Model: fmt.Sprint("m", j%50), PerEvent: time.Millisecond}})
+			d.LearnPaces([]backend.Pace{{Server: servers[(i*speedReportsPerSecond+j)%1200].ID, Model: fmt.Sprint("m", j%50), PerEvent: time.Millisecond}})
 		}
 	}
 }
--- a/pkg/coordinator/reports.go
+++ b/pkg/coordinator/reports.go
@@ -14,7 +14,7 @@
 // uncertain.
 func (h *Holder) pollServers(now time.Time) {
 	for _, s := range h.servers {
-		if s.member == nil || s.asking || s.reportAt.IsZero() || now.Before(s.reportAt) || s.member.Rest(now) > 0 || !h.configured(s.member.Service) {
+		if s.member == nil || s.asking || s.reportAt.IsZero() || now.Before(s.reportAt) || s.member.BackOff(now) > 0 || !h.configured(s.member.Service) {
 			continue
 		}
 		if s.busy == nil && s.unresolved == nil && !s.sequenceUnknown && !s.recheck {
--- a/pkg/coordinator/server.go
+++ b/pkg/coordinator/server.go
@@ -282,7 +282,7 @@
 
 // usable tells whether orders may be given to the server.
 func (s *serverState) usable(now time.Time) bool {
-	return s.member != nil && !s.gone(now) && s.member.Rest(now) == 0 && (!s.needsFence || s.untouched) && !s.sequenceUnknown && !s.recheck && !s.member.Withdrawn() && !now.Before(s.quietUntil) && !now.Before(s.avoidUntil) &&
+	return s.member != nil && !s.gone(now) && s.member.BackOff(now) == 0 && (!s.needsFence || s.untouched) && !s.sequenceUnknown && !s.recheck && !s.member.Withdrawn() && !now.Before(s.quietUntil) && !now.Before(s.avoidUntil) &&
 		!s.instance.mayTakeLateOrder(now, s.id, s.sequence+1)
 }
 
--- a/pkg/coordinator/simulation_test.go
+++ b/pkg/coordinator/simulation_test.go
@@ -214,7 +214,7 @@
 	var list []*backend.Server
 	for name, e := range sim.engines.servers {
 		e.completeDue()
-		id := backend.Life{Instance: name, Born: e.incarnation}.ID()
+		id := backend.Incarnation{Instance: name, Started: e.incarnation}.ID()
 		list = append(list, &backend.Server{ID: id, Service: "s", Zone: "z", Slots: 8, Version: version, Models: e.holdings()})
 	}
 	return list
@@ -379,7 +379,7 @@
 		return Report{}, hang(ctx)
 	}
 	n.delay(ctx)
-	r, err := n.sim.report(m.Life())
+	r, err := n.sim.report(m.Incarnation())
 	if !n.waitUntilRunning() || ctx.Err() != nil || n.sim.chance(func(t faultRates) float64 { return t.loseAnswer }) {
 		return Report{}, hang(ctx)
 	}
@@ -387,14 +387,14 @@
 }
 
 // report returns a server's report of its state.
-func (sim *simulation) report(server backend.Life) (Report, error) {
+func (sim *simulation) report(server backend.Incarnation) (Report, error) {
 	sim.engines.mu.Lock()
 	defer sim.engines.mu.Unlock()
 	e := sim.engines.servers[server.Instance]
 	switch {
 	case e == nil:
 		return Report{}, errNoAnswer
-	case e.incarnation != server.Born:
+	case e.incarnation != server.Started:
 		return Report{}, ErrOtherIncarnation
 	}
 	e.completeDue()
--- a/pkg/coordinator/slots.go
+++ b/pkg/coordinator/slots.go
@@ -104,7 +104,7 @@
 
 // noteOverloaded marks the servers as overloaded whose limit had requests rejected.
 func (h *Holder) noteOverloaded(now time.Time) {
-	for _, id := range h.slots.Short(now) {
+	for _, id := range h.slots.Overloaded(now) {
 		h.markOverloaded(now, id, minOverload)
 	}
 }
--- a/pkg/coordinator/speeds.go
+++ b/pkg/coordinator/speeds.go
@@ -47,7 +47,7 @@
 // note updates a server's slowness. The first value for a server is always sent: nodes may still have one from before
 // it was dropped here, or from an earlier holder.
 func (p *serverSpeeds) note(now time.Time, id string, ratio float64) {
-	ratio = min(ratio, backend.MostSlowness)
+	ratio = min(ratio, backend.MaxSlowness)
 	k := p.log.get(id)
 	if k != nil && math.Abs(ratio-k.ratio) < minSlownessChange {
 		k.at = now
@@ -76,7 +76,7 @@
 // exchangeSpeeds applies the speeds that a node reports and returns to it what changed.
 func (h *Holder) exchangeSpeeds(now time.Time, b *Beat, answer *BeatAnswer) {
 	if b.Node.Peers != h.address() { // this node's own streams are already counted
-		h.Servers.Learn(b.Paces)
+		h.Servers.LearnPaces(b.Paces)
 	}
 	snapshot := h.Servers.Snapshot()
 	for _, pace := range b.Paces {
@@ -105,7 +105,7 @@
 		return
 	}
 	if len(answer.Paces) > 0 && m.Holder.address() != m.Self.Peers { // otherwise this node's own values are the same or newer
-		m.Servers.Believed(answer.Paces)
+		m.Servers.LearnSlowness(answer.Paces)
 		m.Logger.Info("server speeds received", "servers", len(answer.Paces), "slowest", slowest(answer.Paces), "term", answer.PacesVersion.Term,
 			"number", answer.PacesVersion.Number)
 	}
--- a/pkg/relay/affinity.go
+++ b/pkg/relay/affinity.go
@@ -147,7 +147,7 @@
 // noticeable pauses, other nodes are informed as well.
 func (c *call) reportSpeed(m *backend.Member) {
 	perEvent := c.record.timePerEvent()
-	c.relay.Servers.Paced(m.ID, c.need.Model, perEvent)
+	c.relay.Servers.RecordPace(m.ID, c.need.Model, perEvent)
 	if c.affinityReq.Lane() != affinity.AnyLane {
 		c.relay.Servers.Report(backend.Pace{Server: m.ID, Model: c.need.Model, PerEvent: perEvent})
 	}
--- a/pkg/relay/attempt.go
+++ b/pkg/relay/attempt.go
@@ -148,7 +148,7 @@
 		return errStalePlace
 	case !c.slot.covers(c.relay.Time.Now(), m):
 		return errNoSlot
-	case !m.TakeAfterRest(c.relay.Time.Now()): // checked last since it counts the request
+	case !m.AdmitAfterBackOff(c.relay.Time.Now()): // checked last since it counts the request
 		return errBackoff
 	}
 	return nil
@@ -197,7 +197,7 @@
 	switch {
 	case errors.Is(err, errDeadline):
 		return aborted, errDeadline
-	case errors.Is(err, backend.ErrNotSent), errors.Is(err, backend.ErrCrowded):
+	case errors.Is(err, backend.ErrNotSent), errors.Is(err, backend.ErrTooManyConnections):
 		if ctx.Err() != nil {
 			return aborted, context.Cause(ctx)
 		}
@@ -239,7 +239,7 @@
 
 // rejectionError describes how a server rejected the request without running it.
 func (c *call) rejectionError(m *backend.Member, a *backend.Answer) error {
-	if rest := m.Rest(c.relay.Time.Now()); rest > 0 {
+	if rest := m.BackOff(c.relay.Time.Now()); rest > 0 {
 		return errors.Errorf("the server did not run it: %d, and wants nothing for %d ms", a.Status, rest.Milliseconds())
 	}
 	return errors.Errorf("the server did not run it: %d", a.Status)
@@ -364,10 +364,10 @@
 	case c.need.Model != "" && m.Gone(now):
 		c.shortage = shortage{server: m.ID, gone: true}
 		m.Failed(now)
-	case errors.Is(err, errLeaving), errors.Is(err, backend.ErrCrowded), m.Rest(now) > 0:
+	case errors.Is(err, errLeaving), errors.Is(err, backend.ErrTooManyConnections), m.BackOff(now) > 0:
 	case c.record.status == http.StatusMisdirectedRequest && c.need.Model != "":
 		c.shortage = shortage{server: m.ID}
-		c.relay.Servers.Believe(m.ID, c.need, false, now.Add(assumedNotHeldTime))
+		c.relay.Servers.OverrideHolding(m.ID, c.need, false, now.Add(assumedNotHeldTime))
 	default:
 		m.Failed(now)
 	}
--- a/pkg/relay/backoff.go
+++ b/pkg/relay/backoff.go
@@ -14,11 +14,11 @@
 
 // firstBackoffEnd returns the back-off that ends first among the servers that could otherwise serve
 // the request, or nil if there are none. Hopeful ones precede others.
-func (c *call) firstBackoffEnd(now time.Time) *backend.Return {
-	var first *backend.Return
+func (c *call) firstBackoffEnd(now time.Time) *backend.ExpectedReturn {
+	var first *backend.ExpectedReturn
 	for _, m := range c.relay.Servers.Snapshot().Service(c.service) {
-		r, serves := m.Returns(now, c.need)
-		if serves && (first == nil || r.Hopeful && !first.Hopeful || r.Hopeful == first.Hopeful && r.In < first.In) {
+		r, serves := m.ExpectedReturn(now, c.need)
+		if serves && (first == nil || r.Likely && !first.Likely || r.Likely == first.Likely && r.In < first.In) {
 			first = &r
 		}
 	}
@@ -27,7 +27,7 @@
 
 // shortageWith returns the shortage to report to the coordinator, with the server in back-off that
 // holds the model.
-func (c *call) shortageWith(backoff *backend.Return) shortage {
+func (c *call) shortageWith(backoff *backend.ExpectedReturn) shortage {
 	s := c.shortage
 	if backoff != nil {
 		s.short, s.shortFor = backoff.Server, backoff.In
@@ -37,11 +37,11 @@
 
 // decideDuringBackoff decides about a request for which all suitable servers are in back-off.
 // readyIn is when another server is expected to be ready, zero if none is.
-func (c *call) decideDuringBackoff(backoff *backend.Return, readyIn time.Duration) holdDecision {
+func (c *call) decideDuringBackoff(backoff *backend.ExpectedReturn, readyIn time.Duration) holdDecision {
 	if c.headSent { // the caller would have to start over
 		return holdDecision{hold: true}
 	}
-	if backoff.Hopeful && (readyIn <= 0 || backoff.In < readyIn) {
+	if backoff.Likely && (readyIn <= 0 || backoff.In < readyIn) {
 		readyIn = backoff.In
 	}
 	next := holdDecision{after: backoff.In + readyMargin}
--- a/pkg/relay/choose.go
+++ b/pkg/relay/choose.go
@@ -135,7 +135,7 @@
 		status.ReadyIn = unknownReady
 	}
 	if status.Server != "" {
-		c.relay.Servers.Believe(status.Server, c.need, true, c.relay.Time.Now().Add(assumedHeldTime))
+		c.relay.Servers.OverrideHolding(status.Server, c.need, true, c.relay.Time.Now().Add(assumedHeldTime))
 	}
 	results <- wakeResult{status, err}
 }
@@ -146,7 +146,7 @@
 
 // evaluateWithoutModel refuses a request without a model that can't be served before its caller
 // leaves.
-func (c *call) evaluateWithoutModel(backoff *backend.Return) (refusal, bool) {
+func (c *call) evaluateWithoutModel(backoff *backend.ExpectedReturn) (refusal, bool) {
 	if c.need.Model != "" {
 		return refusal{}, false
 	}
@@ -160,7 +160,7 @@
 
 // evaluateStatus records the status of a load request. It refuses a request that can't be served
 // before its caller leaves.
-func (c *call) evaluateStatus(status LoadStatus, backoff *backend.Return) (refusal, bool) {
+func (c *call) evaluateStatus(status LoadStatus, backoff *backend.ExpectedReturn) (refusal, bool) {
 	c.record.readyIn, c.record.statusAge = status.ReadyIn, status.Age
 	if backoff != nil && (status.Server == "" || status.Server == backoff.Server) {
 		next := c.decideDuringBackoff(backoff, status.ReadyIn)
--- a/pkg/relay/fleet_test.go
+++ b/pkg/relay/fleet_test.go
@@ -252,7 +252,7 @@
 		return
 	}
 	pace := (a.End - a.First - a.Pause) / time.Duration(events-2)
-	f.relays[a.node].Servers.Paced(a.server.ID, a.need.Model, pace)
+	f.relays[a.node].Servers.RecordPace(a.server.ID, a.need.Model, pace)
 	f.relays[a.node].Servers.Report(backend.Pace{Server: a.server.ID, Model: a.need.Model, PerEvent: pace})
 }
 
@@ -264,8 +264,8 @@
 		list = append(list, backend.Slowness{Server: m.ID, Ratio: m.Slowness()})
 	}
 	for _, r := range f.relays {
-		r.Servers.Believed(list)
-		f.coordinator.Learn(r.Servers.TakeReports(math.MaxInt))
+		r.Servers.LearnSlowness(list)
+		f.coordinator.LearnPaces(r.Servers.TakeReports(math.MaxInt))
 	}
 }
 
--- a/pkg/relay/incarnation_test.go
+++ b/pkg/relay/incarnation_test.go
@@ -45,7 +45,7 @@
 func (l *restartingServer) restart() {
 	l.bornAt++
 	next := *l.servers[0]
-	next.ID = backend.Life{Instance: next.ID, Born: l.bornAt}.ID()
+	next.ID = backend.Incarnation{Instance: next.ID, Started: l.bornAt}.ID()
 	next.Version = revision.Revision(l.bornAt)
 	l.relay.Servers.Replace([]*backend.Server{&next}, next.Version)
 }
--- a/pkg/relay/migrate_test.go
+++ b/pkg/relay/migrate_test.go
@@ -742,7 +742,7 @@
 		t.Error("the stream may not return to its leaving source")
 	}
 	next := *s.servers[0]
-	next.ID = backend.Life{Instance: next.ID, Born: 7}.ID()
+	next.ID = backend.Incarnation{Instance: next.ID, Started: 7}.ID()
 	s.relay.Servers.Replace([]*backend.Server{&next}, 3)
 	if r.call.mayReturnToSource(r) {
 		t.Error("the stream may return to a restarted source")
--- a/pkg/relay/quarantine.go
+++ b/pkg/relay/quarantine.go
@@ -214,7 +214,7 @@
 	}
 	run := c.lastRun(m)
 	run.ByRecord = true
-	m.IfItEnds(quarantine.SuspicionTime, func() { q.Ended(run) })
+	m.OnEnd(quarantine.SuspicionTime, func() { q.Ended(run) })
 }
 
 // Reasons of refusals, telling the caller why retrying does not help.
--- a/pkg/relay/resume.go
+++ b/pkg/relay/resume.go
@@ -156,7 +156,7 @@
 // mayReturnToSource reports whether the source of a stream may still be sent a request.
 func (c *call) mayReturnToSource(r *activeStream) bool {
 	switch {
-	case r.sourceRestarted(), r.source.Rest(c.relay.Time.Now()) > 0:
+	case r.sourceRestarted(), r.source.BackOff(c.relay.Time.Now()) > 0:
 		return false
 	case !r.source.Leaving():
 		return true
--- a/pkg/relay/slots.go
+++ b/pkg/relay/slots.go
@@ -77,7 +77,7 @@
 		return nil, chooseAgain
 	}
 	if c.need.Model != "" { // so that another server loads the model as well
-		go c.requestLoad(context.WithoutCancel(ctx), shortage{short: m.ID, shortFor: backpressure.MostWait}, make(chan wakeResult, 1))
+		go c.requestLoad(context.WithoutCancel(ctx), shortage{short: m.ID, shortFor: backpressure.MaxWait}, make(chan wakeResult, 1))
 	}
 	c.refuse(c.notServed(reasonLimited, max(s.Wait, defaultRetryAfter)))
 	return nil, wasRefused
@@ -90,7 +90,7 @@
 	if !m.Limited() {
 		return true
 	}
-	s := c.requestSlot(ctx, []*backend.Member{m}, backpressure.MostWait)
+	s := c.requestSlot(ctx, []*backend.Member{m}, backpressure.MaxWait)
 	if !s.Granted {
 		return false
 	}
@@ -121,7 +121,7 @@
 // leave, or the maximum if the answer has begun.
 func (c *call) slotPatience(now time.Time) time.Duration {
 	if c.headSent {
-		return backpressure.MostWait
+		return backpressure.MaxWait
 	}
 	return c.patience() - impatienceMargin - now.Sub(c.arrived)
 }
@@ -176,7 +176,7 @@
 func (r *Relay) localSlot(asks []backpressure.Ask) backpressure.Slot {
 	now := r.Time.Now()
 	for _, a := range asks {
-		if r.localSlots.Take(now, r.Node, a.Server, backpressure.AloneShare*a.Limit, r.nodes()) {
+		if r.localSlots.Take(now, r.Node, a.Server, backpressure.UncoordinatedShare*a.Limit, r.nodes()) {
 			return backpressure.Slot{Granted: true, Server: a.Server}
 		}
 	}
--- a/pkg/relay/speed_test.go
+++ b/pkg/relay/speed_test.go
@@ -10,8 +10,8 @@
 func TestSlowServersGetFewRequests(t *testing.T) {
 	s := newSite(t, streamRoute(true), events(3, 3, nil), events(3, 3, nil))
 	for range 20 {
-		s.relay.Servers.Paced("server-0", "", 26*time.Millisecond)
-		s.relay.Servers.Paced("server-1", "", 20*time.Millisecond)
+		s.relay.Servers.RecordPace("server-0", "", 26*time.Millisecond)
+		s.relay.Servers.RecordPace("server-1", "", 20*time.Millisecond)
 	}
 	const requests = 20
 	for i := range requests {
--- a/pkg/site/operator.go
+++ b/pkg/site/operator.go
@@ -88,8 +88,8 @@
 func registerAsking(registry prometheus.Registerer, servers *backend.Directory) {
 	for word, asks := range map[string]func(*backend.Member) bool{
 		"limit":   func(m *backend.Member) bool { return m.Limited() },
-		"rest":    func(m *backend.Member) bool { return m.Rest(clock.Now()) > 0 },
-		"leaving": func(m *backend.Member) bool { return m.Belief().Leaving },
+		"rest":    func(m *backend.Member) bool { return m.BackOff(clock.Now()) > 0 },
+		"leaving": func(m *backend.Member) bool { return m.SharedSignals().Leaving },
 	} {
 		registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Namespace: "martenwheel", Name: "servers_asking", Help: "Servers that ask for something in their answers.",
--- a/pkg/site/site.go
+++ b/pkg/site/site.go
@@ -130,7 +130,7 @@
 		Self: s.Self, Lease: l, Holder: holder, Transport: transport, Servers: s.Servers, Clock: s.Clock, Quarantine: known, Configured: s.Configured,
 		Logger: s.Logger.Named("member"),
 	}
-	s.Servers.Heard = s.member.Heard
+	s.Servers.OnSignalChange = s.member.Heard
 	holder.Nodes, holder.HolderSilence, holder.KnownScarce = s.member.Nodes, s.member.HolderSilence, s.member.KnownScarce
 	s.hub = &watch.Hub{
 		Self: watchNode(s.Self), Nodes: s.watchNodes, Known: s.member.Known, Transport: transport,
@@ -209,7 +209,7 @@
 func (s *Site) cover(ctx context.Context, servers []string) error {
 	keys := make([]string, len(servers))
 	for i, id := range servers {
-		keys[i] = backend.ParseLife(id).Instance
+		keys[i] = backend.ParseIncarnation(id).Instance
 	}
 	for _, t := range s.Tables {
 		if !t.Partitioned {
--- a/pkg/site/suspension_test.go
+++ b/pkg/site/suspension_test.go
@@ -120,7 +120,7 @@
 			servers := &backend.Directory{Time: c}
 			servers.Replace([]*backend.Server{{ID: "i-1", Service: "s"}}, 1)
 			need := backend.Need{Model: "m"}
-			servers.Believe("i-1", need, true, now(c).Add(5*time.Second))
+			servers.OverrideHolding("i-1", need, true, now(c).Add(5*time.Second))
 			return func() bool { return servers.Snapshot().Member("i-1").Serves(now(c), need) }
 		},
 		"a holder's word on quotas": func(_ *testing.T, c clock.Clock) func() bool {
--- a/pkg/tree/bench_test.go
+++ b/pkg/tree/bench_test.go
@@ -62,11 +62,11 @@
 	}
 }
 
-// BenchmarkReceiveChange is all that a process does with the tree for one change
-// of a peer: it applies it, checks its digest and reads the models.
+// BenchmarkReceiveChange measures all that a process does with the tree for one change from a peer: it
+// applies the change, checks the digest and lists the models.
 func BenchmarkReceiveChange(b *testing.B) {
 	edits := map[string]Edit{
-		"service":    {Path: "/service3", Key: "keep_alive", Value: "9m"}, // overridden by its models
+		"service":    {Path: "/service3", Key: "keep_alive", Value: "9m"}, // its models override it
 		"branch":     {Path: "/service3", Key: "deadline", Value: "9s"},
 		"model":      {Path: "/service3/family3/model3", Key: "keep_alive", Value: "9m"},
 		"root":       {Path: "/", Key: "deadline", Value: "9s"},
--- a/pkg/tree/change.go
+++ b/pkg/tree/change.go
@@ -8,14 +8,13 @@
 	"martenwheel.dev/pkg/findings"
 )
 
-// maxEdits bounds one change.
+// maxEdits is the maximum number of edits of a change.
 const maxEdits = 50_000
 
-// Apply returns the tree with all edits of the change at the next revision, or
-// an error that carries all findings; then nothing is changed. It does not look
-// at Base, which the Store does.
+// Apply returns the tree at the next revision with all edits of the change, or an error that contains all
+// findings. It does not check Base, which the Store does.
 func (t *Tree) Apply(change Change) (*Tree, error) {
-	editor := editor{base: t, touched: make(touched), refused: make(faults)}
+	editor := editor{base: t, touched: make(touched), refused: make(refusedKeys)}
 	switch {
 	case len(change.Edits) == 0:
 		editor.found.Addf("change", "has no edits")
@@ -34,16 +33,15 @@
 	return tree, nil
 }
 
-// editor collects what edits make of a tree's nodes.
+// editor collects the changes that edits make to the nodes of a tree.
 type editor struct {
 	base    *Tree
 	touched touched
-	refused faults
+	refused refusedKeys
 	found   findings.List
 }
 
-// own returns the overrides of the node at path after the edits so far, if there
-// is one.
+// own returns the overrides of the node at path after the edits so far, and whether the node exists.
 func (e *editor) own(path Path) (overrides, bool) {
 	if own, isTouched := e.touched[path]; isTouched {
 		return own, own != nil
@@ -51,8 +49,7 @@
 	return e.base.own(path)
 }
 
-// branch returns the paths of the node at path and of those below it after the
-// edits so far, sorted.
+// branch returns the sorted paths of the node at path and of those below it after the edits so far.
 func (e *editor) branch(path Path) []Path {
 	var paths []Path
 	visitBranch(e.base.nodes, path, func(index int) {
@@ -70,14 +67,14 @@
 	return paths
 }
 
-// apply applies one edit or records what is wrong with it.
+// apply applies one edit or records its findings.
 func (e *editor) apply(edit Edit) {
 	path, err := ParsePath(string(edit.Path))
 	if err != nil {
-		e.found.Addf(place(edit.Path, edit.Key), "%v", err)
+		e.found.Addf(findingPlace(edit.Path, edit.Key), "%v", err)
 		return
 	}
-	here := place(path, edit.Key)
+	here := findingPlace(path, edit.Key)
 	if frozen, at := e.frozen(path, edit.Remove); frozen && edit.Key != editableKey {
 		e.found.Addf(here, "is frozen by %s at %s", editableKey, at)
 		return
@@ -103,8 +100,8 @@
 // editableKey is the setting that freezes a branch.
 const editableKey = "operators_may_edit"
 
-// frozen tells whether path or, for a removal, anything below it is in a frozen
-// branch, and where that is set.
+// frozen reports whether path is in a frozen branch, and where the branch is frozen. For a removal it also
+// checks the nodes below path.
 func (e *editor) frozen(path Path, withBelow bool) (bool, Path) {
 	ancestors := path.ancestors()
 	for index := len(ancestors) - 1; index >= 0; index-- {
@@ -128,12 +125,12 @@
 	return false, ""
 }
 
-// set overrides a key at path and creates the node if needed.
+// set overrides a key at path. It creates the node if necessary.
 func (e *editor) set(path Path, key, value string) {
 	canonical, err := checkSetting(path.Level(), key, value)
 	if err != nil {
-		e.refused.note(path, key)
-		e.found.Addf(place(path, key), "%v", err)
+		e.refused.add(path, key)
+		e.found.Addf(findingPlace(path, key), "%v", err)
 		return
 	}
 	e.create(path)
@@ -143,15 +140,15 @@
 	e.touched[path] = own
 }
 
-// unset lets the node at path inherit the key again.
+// unset makes the node at path inherit the key again.
 func (e *editor) unset(path Path, key string) {
 	own, exists := e.own(path)
 	if !exists {
-		e.found.Addf(place(path, key), "there is no such node")
+		e.found.Addf(findingPlace(path, key), "there is no such node")
 		return
 	}
 	if _, set := own[key]; !set {
-		e.found.Addf(place(path, key), "is not set here")
+		e.found.Addf(findingPlace(path, key), "is not set here")
 		return
 	}
 	own = maps.Clone(own)
@@ -159,7 +156,7 @@
 	e.touched[path] = own
 }
 
-// remove takes away the node at path and all below it.
+// remove removes the node at path and all nodes below it.
 func (e *editor) remove(path Path) {
 	if path == RootPath {
 		e.found.Addf(string(path), "the root can't be removed")
@@ -174,7 +171,7 @@
 	}
 }
 
-// create makes sure that the node at path and its ancestors exist.
+// create creates the node at path and its ancestors if they don't exist.
 func (e *editor) create(path Path) {
 	for _, ancestor := range path.ancestors() {
 		if _, exists := e.own(ancestor); !exists {
@@ -183,7 +180,7 @@
 	}
 }
 
-// Diff returns the edits that make the settings of b out of those of a.
+// Diff returns the edits that turn the settings of a into those of b.
 func Diff(a, b *Tree) []Edit {
 	edits := make([]Edit, 0)
 	for _, before := range a.nodes {
@@ -198,8 +195,7 @@
 	return edits
 }
 
-// freezeRank orders edits so that branches are made editable before their other
-// edits and frozen after them.
+// freezeRank orders edits: branches are unfrozen before their other edits and frozen after them.
 func freezeRank(edit Edit) int {
 	switch {
 	case edit.Key != editableKey:
@@ -211,8 +207,7 @@
 	}
 }
 
-// diffNode returns the edits that make a node, which may not be there before,
-// out of the one at its path.
+// diffNode returns the edits that turn the node before, nil if it does not exist, into the node after.
 func diffNode(before, after *node) []Edit {
 	if before == after {
 		return nil
--- a/pkg/tree/conflict.go
+++ b/pkg/tree/conflict.go
@@ -2,37 +2,37 @@
 
 import "fmt"
 
-// ConflictError means that another operator changed the same setting after the
-// revision that the author of a change saw. Nothing was changed.
+// ConflictError means that another operator changed the same setting after the revision on which a change
+// was based. Nothing was changed.
 type ConflictError struct {
 	Path     Path     `json:"path"`
-	Key      string   `json:"key,omitempty"` // empty when a whole node is concerned
+	Key      string   `json:"key,omitempty"` // empty if the conflict is about a whole node
 	Yours    string   `json:"yours"`
 	Theirs   string   `json:"theirs"`
 	Author   string   `json:"author"`   // of the other change
 	Revision Revision `json:"revision"` // of the other change
 }
 
-// Error tells what stands against what.
+// Error describes both edits.
 func (e *ConflictError) Error() string {
 	return fmt.Sprintf("%s: you ask for %s, but %s made it %s at revision %d",
-		place(e.Path, e.Key), e.Yours, e.Author, e.Theirs, e.Revision)
+		findingPlace(e.Path, e.Key), e.Yours, e.Author, e.Theirs, e.Revision)
 }
 
-// findConflict returns the conflict of the change with one of the later ones, or
-// nil. The newest of several is returned.
+// findConflict returns the newest conflict of the change with any of the later changes, or nil if there is
+// none.
 func findConflict(change Change, later []Change) *ConflictError {
 	for index := len(later) - 1; index >= 0; index-- {
 		for _, theirs := range later[index].Edits {
 			for _, yours := range change.Edits {
-				if !clash(yours, theirs) {
+				if !conflicts(yours, theirs) {
 					continue
 				}
 				return &ConflictError{
 					Path:     yours.Path,
 					Key:      yours.Key,
-					Yours:    describe(yours),
-					Theirs:   describe(theirs),
+					Yours:    describeEdit(yours),
+					Theirs:   describeEdit(theirs),
 					Author:   later[index].Author,
 					Revision: later[index].Revision,
 				}
@@ -42,8 +42,8 @@
 	return nil
 }
 
-// clash tells whether two edits want different things of the same setting.
-func clash(a, b Edit) bool {
+// conflicts reports whether two edits want different values or states of the same setting or node.
+func conflicts(a, b Edit) bool {
 	switch {
 	case a.Remove && b.Remove:
 		return false
@@ -52,12 +52,12 @@
 	case b.Remove:
 		return b.Path.Contains(a.Path)
 	default:
-		return a.Path == b.Path && a.Key == b.Key && wanted(a) != wanted(b)
+		return a.Path == b.Path && a.Key == b.Key && canonicalEdit(a) != canonicalEdit(b)
 	}
 }
 
-// wanted is what an edit wants of its key, with values in canonical form.
-func wanted(edit Edit) Edit {
+// canonicalEdit returns the edit with its value in canonical form.
+func canonicalEdit(edit Edit) Edit {
 	if key, known := keysByName[edit.Key]; known && !edit.Unset {
 		if canonical, err := key.Parse(edit.Value); err == nil {
 			edit.Value = canonical
@@ -66,8 +66,8 @@
 	return edit
 }
 
-// describe tells what an edit does to its key or node.
-func describe(edit Edit) string {
+// describeEdit describes the effect of an edit on its key or node.
+func describeEdit(edit Edit) string {
 	switch {
 	case edit.Remove:
 		return "removed"
--- a/pkg/tree/derive.go
+++ b/pkg/tree/derive.go
@@ -9,35 +9,34 @@
 	"martenwheel.dev/pkg/findings"
 )
 
-// touched are the overrides of nodes that a change creates or edits, by path;
-// nil overrides mark a node that it removes.
+// touched holds the overrides of the nodes that a change creates or edits, by path. Nil marks a removed
+// node.
 type touched map[Path]overrides
 
-// derivation makes a tree out of an older one. It resolves and checks only the
-// nodes at and below those that changed; the older tree's others are valid, and
-// both trees share them.
+// derivation builds a tree from an older one. It resolves and checks only the changed nodes and those below
+// them. The other nodes of the older tree are valid, and both trees share them.
 type derivation struct {
 	base    *Tree
 	touched touched
-	refused faults
+	refused refusedKeys
 	found   findings.List
 
 	next    *Tree
 	created []*node
 	removed int
-	parents [LevelAdapter + 1]*node // the last node of each level that was resolved
-	scratch Settings                // saves one allocation per affected node
+	parents [LevelAdapter + 1]*node // last resolved node of each level
+	scratch Settings                // reused to save one allocation per affected node
 }
 
-// build makes a tree out of the overrides of all its nodes, among them the
-// root. The error carries all findings but those that refused values explain.
-func build(revision Revision, nodes map[Path]overrides, refused faults) (*Tree, error) {
+// build makes a tree from the overrides of all its nodes, including the root. The error contains all
+// findings except consequences of refused values.
+func build(revision Revision, nodes map[Path]overrides, refused refusedKeys) (*Tree, error) {
 	return derive(new(Tree), revision, nodes, refused)
 }
 
-// derive returns base with the touched nodes, which it takes over, under another
-// revision. The findings are those of a tree that is built anew.
-func derive(base *Tree, revision Revision, changed touched, refused faults) (*Tree, error) {
+// derive returns base with the changes applied, under another revision. It takes ownership of changed. The
+// findings are the same as if the tree were built from scratch.
+func derive(base *Tree, revision Revision, changed touched, refused refusedKeys) (*Tree, error) {
 	d := &derivation{base: base, touched: changed, refused: refused, next: &Tree{revision: revision}}
 	d.arrange()
 	if count := len(d.next.nodes); count > maxNodes {
@@ -55,8 +54,8 @@
 	return d.next, nil
 }
 
-// arrange lists the nodes of the next tree, those that are the same as before
-// and those that are yet to be resolved. It forgets edits without effect.
+// arrange lists the nodes of the next tree, both unchanged ones and those still to be resolved, and drops
+// edits without effect.
 func (d *derivation) arrange() {
 	for _, path := range sortedKeys(d.touched) {
 		before, existed := d.base.own(path)
@@ -76,12 +75,12 @@
 	d.next.nodes = slices.Clone(d.base.nodes)
 }
 
-// restructured tells whether nodes come or go.
+// restructured reports whether nodes are created or removed.
 func (d *derivation) restructured() bool {
 	return d.removed > 0 || len(d.created) > 0
 }
 
-// isRemoved tells whether the change removes a node of the base.
+// isRemoved reports whether the change removes a node of the base.
 func (d *derivation) isRemoved(n *node) bool {
 	if d.removed == 0 {
 		return false
@@ -90,21 +89,20 @@
 	return isTouched && own == nil
 }
 
-// affected returns the places of the nodes whose settings may have changed, in
-// order.
+// affected returns the sorted indexes of the nodes whose settings may have changed.
 func (d *derivation) affected() []int {
-	var places []int
+	var indexes []int
 	for path, own := range d.touched {
 		if own != nil {
-			visitBranch(d.next.nodes, path, func(index int) { places = append(places, index) })
+			visitBranch(d.next.nodes, path, func(index int) { indexes = append(indexes, index) })
 		}
 	}
-	slices.Sort(places)
-	return slices.Compact(places)
+	slices.Sort(indexes)
+	return slices.Compact(indexes)
 }
 
-// resolve gives the affected nodes their effective settings and checks them. It
-// returns the models among those that changed, without the created ones.
+// resolve computes the effective settings of the affected nodes and checks them. It returns the changed
+// models, except created ones.
 func (d *derivation) resolve() []*node {
 	var changedModels []*node
 	for _, index := range d.affected() {
@@ -120,9 +118,8 @@
 	return changedModels
 }
 
-// resolveNode returns a node with its effective settings; its parent has been
-// resolved before. A created node is resolved in place, since no other tree has
-// it.
+// resolveNode returns a node with its effective settings. Its parent must have been resolved. A created
+// node is resolved in place, since no other tree shares it.
 func (d *derivation) resolveNode(before *node) *node {
 	inherited := d.inherited(before)
 	own, isTouched := d.touched[before.path]
@@ -131,21 +128,21 @@
 	}
 	after := before
 	if _, existed := search(d.base.nodes, before.path); existed {
-		after = before.withOwn(own)
+		after = before.withOverrides(own)
 	}
-	after.model.Settings = after.parseOwn(inherited, &d.found)
-	after.nameCheckpoint(&after.model.Settings)
+	after.model.Settings = after.applyOverrides(inherited, &d.found)
+	after.defaultCheckpoint(&after.model.Settings)
 	return after
 }
 
-// inherit returns a node over other inherited settings: the node itself if its
-// effective settings stay the same. Its overrides are not parsed again.
+// inherit returns the node with other inherited settings, or the node itself if its effective settings stay
+// the same. It does not parse the overrides again.
 func (d *derivation) inherit(n *node, inherited Settings) *node {
 	d.scratch = inherited
 	for name := range n.own {
 		keysByName[name].copy(&d.scratch, &n.model.Settings)
 	}
-	n.nameCheckpoint(&d.scratch)
+	n.defaultCheckpoint(&d.scratch)
 	if d.scratch == n.model.Settings {
 		return n
 	}
@@ -154,7 +151,7 @@
 	return &changed
 }
 
-// inherited returns what a node takes from above.
+// inherited returns the settings that a node inherits.
 func (d *derivation) inherited(n *node) Settings {
 	switch n.level {
 	case LevelRoot:
@@ -166,7 +163,7 @@
 	}
 }
 
-// parent returns the node above n, most often one of those resolved last.
+// parent returns the parent of n, which usually is among the last resolved nodes.
 func (d *derivation) parent(n *node) *node {
 	path := n.path.Parent()
 	if last := d.parents[n.level-1]; last != nil && last.path == path {
@@ -175,22 +172,21 @@
 	return d.next.find(path)
 }
 
-// index brings the next tree's names up to date. It reports names that stand
-// twice.
+// index updates the lists of services and models of the next tree. It reports duplicate names.
 func (d *derivation) index(changedModels []*node) {
 	if d.restructured() {
 		d.reindex()
 	} else {
 		d.next.services = d.base.services
-		d.next.named = slices.Clone(d.base.named)
-		d.next.byName = d.base.byName
+		d.next.modelNodes = slices.Clone(d.base.modelNodes)
+		d.next.modelIndex = d.base.modelIndex
 	}
 	for _, model := range changedModels {
-		d.next.named[d.next.byName[model.model.Name]] = model
+		d.next.modelNodes[d.next.modelIndex[model.model.Name]] = model
 	}
 }
 
-// reindex lists services and models anew.
+// reindex rebuilds the lists of services and models.
 func (d *derivation) reindex() {
 	for _, n := range d.next.nodes {
 		if n.level == LevelService {
@@ -199,14 +195,14 @@
 	}
 	created := slices.DeleteFunc(slices.Clone(d.created), func(n *node) bool { return !n.isModel() })
 	slices.SortFunc(created, compareNames)
-	d.next.named = merge(d.base.named, created, d.isRemoved, compareNames)
-	d.next.byName = make(map[api.ModelName]int, len(d.next.named))
-	for place, n := range d.next.named {
-		if first, twice := d.next.byName[n.model.Name]; twice {
+	d.next.modelNodes = merge(d.base.modelNodes, created, d.isRemoved, compareNames)
+	d.next.modelIndex = make(map[api.ModelName]int, len(d.next.modelNodes))
+	for index, n := range d.next.modelNodes {
+		if first, twice := d.next.modelIndex[n.model.Name]; twice {
 			d.found.Addf(string(n.path), "the name %s is taken by %s; names are unique over the whole tree",
-				n.model.Name, d.next.named[first].path)
+				n.model.Name, d.next.modelNodes[first].path)
 			continue
 		}
-		d.next.byName[n.model.Name] = place
+		d.next.modelIndex[n.model.Name] = index
 	}
 }
--- a/pkg/tree/derive_test.go
+++ b/pkg/tree/derive_test.go
@@ -9,10 +9,9 @@
 	"martenwheel.dev/pkg/findings"
 )
 
-// applyWhole is Apply without an older tree to share with: every node is
-// resolved and checked anew.
-func applyWhole(tree *Tree, change Change) (*Tree, error) {
-	editor := editor{base: new(Tree), touched: make(touched), refused: make(faults)}
+// applyFromScratch is Apply without an older tree to share with: every node is resolved and checked again.
+func applyFromScratch(tree *Tree, change Change) (*Tree, error) {
+	editor := editor{base: new(Tree), touched: make(touched), refused: make(refusedKeys)}
 	for _, path := range tree.Paths() {
 		editor.touched[path], _ = tree.own(path)
 	}
@@ -24,7 +23,7 @@
 	return built, editor.found.Err()
 }
 
-// existing returns the overrides of all nodes that the edits left.
+// existing returns the overrides of all nodes that remain after the edits.
 func (e *editor) existing() map[Path]overrides {
 	nodes := make(map[Path]overrides)
 	for path, own := range e.touched {
@@ -35,7 +34,7 @@
 	return nodes
 }
 
-// content is all that a tree tells.
+// content is everything that can be read from a tree.
 type content struct {
 	Revision Revision
 	Digest   string
@@ -45,7 +44,7 @@
 	ByName   []Model
 }
 
-// contentOf reads a tree; its digest is computed anew.
+// contentOf reads a tree. It computes the digest again.
 func contentOf(tree *Tree) content {
 	read := content{
 		Revision: tree.Revision(),
@@ -64,8 +63,8 @@
 	return read
 }
 
-// randomEdit makes an edit of any kind, often one that is refused. Some names
-// sort before the separator of paths, and few names make clashes likely.
+// randomEdit returns a random edit of any form, often an invalid one. Some names sort before the path
+// separator, and the small set of names makes conflicts likely.
 func randomEdit(random *rand.Rand) Edit {
 	pick := func(texts ...string) string { return texts[random.IntN(len(texts))] }
 	path := RootPath
@@ -96,8 +95,8 @@
 	}
 }
 
-// reports returns the findings of err, which must carry nothing else.
-func reports(err error) []findings.Finding {
+// findingsOf returns the findings of err. It panics if err is another kind of error.
+func findingsOf(err error) []findings.Finding {
 	if err == nil {
 		return nil
 	}
@@ -115,8 +114,8 @@
 				change.Edits = append(change.Edits, randomEdit(random))
 			}
 			next, err := tree.Apply(change)
-			whole, wholeErr := applyWhole(tree, change)
-			if !reflect.DeepEqual(reports(err), reports(wholeErr)) {
+			whole, wholeErr := applyFromScratch(tree, change)
+			if !reflect.DeepEqual(findingsOf(err), findingsOf(wholeErr)) {
 				t.Logf("%+v\ngot  %v\nwant %v", change.Edits, err, wholeErr)
 				return false
 			}
@@ -134,7 +133,7 @@
 		}
 		for index := range trees {
 			if !reflect.DeepEqual(contentOf(trees[index]), contents[index]) {
-				t.Logf("revision %d was changed later", index)
+				t.Logf("revision %d was modified by a later change", index)
 				return false
 			}
 		}
@@ -178,8 +177,8 @@
 	}
 }
 
-// TestDigestsStayTheSame pins what nodes of earlier versions compute: a node
-// refuses changes that lead to another digest.
+// TestDigestsStayTheSame pins the digests that nodes of earlier versions compute. A node refuses changes
+// that lead to a digest other than its own.
 func TestDigestsStayTheSame(t *testing.T) {
 	cases := map[string]string{
 		sampleTree: "b6e77e8ebca7f614d16f56f94157e595",
--- a/pkg/tree/editor.go
+++ b/pkg/tree/editor.go
@@ -7,8 +7,7 @@
 	"github.com/sourcegraph/conc/pool"
 )
 
-// Source is something that a process can ask for the newest tree: the Store or
-// another node.
+// Source returns the newest tree that it has: the Store or another node.
 type Source interface {
 	Fetch(ctx context.Context, request FetchRequest) (FetchAnswer, error)
 }
@@ -16,11 +15,10 @@
 // ErrNoSource means that no source answered.
 var ErrNoSource = errors.New("tree: neither the table service nor a peer answered")
 
-// Newest asks the store and the peers at once and returns the tree with the
-// highest revision. A fresh process starts from it. One answer is enough: the
-// store's is the newest accepted tree, a peer's is in force at that peer. A peer
-// that is still at revision 0 is fresh itself and knows nothing. With no answer
-// the process must wait, since a tree from elsewhere may have been replaced.
+// Newest asks the store and the peers concurrently and returns the tree with the highest revision. A new
+// process starts with it. One answer is enough: the store has the newest accepted tree, and a peer has the
+// tree that it uses. A peer at revision 0 is ignored because it is new itself. Without any answer the
+// process must wait, since a tree from elsewhere may be outdated.
 func Newest(ctx context.Context, store Source, peers ...Source) (*Tree, error) {
 	workers := pool.NewWithResults[*Tree]()
 	for _, peer := range peers {
@@ -41,7 +39,7 @@
 	return newest, nil
 }
 
-// fetchWhole returns a source's whole tree, or nil if it gave none.
+// fetchWhole returns the whole tree of a source, or nil if it can't be fetched.
 func fetchWhole(ctx context.Context, source Source) *Tree {
 	answer, err := source.Fetch(ctx, FetchRequest{Whole: true})
 	if err != nil {
@@ -54,7 +52,7 @@
 	return tree
 }
 
-// Editor commits changes and puts them in force in this process at once.
+// Editor commits changes and activates them in this process at once.
 type Editor struct {
 	store  *Store
 	holder *Holder
@@ -65,13 +63,14 @@
 	return &Editor{store: store, holder: holder}
 }
 
-// Current returns the tree in force in this process.
+// Current returns the active tree of this process.
 func (e *Editor) Current() *Tree {
 	return e.holder.Current()
 }
 
-// Commit is Store.Commit. An accepted change is accepted even if this process
-// learns of it later than the caller.
+// Commit calls Store.Commit and activates the newest accepted tree, or the newest one that the store
+// already knows if it can't be read. An accepted change stays accepted even if this process activates it
+// only after Commit has returned.
 func (e *Editor) Commit(ctx context.Context, change Change) (Revision, error) {
 	revision, err := e.store.Commit(ctx, change)
 	if err != nil {
@@ -83,7 +82,7 @@
 	return revision, nil
 }
 
-// Refresh puts the newest accepted tree in force in this process.
+// Refresh activates the newest accepted tree in this process.
 func (e *Editor) Refresh(ctx context.Context) error {
 	answer, err := e.store.Fetch(ctx, FetchRequest{After: e.holder.Current().Revision()})
 	if err != nil {
@@ -93,12 +92,12 @@
 	return err
 }
 
-// History is Store.History.
+// History calls Store.History.
 func (e *Editor) History(ctx context.Context, n int) ([]Change, error) {
 	return e.store.History(ctx, n)
 }
 
-// At is Store.At.
+// At calls Store.At.
 func (e *Editor) At(ctx context.Context, revision Revision) (*Tree, error) {
 	return e.store.At(ctx, revision)
 }
--- a/pkg/tree/exchange.go
+++ b/pkg/tree/exchange.go
@@ -6,47 +6,47 @@
 	"github.com/pkg/errors"
 )
 
-// Bounds of one answer, below the bound of a message between nodes.
+// Bounds of one answer, which are below the maximum size of a message between nodes.
 const (
 	maxAnswerChanges = 1000
 	maxAnswerBytes   = 3 << 20
-	// changeBytes and editBytes estimate the encoded size of a change
-	// without its texts.
-	changeBytes = 64
-	editBytes   = 16
+	// changeOverhead and editOverhead estimate the encoded size of a change and an edit without their
+	// texts.
+	changeOverhead = 64
+	editOverhead   = 16
 )
 
-// ErrAnswerRefused means that a peer's answer does not fit the tree in force.
-// The receiver asks for the whole tree or another peer.
+// ErrAnswerRefused means that a peer's answer is inconsistent with the active tree. The receiver should ask
+// for the whole tree, or ask another peer.
 var ErrAnswerRefused = errors.New("tree: answer refused")
 
-// FetchRequest asks a peer for what it has after a revision.
+// FetchRequest asks a peer for its changes after a revision.
 type FetchRequest struct {
 	After Revision
-	Whole bool // the whole tree, not its changes
+	Whole bool // asks for the whole tree instead of changes
 }
 
-// FetchAnswer brings a peer to Revision: by the changes after the request's
-// revision or, if those are not at hand, by the whole tree, compressed. It is
-// empty when the asked node has nothing newer, or when the tree is too large for
-// a message; then the snapshot in the object store serves.
+// FetchAnswer contains what the receiver needs to reach Revision: the changes after the request's revision
+// or, if those are not available, the whole tree. It contains neither if the answering node has nothing
+// newer, or if the tree is too large for a message. In the latter case, the snapshot in the object store is
+// used.
 type FetchAnswer struct {
-	Revision Revision // of the answering node, even if nothing is newer
-	Digest   string   // of the tree at Revision
+	Revision Revision // revision of the answering node, even if it is not newer
+	Digest   string   // digest of the tree at Revision
 	Changes  []Change
-	Whole    []byte // a packed tree, see Pack
+	Whole    []byte // packed tree, see Pack
 }
 
-// Answer answers a peer's request from the current tree and the changes that
-// lead to it without a gap. It is pure.
+// Answer returns the answer to a peer's request. recent are the changes that lead to the current tree
+// without a gap. Answer is a pure function.
 func Answer(current *Tree, recent []Change, request FetchRequest) FetchAnswer {
 	answer := FetchAnswer{Revision: current.Revision(), Digest: current.Digest()}
 	if request.After >= current.Revision() {
 		return answer
 	}
-	later := after(recent, request.After)
-	if !request.Whole && joins(request.After, current.Revision(), later) && estimateBytes(later) <= maxAnswerBytes {
-		answer.Changes = slices.Clip(later) // the holder appends to recent
+	later := changesAfter(recent, request.After)
+	if !request.Whole && isContiguous(request.After, current.Revision(), later) && estimateBytes(later) <= maxAnswerBytes {
+		answer.Changes = slices.Clip(later) // Holder appends to recent
 		return answer
 	}
 	packed, err := current.Pack()
@@ -56,14 +56,14 @@
 	return answer
 }
 
-// ApplyAnswer returns the tree that a peer's answer leads to. If the answer has
-// nothing newer, that is current itself. The error wraps ErrAnswerRefused; then
-// the caller asks for the whole tree. It is pure.
+// ApplyAnswer returns the tree to which a peer's answer leads, or current itself if the answer has nothing
+// newer. If the error wraps ErrAnswerRefused, the caller should ask for the whole tree. ApplyAnswer is a
+// pure function.
 func ApplyAnswer(current *Tree, answer FetchAnswer) (*Tree, error) {
 	if answer.Revision <= current.Revision() {
 		return current, nil
 	}
-	tree, err := unfoldAnswer(current, answer)
+	tree, err := treeFromAnswer(current, answer)
 	if err != nil {
 		return nil, errors.WithMessage(ErrAnswerRefused, err.Error())
 	}
@@ -74,15 +74,15 @@
 	return tree, nil
 }
 
-// unfoldAnswer builds the tree of an answer that is newer than current.
-func unfoldAnswer(current *Tree, answer FetchAnswer) (*Tree, error) {
+// treeFromAnswer builds the tree of an answer that is newer than current.
+func treeFromAnswer(current *Tree, answer FetchAnswer) (*Tree, error) {
 	if len(answer.Whole) > maxAnswerBytes || len(answer.Changes) > maxAnswerChanges {
 		return nil, errors.New("it is too large")
 	}
 	if len(answer.Whole) > 0 {
 		return Unpack(answer.Whole)
 	}
-	return replay(current, after(answer.Changes, current.Revision()))
+	return replay(current, changesAfter(answer.Changes, current.Revision()))
 }
 
 // replay applies accepted changes, which must follow the tree without a gap.
@@ -100,17 +100,16 @@
 	return tree, nil
 }
 
-// after returns the changes later than revision; changes are in order.
-func after(changes []Change, revision Revision) []Change {
+// changesAfter returns the changes later than revision. The changes must be sorted.
+func changesAfter(changes []Change, revision Revision) []Change {
 	for len(changes) > 0 && changes[0].Revision <= revision {
 		changes = changes[1:]
 	}
 	return changes
 }
 
-// joins tells whether the changes lead from one revision to another without a
-// gap.
-func joins(from, to Revision, changes []Change) bool {
+// isContiguous reports whether the changes lead from one revision to another without a gap.
+func isContiguous(from, to Revision, changes []Change) bool {
 	for _, change := range changes {
 		if change.Revision != from+1 {
 			return false
@@ -124,9 +123,9 @@
 func estimateBytes(changes []Change) int {
 	bytes := 0
 	for _, change := range changes {
-		bytes += changeBytes + len(change.ID) + len(change.Author)
+		bytes += changeOverhead + len(change.ID) + len(change.Author)
 		for _, edit := range change.Edits {
-			bytes += editBytes + len(edit.Path) + len(edit.Key) + len(edit.Value)
+			bytes += editOverhead + len(edit.Path) + len(edit.Key) + len(edit.Value)
 		}
 	}
 	return bytes
--- a/pkg/tree/exchange_test.go
+++ b/pkg/tree/exchange_test.go
@@ -9,7 +9,7 @@
 	"github.com/sourcegraph/conc"
 )
 
-// chain returns n accepted changes and the trees before and after each.
+// chain returns n accepted changes and the trees before and after each of them.
 func chain(t *testing.T, n int) ([]Change, []*Tree) {
 	t.Helper()
 	trees := []*Tree{Empty()}
@@ -104,7 +104,7 @@
 	}
 	holder.Offer(trees[5])
 	if answer := holder.Answer(FetchRequest{After: 1}); len(answer.Whole) == 0 {
-		t.Fatal("changes with a gap were given to a peer")
+		t.Fatal("the answer has changes with a gap instead of the whole tree")
 	}
 }
 
@@ -128,7 +128,7 @@
 	}
 }
 
-// sameID tells whether two changes are the same intended change.
+// sameID reports whether two changes have the same ID.
 func sameID(a, b Change) bool {
 	return a.ID == b.ID
 }
@@ -160,7 +160,7 @@
 				next := holder.Changed()
 				revision := holder.Current().Revision()
 				if revision < floor {
-					t.Errorf("reader %d: went back from %d to %d", reader, floor, revision)
+					t.Errorf("reader %d: the revision went back from %d to %d", reader, floor, revision)
 					return
 				}
 				floor = revision
@@ -181,6 +181,6 @@
 	workers.Wait()
 	<-changed
 	if holder.Offer(trees[50]) || holder.Offer(trees[3]) {
-		t.Error("an equal or lower revision was taken")
+		t.Error("an equal or lower revision was accepted")
 	}
 }
--- a/pkg/tree/fake_test.go
+++ b/pkg/tree/fake_test.go
@@ -12,7 +12,7 @@
 	"martenwheel.dev/pkg/platform"
 )
 
-// fault is what goes wrong with one call of the fake platform.
+// fault is the way in which one call of the fake platform fails.
 type fault int
 
 const (
@@ -21,8 +21,8 @@
 	throttled        // ErrThrottled, no effect
 	lostBefore       // ErrUnknownOutcome, no effect
 	lostAfter        // ErrUnknownOutcome after the effect
-	brokenPipe       // an error of no known kind after the effect
-	late             // ErrUnknownOutcome; it arrives after the next commit
+	brokenPipe       // an error of unknown kind after the effect
+	late             // ErrUnknownOutcome; takes effect after the next commit
 )
 
 var errBrokenPipe = errors.New("broken pipe")
@@ -35,7 +35,8 @@
 	}[f]
 }
 
-// faultQueue gives each call its fault; after the last one, calls get rest.
+// faultQueue determines the fault of each call: those in next, in order, and then rest for all further
+// calls.
 type faultQueue struct {
 	next []fault
 	rest fault
@@ -50,8 +51,7 @@
 	return first
 }
 
-// fakeTable is a table service in memory. Reads that are not consistent see a
-// replica that never gets any write.
+// fakeTable is a table service in memory. Inconsistent reads see a replica that never gets any write.
 type fakeTable struct {
 	mutex         sync.Mutex
 	records       map[string]platform.Record
@@ -114,13 +114,13 @@
 		return err
 	}
 	for _, transaction := range f.delayed {
-		_ = f.apply(transaction) // nobody waits for its answer any more
+		_ = f.apply(transaction) // its caller no longer waits for the response
 	}
 	f.delayed = nil
 	return fault.err()
 }
 
-// apply writes a transaction if its conditions hold.
+// apply executes a transaction if its conditions hold.
 func (f *fakeTable) apply(transaction platform.Transaction) error {
 	versions := make(map[string]uint64)
 	for _, condition := range transaction.Conditions {
@@ -135,7 +135,7 @@
 	return nil
 }
 
-// accepted counts the change records.
+// accepted returns the number of change records.
 func (f *fakeTable) accepted() int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -212,7 +212,7 @@
 	return nil
 }
 
-// newFakeStore returns a store that does not wait between tries.
+// newFakeStore returns a store that does not wait between attempts.
 func newFakeStore(table *fakeTable, objects *fakeObjects) *Store {
 	noPause := func(ctx context.Context, _ time.Duration) error { return ctx.Err() }
 	return NewStore(table, objects, WithPause(noPause))
--- a/pkg/tree/fuzz_test.go
+++ b/pkg/tree/fuzz_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// FuzzParse feeds files of operators to the parser: it must not panic, and what
-// it accepts must be read back the same.
+// FuzzParse parses arbitrary files. The parser must not panic, and a tree that it accepts must be the same
+// after it is written and parsed again.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(sampleTree))
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -21,7 +21,7 @@
 	})
 }
 
-// FuzzUnpack feeds what a peer may send to the unpacker.
+// FuzzUnpack unpacks arbitrary data, as a peer may send it.
 func FuzzUnpack(f *testing.F) {
 	packed, err := Empty().WithRevision(3).Pack()
 	if err != nil {
--- a/pkg/tree/holder.go
+++ b/pkg/tree/holder.go
@@ -5,45 +5,43 @@
 	"sync/atomic"
 )
 
-// Holder holds the tree that is in force in a process. Its revision is a floor:
-// it only rises. Safe for concurrent use.
+// Holder holds the active tree of a process. The revision of the tree never decreases. Safe for concurrent
+// use.
 type Holder struct {
 	current atomic.Pointer[Tree]
 
-	mutex   sync.Mutex    // held by writers
+	mutex   sync.Mutex    // guards changed and recent, and serializes writes of current
 	changed chan struct{} // closed and replaced at each change
-	recent  []Change      // the last changes without a gap, ending at current
+	recent  []Change      // latest changes without a gap, ending at current
 }
 
-// NewHolder returns a holder of the initial tree.
+// NewHolder returns a holder with an initial tree.
 func NewHolder(initial *Tree) *Holder {
 	holder := &Holder{changed: make(chan struct{})}
 	holder.current.Store(initial)
 	return holder
 }
 
-// Current returns the tree in force. A later call never returns a lower
-// revision.
+// Current returns the active tree. A later call never returns a lower revision.
 func (h *Holder) Current() *Tree {
 	return h.current.Load()
 }
 
-// Changed returns a channel that is closed when the tree next changes. To miss
-// nothing, get the channel before the current tree.
+// Changed returns a channel that is closed at the next change of the tree. Callers that must not miss a
+// change get the channel before the current tree.
 func (h *Holder) Changed() <-chan struct{} {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return h.changed
 }
 
-// Offer puts tree in force if its revision is higher than the current one's,
-// and tells whether it did.
+// Offer activates tree if its revision is higher than the current one, and reports whether it did.
 func (h *Holder) Offer(tree *Tree) bool {
 	return h.offer(tree, nil)
 }
 
-// Receive puts in force what a peer answered, and tells whether the tree
-// changed. An answer that does not fit is an error and changes nothing.
+// Receive applies a peer's answer and reports whether the tree changed. An answer that is inconsistent with
+// the tree is an error and changes nothing.
 func (h *Holder) Receive(answer FetchAnswer) (bool, error) {
 	tree, err := ApplyAnswer(h.Current(), answer)
 	if err != nil {
@@ -52,7 +50,7 @@
 	return h.offer(tree, answer.Changes), nil
 }
 
-// Answer answers a peer from the tree in force and the recent changes.
+// Answer answers a peer's request from the active tree and the recent changes.
 func (h *Holder) Answer(request FetchRequest) FetchAnswer {
 	h.mutex.Lock()
 	current, recent := h.current.Load(), h.recent
@@ -60,7 +58,7 @@
 	return Answer(current, recent, request)
 }
 
-// offer is Offer with the changes, if known, that lead to tree.
+// offer implements Offer. changes are those that lead to tree, if known.
 func (h *Holder) offer(tree *Tree, changes []Change) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -75,16 +73,16 @@
 	return true
 }
 
-// remember keeps the changes from one revision to another, and forgets the
-// older ones if they don't join.
+// remember appends the changes from one revision to another to the recent changes. It clears the recent
+// changes if the new ones leave a gap.
 func (h *Holder) remember(from, to Revision, changes []Change) {
 	for len(changes) > 0 && changes[0].Revision <= from {
 		changes = changes[1:]
 	}
-	if !joins(from, to, changes) {
+	if !isContiguous(from, to, changes) {
 		h.recent = nil
 		return
 	}
-	joined := append(h.recent, changes...) // beyond what readers of h.recent see
+	joined := append(h.recent, changes...) // readers of h.recent don't see the appended elements
 	h.recent = joined[max(0, len(joined)-maxAnswerChanges):]
 }
--- a/pkg/tree/inherit.go
+++ b/pkg/tree/inherit.go
@@ -5,8 +5,8 @@
 // checkpointKey is the setting that no node inherits.
 const checkpointKey = "checkpoint"
 
-// adapterSources names the keys that an adapter does not inherit from its base
-// model, and the key of the base model that it takes instead, if any.
+// adapterSources lists the keys that an adapter does not inherit from its base model, each with the key of
+// the base model from which it takes the value instead; empty: none.
 var adapterSources = map[string]string{
 	checkpointKey:  "",
 	"version":      "",
@@ -16,8 +16,8 @@
 	"load_time":    "adapter_load_time",
 }
 
-// forAdapter turns the settings of a base model into those that an adapter
-// inherits: all but what describes the base model's own checkpoint.
+// forAdapter returns the settings that an adapter inherits from its base model: all but those that describe
+// the base model's own checkpoint.
 func forAdapter(base Settings) Settings {
 	settings := base
 	settings.Checkpoint = ""
@@ -29,14 +29,14 @@
 	return settings
 }
 
-// checkNode checks the effective settings of a node against each other.
-func checkNode(n *node, refused faults, found *findings.List) {
+// checkNode checks the effective settings of a node for consistency.
+func checkNode(n *node, refused refusedKeys, found *findings.List) {
 	settings := &n.model.Settings
-	if settings.MinReplicas > settings.MaxReplicas && !refused.hide(n.path, "min_replicas", "max_replicas") {
-		found.Addf(place(n.path, "min_replicas"), "%d is more than max_replicas, which is %d here",
+	if settings.MinReplicas > settings.MaxReplicas && !refused.mayExplain(n.path, "min_replicas", "max_replicas") {
+		found.Addf(findingPlace(n.path, "min_replicas"), "%d is more than max_replicas, which is %d here",
 			settings.MinReplicas, settings.MaxReplicas)
 	}
-	if n.level == LevelModel && settings.MemoryBytes == 0 && !refused.hide(n.path, "memory") {
-		found.Addf(place(n.path, "memory"), "is not set; every model needs the memory of its weights")
+	if n.level == LevelModel && settings.MemoryBytes == 0 && !refused.mayExplain(n.path, "memory") {
+		found.Addf(findingPlace(n.path, "memory"), "is not set; every model needs the memory of its weights")
 	}
 }
--- a/pkg/tree/keys.go
+++ b/pkg/tree/keys.go
@@ -14,29 +14,28 @@
 	"martenwheel.dev/pkg/settings/units"
 )
 
-// textUnit is the unit of settings that hold free text.
+// textUnit is the unit of settings that are free text.
 const textUnit = "text"
 
-// maxValueBytes bounds the text of one value.
+// maxValueBytes is the maximum length of the text of a value.
 const maxValueBytes = 256
 
 // Key describes one setting of the tree.
 type Key struct {
 	Name        string
 	Unit        string // "duration", "bytes", "text" and so on
-	Default     string // as it would be written in the tree
-	Range       string // in words, inclusive
+	Default     string // in the notation of the tree
+	Range       string // allowed values, for documentation; bounds are inclusive
 	Levels      []Level
 	Description string
 
-	// parse checks text and stores it; format is its inverse. copy takes over
-	// what parse stored.
+	// parse validates text and stores the value, and format is its inverse. copy copies the stored value.
 	parse  func(settings *Settings, text string) error
 	format func(settings Settings) string
 	copy   func(to, from *Settings)
 }
 
-// AllowedAt tells whether the key may be set at a node of the level.
+// AllowedAt reports whether the key may be set at a node of the level.
 func (k Key) AllowedAt(level Level) bool {
 	for _, allowed := range k.Levels {
 		if allowed == level {
@@ -46,7 +45,7 @@
 	return false
 }
 
-// Parse checks text and returns it in its canonical form: "600s" becomes "10m".
+// Parse validates text and returns it in canonical form: "600s" becomes "10m".
 func (k Key) Parse(text string) (string, error) {
 	if len(text) > maxValueBytes {
 		return "", errors.Errorf("value is longer than %d bytes", maxValueBytes)
@@ -67,6 +66,7 @@
 	rootOnly       = []Level{LevelRoot}
 )
 
+// Bounds of byte sizes and counts.
 // Bounds of byte sizes and counts.
 const (
 	mebibyte          = 1 << 20
@@ -81,7 +81,7 @@
 	week              = 7 * 24 * time.Hour
 )
 
-// Keys is every setting of the tree, in the order of the documentation.
+// Keys lists all settings of the tree in the order of the documentation.
 var Keys = []Key{
 	textKey(checkpointKey, "", modelAndDown,
 		"name of the checkpoint in the weight store; empty: the model's or adapter's name",
@@ -200,21 +200,21 @@
 	return index
 }
 
-// FindKey returns the key of that name.
+// FindKey returns the key with the given name.
 func FindKey(name string) (Key, bool) {
 	key, found := keysByName[name]
 	return key, found
 }
 
-// defaults are the settings of a tree in which nothing is set.
+// defaults are the settings of a tree without overrides.
 var defaults = parseDefaults()
 
-// Defaults returns the settings of a tree in which nothing is set.
+// Defaults returns the settings of a tree without overrides.
 func Defaults() Settings {
 	return defaults
 }
 
-// parseDefaults reads the default of each key.
+// parseDefaults parses the default of each key.
 func parseDefaults() Settings {
 	var settings Settings
 	for _, key := range Keys {
@@ -225,11 +225,11 @@
 	return settings
 }
 
-// Policies are the names of the keep-alive and prewarming policies that package
-// policy implements, the default first.
+// Policies are the names of the keep-alive and prewarming policies that package policy implements. The
+// first one is the default.
 var Policies = []string{"adaptive", "fixed-keepalive", "fixed-keepalive-near", "never-unload", "unload-at-once", "demand-first"}
 
-// textPattern allows names and versions as they appear in weight stores.
+// textPattern matches names and versions that are valid in weight stores.
 var textPattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._:/@+-]*$`)
 
 func textKey(name, initial string, levels []Level, description string, field func(*Settings) *string) Key {
@@ -247,7 +247,7 @@
 	}
 }
 
-// choiceKey describes a setting that is one of choices, by default the first.
+// choiceKey returns a key whose value is one of choices. The first one is the default.
 func choiceKey(name string, choices []string, levels []Level, description string, field func(*Settings) *string) Key {
 	allowed := strings.Join(choices, ", ")
 	key := textKey(name, choices[0], levels, description, field)
@@ -262,7 +262,7 @@
 	return key
 }
 
-// rangedKey describes a setting whose values lie in a range.
+// rangedKey returns a key whose values lie in a range.
 func rangedKey[T cmp.Ordered](name, unit string, initial T, allowed units.Range[T], levels []Level, description string, field func(*Settings) *T) Key {
 	return Key{
 		Name:        name,
--- a/pkg/tree/pack.go
+++ b/pkg/tree/pack.go
@@ -8,21 +8,20 @@
 	"github.com/pkg/errors"
 )
 
-// Pack returns the tree as compressed YAML, for snapshots and peers. Many peers
-// that start at once ask for it, so it is packed once. The caller must not change
-// the bytes.
+// Pack returns the tree as compressed YAML, for snapshots and peers. It packs the tree only once, since
+// many peers that start at the same time ask for it. The caller must not change the bytes.
 func (t *Tree) Pack() ([]byte, error) {
 	return t.packed()
 }
 
-// pack is Pack without remembering.
+// pack is Pack without caching.
 func (t *Tree) pack() ([]byte, error) {
 	packed, err := compress(t.Marshal())
 	return packed, errors.WithMessage(err, "pack tree")
 }
 
-// Unpack reads what Pack wrote. It reads no more than MaxTreeBytes, whatever
-// the packed bytes claim.
+// Unpack reads the output of Pack. It decompresses no more than about MaxTreeBytes, so that a small input
+// can't exhaust the memory.
 func Unpack(packed []byte) (*Tree, error) {
 	data, err := decompress(packed)
 	if err != nil {
@@ -44,7 +43,7 @@
 	return buffer.Bytes(), nil
 }
 
-// decompress reads what compress wrote, up to MaxTreeBytes and one byte more.
+// decompress reads the output of compress, up to MaxTreeBytes plus one byte.
 func decompress(compressed []byte) ([]byte, error) {
 	reader, err := gzip.NewReader(bytes.NewReader(compressed))
 	if err != nil {
--- a/pkg/tree/path.go
+++ b/pkg/tree/path.go
@@ -9,10 +9,10 @@
 	"martenwheel.dev/pkg/api"
 )
 
-// maxNameBytes bounds one segment of a path.
+// maxNameBytes is the maximum length of one segment of a path.
 const maxNameBytes = 64
 
-// namePattern is what a segment of a path may look like.
+// namePattern matches a valid segment of a path.
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
 
 // RootPath is the path of the root.
@@ -36,7 +36,7 @@
 	}
 }
 
-// ParsePath checks text and returns it as a path.
+// ParsePath validates text and returns it as a path.
 func ParsePath(text string) (Path, error) {
 	path := Path(text)
 	if path == RootPath {
@@ -57,7 +57,7 @@
 	return path, nil
 }
 
-// checkName checks one segment of a path.
+// checkName validates one segment of a path.
 func checkName(name string) error {
 	if len(name) > maxNameBytes {
 		return errors.Errorf("name %.20q... is longer than %d bytes", name, maxNameBytes)
@@ -73,7 +73,7 @@
 	return Level(len(p.names()))
 }
 
-// Parent returns the path above p; the root is its own parent.
+// Parent returns the parent of p. The root is its own parent.
 func (p Path) Parent() Path {
 	cut := strings.LastIndexByte(string(p), '/')
 	if cut <= 0 {
@@ -82,12 +82,12 @@
 	return p[:cut]
 }
 
-// Name returns the last segment of the path; "" for the root.
+// Name returns the last segment of the path, or "" for the root.
 func (p Path) Name() string {
 	return string(p[strings.LastIndexByte(string(p), '/')+1:])
 }
 
-// Child returns the path of the node name below p.
+// Child returns the path of the child of p with the given name.
 func (p Path) Child(name string) Path {
 	if p == RootPath {
 		return Path("/" + name)
@@ -95,7 +95,7 @@
 	return p + "/" + Path(name)
 }
 
-// Contains tells whether other is p or below it.
+// Contains reports whether other is p or below it.
 func (p Path) Contains(other Path) bool {
 	return p == RootPath || p == other || strings.HasPrefix(string(other), string(p)+"/")
 }
@@ -117,7 +117,7 @@
 	return strings.Split(string(p[1:]), "/")
 }
 
-// modelName returns the name by which callers ask for the model or adapter.
+// modelName returns the name that callers use for the model or adapter.
 func (p Path) modelName() api.ModelName {
 	if p.Level() == LevelAdapter {
 		return api.ModelName(p.Parent().Name() + ":" + p.Name())
--- a/pkg/tree/property_test.go
+++ b/pkg/tree/property_test.go
@@ -10,11 +10,10 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// propertySeed is fixed so that each run gives the same verdict; gopter prints
-// it with a failure.
+// propertySeed is fixed so that each run has the same result. gopter prints it with a failure.
 const propertySeed = 20260730
 
-// checkProperty checks a property of trees made from random numbers.
+// checkProperty checks a property with 200 random sources. A source makes the trees.
 func checkProperty(t *testing.T, name string, holds func(random *rand.Rand) bool) {
 	t.Helper()
 	parameters := gopter.DefaultTestParametersWithSeed(propertySeed)
@@ -26,7 +25,7 @@
 	properties.TestingRun(t)
 }
 
-// randomSettings are keys with some of their values, for random trees.
+// randomSettings are the keys that random trees set, with possible values.
 var randomSettings = map[string][]string{
 	"keep_alive":        {"1m", "10m", "2h"},
 	"cold_start_weight": {"0", "0.25", "1"},
@@ -35,10 +34,10 @@
 	"adapter_memory":    {"10MiB", "1GiB"},
 	"unsafe_to_repeat":  {"true", "false"},
 	"version":           {"1", "true", "v2"},
-	"checkpoint":        {"", "w1"}, // empty overrides, too
+	"checkpoint":        {"", "w1"}, // an empty value is an override as well
 }
 
-// randomTree makes a tree of services with families, models and adapters.
+// randomTree returns a random tree with services, families, models and adapters.
 func randomTree(random *rand.Rand) *Tree {
 	edits := []Edit{{Path: "/", Key: "keep_alive", Value: "3m"}}
 	for service := range 1 + random.IntN(3) {
@@ -59,7 +58,7 @@
 	return overrideRandomly(random, tree)
 }
 
-// overrideRandomly sets some keys where they are allowed.
+// overrideRandomly sets random keys at levels where they are allowed.
 func overrideRandomly(random *rand.Rand, tree *Tree) *Tree {
 	for _, path := range tree.Paths() {
 		for _, name := range sortedKeys(randomSettings) {
@@ -129,7 +128,7 @@
 	})
 }
 
-// explained tells whether an origin agrees with the overrides of the tree.
+// explained reports whether an origin agrees with the overrides of the tree.
 func explained(tree *Tree, path Path, origin Origin) bool {
 	key, _ := FindKey(origin.Key)
 	if path.Level() == LevelAdapter && origin.From != path {
@@ -149,7 +148,7 @@
 	return tree.find(origin.From).own[origin.Key] == origin.Value
 }
 
-// adapterDefault is the value of a key that an adapter neither sets nor inherits.
+// adapterDefault returns the value of a key that an adapter neither sets nor inherits.
 func adapterDefault(key Key) string {
 	if key.Name == "kv_memory" {
 		return "0B" // adapters use the cache of their base model
--- a/pkg/tree/store.go
+++ b/pkg/tree/store.go
@@ -17,42 +17,41 @@
 const (
 	maxIDBytes     = 128
 	maxAuthorBytes = 128
-	// maxRecordBytes is less than what table services take as one record.
+	// maxRecordBytes is below the maximum record size of table services.
 	maxRecordBytes = 350 << 10
-	// maxBaseAge bounds the revisions between the base of a change and the
-	// newest tree, all of which have to be read.
+	// maxBaseAge is the maximum number of revisions between the base of a change and the newest tree, all
+	// of which must be read.
 	maxBaseAge = 1000
-	// SnapshotEvery is the number of changes from one snapshot to the next.
+	// SnapshotEvery is the number of changes between two snapshots.
 	SnapshotEvery = 100
-	// maxAttempts bounds the tries of one commit: each but the last lost
-	// against another operator or the service's rate limit.
+	// maxAttempts is the maximum number of attempts of one commit. An attempt is repeated if it loses
+	// against another operator, is throttled, or has an unknown outcome.
 	maxAttempts = 10
 	firstPause  = 50 * time.Millisecond
 	maxPause    = 2 * time.Second
 )
 
-// Store keeps the tree in the platform: each change is a record of the table
-// service, whole trees are snapshots in the object store. Safe for concurrent
-// use, also by several processes.
+// Store keeps the tree in the platform's services: each change is a record of the table service, and
+// snapshots of whole trees are in the object store. Safe for concurrent use, also by several processes.
 type Store struct {
 	table   platform.Table
 	objects platform.Objects
 	pause   func(ctx context.Context, duration time.Duration) error
 
 	mutex    sync.Mutex
-	newest   *Tree    // accepted; saves reading what was read before
-	snapshot Revision // of the newest snapshot known
+	newest   *Tree    // newest accepted tree that was read or committed; avoids repeated reads
+	snapshot Revision // of the newest known snapshot
 }
 
-// Option changes a new Store.
+// Option configures a new Store.
 type Option func(*Store)
 
-// WithPause replaces the wait between two tries, for tests.
+// WithPause replaces the wait between two attempts. It is meant for tests.
 func WithPause(pause func(ctx context.Context, duration time.Duration) error) Option {
 	return func(s *Store) { s.pause = pause }
 }
 
-// NewStore returns a store on the platform's services.
+// NewStore returns a store that uses the platform's services.
 func NewStore(table platform.Table, objects platform.Objects, options ...Option) *Store {
 	store := &Store{table: table, objects: objects, pause: sleep, newest: Empty()}
 	for _, option := range options {
@@ -61,16 +60,15 @@
 	return store
 }
 
-// Commit checks the change against the newest tree, commits it and returns its
-// revision. The error is a *findings.Error if the change is invalid, a
-// *ConflictError if it clashes with a change after its Base, or wraps one of
-// package platform's errors. After platform.ErrUnknownOutcome the caller repeats
-// the change under the same ID, which applies it once.
+// Commit checks the change against the newest tree, commits it and returns its revision. The error is a
+// *findings.Error if the change is invalid, a *ConflictError if it conflicts with a change after its Base,
+// or wraps an error of package platform. After platform.ErrUnknownOutcome the caller should repeat the
+// change with the same ID, which applies it only once.
 func (s *Store) Commit(ctx context.Context, change Change) (Revision, error) {
 	if err := checkChange(change); err != nil {
 		return 0, err
 	}
-	inDoubt := false // an earlier try may yet have taken effect
+	outcomeUnknown := false // an earlier attempt may still have taken effect
 	var err error
 	for attempt := range maxAttempts {
 		if attempt > 0 {
@@ -79,31 +77,31 @@
 			}
 		}
 		var revision Revision
-		revision, err = s.try(ctx, change)
-		inDoubt = inDoubt || errors.Is(err, platform.ErrUnknownOutcome)
-		if !isTransient(err, inDoubt) {
+		revision, err = s.attemptCommit(ctx, change)
+		outcomeUnknown = outcomeUnknown || errors.Is(err, platform.ErrUnknownOutcome)
+		if !isTransient(err, outcomeUnknown) {
 			return revision, err
 		}
 	}
-	if inDoubt {
+	if outcomeUnknown {
 		return 0, errors.WithMessagef(platform.ErrUnknownOutcome, "change %s: %v", change.ID, err)
 	}
 	return 0, errors.WithMessagef(err, "change %s: given up", change.ID)
 }
 
-// isTransient tells whether another try of a commit may end otherwise. After an
-// unknown outcome the next try reads back the change's own ID, and only an answer
-// to that settles it.
-func isTransient(err error, inDoubt bool) bool {
+// isTransient reports whether another attempt of a commit may have a different result. If the outcome of an
+// attempt is unknown, the next one looks for the record of the change's own ID, and only a result of that
+// read settles the outcome.
+func isTransient(err error, outcomeUnknown bool) bool {
 	return errors.Is(err, platform.ErrConflict) ||
 		errors.Is(err, platform.ErrThrottled) ||
 		errors.Is(err, platform.ErrUnknownOutcome) ||
-		inDoubt && errors.Is(err, platform.ErrUnavailable)
+		outcomeUnknown && errors.Is(err, platform.ErrUnavailable)
 }
 
-// try is one attempt of Commit.
-func (s *Store) try(ctx context.Context, change Change) (Revision, error) {
-	revision, done, err := s.committed(ctx, change)
+// attemptCommit makes one attempt of Commit.
+func (s *Store) attemptCommit(ctx context.Context, change Change) (Revision, error) {
+	revision, done, err := s.findCommitted(ctx, change)
 	if done || err != nil {
 		return revision, err
 	}
@@ -128,16 +126,16 @@
 		return 0, err
 	}
 	if err := s.table.Commit(ctx, transaction); err != nil {
-		return 0, errors.WithMessagef(settled(err), "commit change %s", change.ID)
+		return 0, errors.WithMessagef(asUnknownOutcome(err), "commit change %s", change.ID)
 	}
 	s.keep(next)
 	s.saveSnapshot(ctx, next)
 	return next.Revision(), nil
 }
 
-// settled makes an unknown outcome of every failed write of which it is not
-// known that nothing was written.
-func settled(err error) error {
+// asUnknownOutcome turns a failed write into an unknown outcome, unless the error guarantees that nothing
+// was written.
+func asUnknownOutcome(err error) error {
 	switch {
 	case errors.Is(err, platform.ErrConflict), errors.Is(err, platform.ErrThrottled), errors.Is(err, platform.ErrUnavailable):
 		return err
@@ -146,8 +144,9 @@
 	}
 }
 
-// committed looks for the change's own ID, as after a lost answer.
-func (s *Store) committed(ctx context.Context, change Change) (Revision, bool, error) {
+// findCommitted looks for the record of the change's own ID, which exists if an earlier attempt succeeded
+// but its response was lost.
+func (s *Store) findCommitted(ctx context.Context, change Change) (Revision, bool, error) {
 	record, err := s.table.Get(ctx, idPrefix+change.ID, true)
 	if errors.Is(err, platform.ErrNotFound) {
 		return 0, false, nil
@@ -167,7 +166,7 @@
 	return accepted.Revision, true, nil
 }
 
-// checkBase compares the change with those after its Base.
+// checkBase checks the change for conflicts with those after its Base.
 func (s *Store) checkBase(ctx context.Context, change Change, newest Revision) error {
 	if change.Base == 0 || change.Base == newest {
 		return nil
@@ -192,7 +191,7 @@
 	return nil
 }
 
-// backoff returns the pause before a try: exponential with full jitter.
+// backoff returns the pause before an attempt: exponential with full jitter.
 func backoff(attempt int) time.Duration {
 	bound := min(firstPause<<attempt, maxPause)
 	return time.Duration(rand.Int64N(int64(bound)))
--- a/pkg/tree/store_read.go
+++ b/pkg/tree/store_read.go
@@ -9,9 +9,9 @@
 	"martenwheel.dev/pkg/platform"
 )
 
-// Load returns the newest accepted tree: the newest snapshot with the changes
-// after it. It fails if the table service can't be read, since then no one can
-// say what is newest; LoadSnapshot and peers remain.
+// Load returns the newest accepted tree: the newest snapshot plus the changes after it. It fails if the
+// table service can't be read, since the newest revision is then unknown. LoadSnapshot and peers remain as
+// sources.
 func (s *Store) Load(ctx context.Context) (*Tree, error) {
 	head, err := s.readHead(ctx)
 	if err != nil {
@@ -48,7 +48,7 @@
 	return tree, errors.WithMessage(err, "read "+name)
 }
 
-// History returns the last n accepted changes, the newest first.
+// History returns the last n accepted changes, newest first.
 func (s *Store) History(ctx context.Context, n int) ([]Change, error) {
 	head, err := s.readHead(ctx)
 	if err != nil {
@@ -68,11 +68,11 @@
 	return changes, nil
 }
 
-// At returns the tree as it was at a revision.
+// At returns the tree at the given revision.
 func (s *Store) At(ctx context.Context, revision Revision) (*Tree, error) {
 	names, err := s.objects.List(ctx, snapshotPrefix)
 	if err != nil {
-		names = nil // the changes alone lead there, too
+		names = nil // replay all changes instead
 	}
 	tree := Empty()
 	for index := len(names) - 1; index >= 0 && tree.Revision() == 0; index-- {
@@ -90,7 +90,7 @@
 	return replay(tree, changes)
 }
 
-// Fetch answers like a peer that has the newest accepted tree.
+// Fetch answers a request like a peer that has the newest accepted tree.
 func (s *Store) Fetch(ctx context.Context, request FetchRequest) (FetchAnswer, error) {
 	tree, err := s.Load(ctx)
 	if err != nil {
@@ -106,7 +106,7 @@
 	return Answer(tree, changes, request), nil
 }
 
-// readHead reads the newest revision, consistently.
+// readHead reads the newest revision with a consistent read.
 func (s *Store) readHead(ctx context.Context) (head, error) {
 	record, err := s.table.Get(ctx, headKey, true)
 	if errors.Is(err, platform.ErrNotFound) {
@@ -122,8 +122,7 @@
 	return newest, nil
 }
 
-// loadAt returns the accepted tree at a revision, or a newer one that was
-// accepted meanwhile.
+// loadAt returns the accepted tree at a revision, or a newer one that has been accepted in the meantime.
 func (s *Store) loadAt(ctx context.Context, revision Revision) (*Tree, error) {
 	tree := s.known()
 	if tree.Revision()+SnapshotEvery < revision {
@@ -148,7 +147,7 @@
 	return tree, nil
 }
 
-// changes reads the accepted changes after one revision up to another.
+// changes reads the accepted changes after revision from up to revision to.
 func (s *Store) changes(ctx context.Context, from, to Revision) ([]Change, error) {
 	changes := make([]Change, 0, to-from)
 	for revision := from + 1; revision <= to; revision++ {
@@ -165,8 +164,8 @@
 	return changes, nil
 }
 
-// saveSnapshot writes the tree to the object store if the last snapshot is old.
-// A failure is made good by the next commit.
+// saveSnapshot writes the tree to the object store if a snapshot is due. If that fails, the next commit
+// tries again.
 func (s *Store) saveSnapshot(ctx context.Context, tree *Tree) {
 	s.mutex.Lock()
 	due := tree.Revision() >= s.snapshot+SnapshotEvery
@@ -190,7 +189,7 @@
 	return s.newest
 }
 
-// keep remembers the tree if it is newer than what is known.
+// keep stores the tree as the newest one if its revision is higher.
 func (s *Store) keep(tree *Tree) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -199,7 +198,7 @@
 	}
 }
 
-// noteSnapshot remembers the newest snapshot.
+// noteSnapshot records the revision of a snapshot.
 func (s *Store) noteSnapshot(revision Revision) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/pkg/tree/store_records.go
+++ b/pkg/tree/store_records.go
@@ -12,7 +12,7 @@
 	"martenwheel.dev/pkg/platform"
 )
 
-// Keys of the table service and names of the object store.
+// Keys of the table service and names of the object store. All but headKey are prefixes.
 const (
 	headKey        = "tree/head"
 	changePrefix   = "tree/change/"
@@ -20,15 +20,15 @@
 	snapshotPrefix = "tree/snapshot/"
 )
 
-// head is the record that all commits are conditional on.
+// head is the record with the newest revision. Every commit is conditional on its version.
 type head struct {
 	Revision Revision `json:"revision"`
 	ChangeID string   `json:"change_id"`
 
-	version uint64 // of the record; zero if there is none yet
+	version uint64 // of the record; zero: no record yet
 }
 
-// checkChange checks what identifies a change.
+// checkChange validates the ID and the author of a change.
 func checkChange(change Change) error {
 	var found findings.List
 	if change.ID == "" || len(change.ID) > maxIDBytes {
@@ -40,14 +40,14 @@
 	return found.Err()
 }
 
-// receipt is the record by which a change finds out that it was accepted.
+// receipt is the record, stored under the ID of a change, that the change was accepted.
 type receipt struct {
 	Revision Revision `json:"revision"`
-	Edits    string   `json:"edits"` // their digest
+	Edits    string   `json:"edits"` // digest of the edits
 }
 
-// makeTransaction returns the conditional write of a change. Its token is
-// shorter than what table services allow, and another one at another revision.
+// makeTransaction returns the conditional write of a change. Its token fits the limit of table services and
+// differs between revisions.
 func makeTransaction(change Change, before head) (platform.Transaction, error) {
 	record, err := encodeChange(change)
 	if err != nil {
@@ -76,8 +76,8 @@
 	}, nil
 }
 
-// encodeChange returns the record of an accepted change, compressed. The error
-// has a finding if it is too large for a record.
+// encodeChange returns the compressed record of an accepted change. The error contains a finding if the
+// record is too large.
 func encodeChange(change Change) ([]byte, error) {
 	data, err := json.Marshal(change)
 	if err != nil {
@@ -95,7 +95,7 @@
 	return record, nil
 }
 
-// decodeChange reads what encodeChange wrote.
+// decodeChange reads the output of encodeChange.
 func decodeChange(record []byte) (Change, error) {
 	data, err := decompress(record)
 	if err != nil {
@@ -105,11 +105,11 @@
 	return change, errors.Wrap(json.Unmarshal(data, &change), "decode change")
 }
 
-// digestEdits identifies the edits of a change.
+// digestEdits returns a hash that identifies the edits of a change.
 func digestEdits(edits []Edit) string {
 	data, err := json.Marshal(edits)
 	if err != nil {
-		panic(errors.WithMessage(err, "edits are plain values"))
+		panic(errors.WithMessage(err, "encode edits"))
 	}
 	return digestBytes(data)
 }
@@ -120,12 +120,12 @@
 	return hex.EncodeToString(hash[:16])
 }
 
-// changeKey is the key of the change that led to revision; keys sort by it.
+// changeKey returns the key of the change that led to revision. Keys sort by revision.
 func changeKey(revision Revision) string {
 	return fmt.Sprintf("%s%020d", changePrefix, revision)
 }
 
-// snapshotName is the name of the snapshot at revision; names sort by it.
+// snapshotName returns the name of the snapshot at revision. Names sort by revision.
 func snapshotName(revision Revision) string {
 	return fmt.Sprintf("%s%020d", snapshotPrefix, revision)
 }
