--- a/pkg/tree/store_test.go
+++ b/pkg/tree/store_test.go
@@ -13,7 +13,7 @@
 	"martenwheel.dev/pkg/platform"
 )
 
-// keepAlive is a change of one setting of a service.
+// keepAlive returns a change of one setting of a service.
 func keepAlive(id, service, value string, base Revision) Change {
 	return Change{ID: id, Author: id, Base: base, Edits: []Edit{{Path: Path("/" + service), Key: "keep_alive", Value: value}}}
 }
@@ -62,19 +62,19 @@
 				t.Fatalf("got %v, want %v", err, test.want)
 			}
 			if err == nil && revision != 1 {
-				t.Fatalf("accepted as %d, want 1", revision)
+				t.Fatalf("accepted as revision %d, want 1", revision)
 			}
 			if errors.Is(err, platform.ErrUnavailable) && table.accepted() != 0 {
-				t.Fatal("told that nothing was written, but it was")
+				t.Fatal("Commit returned ErrUnavailable, but the change was written")
 			}
 
 			table.heal()
 			other := newFakeStore(table, objects)
 			if again := mustCommit(t, other, change); again != 1 {
-				t.Errorf("the repeat was accepted as %d, want 1", again)
+				t.Errorf("the repeated change was accepted as revision %d, want 1", again)
 			}
 			if table.accepted() != 1 {
-				t.Errorf("%d changes are accepted, want 1", table.accepted())
+				t.Errorf("%d changes were accepted, want 1", table.accepted())
 			}
 		})
 	}
@@ -91,7 +91,7 @@
 	mustCommit(t, store, keepAlive("last", "assistant", "1h", 0))
 	snapshot, err := store.LoadSnapshot(context.Background())
 	if err != nil || snapshot.Revision() != SnapshotEvery+2 {
-		t.Fatalf("the missed snapshot was not made good: %v", err)
+		t.Fatalf("the snapshot that failed was not written by the next commit: %v", err)
 	}
 }
 
@@ -133,7 +133,7 @@
 					t.Fatalf("got %+v, want %+v", conflict, test.conflict)
 				}
 				if test.conflict == nil && revision != 3 {
-					t.Fatalf("accepted as %d, %v, want 3", revision, err)
+					t.Fatalf("accepted as revision %d, %v, want 3", revision, err)
 				}
 			})
 		}
@@ -169,16 +169,16 @@
 	}
 	table.heal()
 	store := newFakeStore(table, objects)
-	mustCommit(t, store, keepAlive("fast", "assistant", "7m", 0)) // now the late one arrives
+	mustCommit(t, store, keepAlive("fast", "assistant", "7m", 0)) // then the late commit arrives
 	tree, err := newFakeStore(table, objects).Load(context.Background())
 	if err != nil || tree.Revision() != 1 {
 		t.Fatalf("got %v", err)
 	}
 	if settings, _ := tree.Resolve("/assistant"); settings.KeepAlive.Minutes() != 7 {
-		t.Errorf("keep_alive is %s", settings.KeepAlive)
+		t.Errorf("keep_alive is %s, want 7m", settings.KeepAlive)
 	}
 	if revision := mustCommit(t, store, slow); revision != 2 {
-		t.Errorf("the repeat of the late change is revision %d, want 2", revision)
+		t.Errorf("the repeated late change was accepted as revision %d, want 2", revision)
 	}
 }
 
@@ -194,7 +194,7 @@
 				table.afterFirstGet = repeat
 			}
 			if revision := mustCommit(t, newFakeStore(table, objects), change); revision != 1 || table.accepted() != 1 {
-				t.Errorf("accepted as %d, %d changes in all", revision, table.accepted())
+				t.Errorf("accepted as revision %d, %d changes in total, want 1 and 1", revision, table.accepted())
 			}
 		})
 	}
@@ -304,7 +304,7 @@
 	}
 }
 
-// fixedSource answers like a peer with that tree; nil is out of reach.
+// fixedSource answers like a peer with the given tree. With a nil tree it is unreachable.
 type fixedSource struct{ tree *Tree }
 
 func (s fixedSource) Fetch(_ context.Context, request FetchRequest) (FetchAnswer, error) {
--- a/pkg/tree/tree.go
+++ b/pkg/tree/tree.go
@@ -11,27 +11,27 @@
 	"martenwheel.dev/pkg/api"
 )
 
-// ErrNoSuchNode means that the tree has no node at a path.
+// ErrNoSuchNode means that the tree has no node at the given path.
 var ErrNoSuchNode = errors.New("tree: no such node")
 
-// maxNodes bounds the size of a tree.
+// maxNodes is the maximum number of nodes of a tree.
 const maxNodes = 100_000
 
-// Tree is one immutable revision of the settings. Safe for concurrent use.
+// Tree is one immutable revision of the settings tree. Safe for concurrent use.
 type Tree struct {
-	revision Revision
-	nodes    []*node               // sorted by path; the root is the first
-	named    []*node               // the models and adapters, sorted by name
-	byName   map[api.ModelName]int // places in named
-	services []string              // sorted
+	revision   Revision
+	nodes      []*node               // sorted by path; the first is the root
+	modelNodes []*node               // nodes of models and adapters, sorted by name
+	modelIndex map[api.ModelName]int // indexes into modelNodes
+	services   []string              // sorted
 
-	// Worked out when first asked for.
+	// Computed on first use.
 	models func() []Model
 	digest func() string
 	packed func() ([]byte, error)
 }
 
-// Empty returns the tree in which nothing is set, at revision 0.
+// Empty returns the tree without any overrides, at revision 0.
 func Empty() *Tree {
 	tree, err := build(0, map[Path]overrides{RootPath: {}}, nil)
 	if err != nil {
@@ -45,21 +45,21 @@
 	return t.revision
 }
 
-// WithRevision returns the same settings under another revision.
+// WithRevision returns a tree with the same settings and another revision.
 func (t *Tree) WithRevision(revision Revision) *Tree {
 	changed := *t
 	changed.revision = revision
-	changed.packed = sync.OnceValues(changed.pack) // it tells the revision
+	changed.packed = sync.OnceValues(changed.pack) // contains the revision
 	return &changed
 }
 
-// Model returns the model or adapter that callers know by name.
+// Model returns the model or adapter with the given name.
 func (t *Tree) Model(name api.ModelName) (Model, bool) {
-	place, found := t.byName[name]
+	index, found := t.modelIndex[name]
 	if !found {
 		return Model{}, false
 	}
-	return t.named[place].model, true
+	return t.modelNodes[index].model, true
 }
 
 // Models returns all models and adapters sorted by name. The caller must not
@@ -82,8 +82,8 @@
 // Paths returns the paths of all nodes, sorted.
 func (t *Tree) Paths() []Path {
 	paths := make([]Path, len(t.nodes))
-	for place, n := range t.nodes {
-		paths[place] = n.path
+	for index, n := range t.nodes {
+		paths[index] = n.path
 	}
 	return paths
 }
@@ -97,8 +97,8 @@
 	return n.settings(), nil
 }
 
-// Explain tells for each key that may be set at path or above where its
-// effective value comes from, in the order of Keys.
+// Explain returns for each key, in the order of Keys, its effective value at path and where the value is
+// set.
 func (t *Tree) Explain(path Path) ([]Origin, error) {
 	settings, err := t.Resolve(path)
 	if err != nil {
@@ -111,8 +111,8 @@
 	return origins, nil
 }
 
-// origin returns the path at which the effective value of key at path is set,
-// or "" if it is the built-in default.
+// origin returns the path at which the effective value of key at path is set, or "" if the value is the
+// built-in default.
 func (t *Tree) origin(path Path, key string) Path {
 	if path.Level() == LevelAdapter {
 		if _, set := t.find(path).own[key]; set {
@@ -134,13 +134,13 @@
 	return ""
 }
 
-// Digest returns a hash of the settings, the same for equal trees whatever
-// their revision.
+// Digest returns a hash of the settings. Trees with equal settings have the same digest whatever their
+// revision.
 func (t *Tree) Digest() string {
 	return t.digest()
 }
 
-// own returns the overrides of the node at path, if there is one.
+// own returns the overrides of the node at path, and whether the node exists.
 func (t *Tree) own(path Path) (overrides, bool) {
 	if n := t.find(path); n != nil {
 		return n.own, true
@@ -148,19 +148,19 @@
 	return nil, false
 }
 
-// find returns the node at path, or nil.
+// find returns the node at path, or nil if there is none.
 func (t *Tree) find(path Path) *node {
-	if place, found := search(t.nodes, path); found {
-		return t.nodes[place]
+	if index, found := search(t.nodes, path); found {
+		return t.nodes[index]
 	}
 	return nil
 }
 
-// listModels returns a new list of all models and adapters sorted by name.
+// listModels returns all models and adapters sorted by name, in a new slice.
 func (t *Tree) listModels() []Model {
-	models := make([]Model, len(t.named))
-	for place, n := range t.named {
-		models[place] = n.model
+	models := make([]Model, len(t.modelNodes))
+	for index, n := range t.modelNodes {
+		models[index] = n.model
 	}
 	return models
 }
@@ -169,20 +169,20 @@
 func (t *Tree) computeDigest() string {
 	hash := sha256.New()
 	for _, n := range t.nodes {
-		hash.Write(n.text)
+		hash.Write(n.digestInput)
 	}
 	return hex.EncodeToString(hash.Sum(nil)[:16])
 }
 
-// place names a key of a node in a finding; without a key it names the node.
-func place(path Path, key string) string {
+// findingPlace returns the place of a finding: a node, or a key of a node if key is not empty.
+func findingPlace(path Path, key string) string {
 	if key == "" {
 		return string(path)
 	}
 	return string(path) + " " + key
 }
 
-// sortedKeys returns the keys of a map in order.
+// sortedKeys returns the keys of a map, sorted.
 func sortedKeys[K ~string, V any](values map[K]V) []K {
 	keys := make([]K, 0, len(values))
 	for key := range values {
--- a/pkg/tree/yaml.go
+++ b/pkg/tree/yaml.go
@@ -12,13 +12,13 @@
 	"martenwheel.dev/pkg/settings/document"
 )
 
-// MaxTreeBytes bounds the text of a tree.
+// MaxTreeBytes is the maximum size of the YAML text of a tree.
 const MaxTreeBytes = 32 << 20
 
-// revisionKey is the entry of the text's root that holds the revision.
+// revisionKey is the root key of the YAML text that holds the revision.
 const revisionKey = "revision"
 
-// childrenKeys names, by level, the entry that holds the nodes one level below.
+// childrenKeys maps each level to the key that holds the nodes one level below.
 var childrenKeys = map[Level]string{
 	LevelRoot:    "services",
 	LevelService: "families",
@@ -26,18 +26,17 @@
 	LevelModel:   "adapters",
 }
 
-// Parse reads a tree from YAML. The error carries all findings with line, path
-// and key.
+// Parse parses a tree from YAML. The error contains all findings with line, path and key.
 func Parse(data []byte) (*Tree, error) {
 	return ParseNamed("line", data)
 }
 
-// ParseNamed is Parse for a file; its findings begin with the file's name.
+// ParseNamed is Parse for a file. Its findings begin with the name of the file.
 func ParseNamed(name string, data []byte) (*Tree, error) {
 	reader := reader{
 		name:    name,
 		nodes:   map[Path]overrides{RootPath: {}},
-		refused: make(faults),
+		refused: make(refusedKeys),
 		lines:   map[string]int{string(RootPath): 1},
 	}
 	if len(data) > MaxTreeBytes {
@@ -55,17 +54,17 @@
 	return reader.finish()
 }
 
-// reader turns a YAML document into the nodes of a tree.
+// reader converts a YAML document into the nodes of a tree.
 type reader struct {
 	name     string
 	revision Revision
 	nodes    map[Path]overrides
-	refused  faults
+	refused  refusedKeys
 	lines    map[string]int // by path, and by path and key
 	found    findings.List
 }
 
-// finish builds the tree and gives its findings their lines.
+// finish builds the tree and adds line numbers to the findings.
 func (r *reader) finish() (*Tree, error) {
 	tree, err := build(r.revision, r.nodes, r.refused)
 	var reported *findings.Error
@@ -80,18 +79,18 @@
 	return tree, nil
 }
 
-// locate puts the file and line before the place of a finding.
+// locate prepends the file and line to the place of a finding.
 func (r *reader) locate(place string) string {
 	line, known := r.lines[place]
 	if !known {
 		path, _, _ := bytes.Cut([]byte(place), []byte(" "))
 		line = r.lines[string(path)]
 	}
-	return r.at(line, place)
+	return r.formatPlace(line, place)
 }
 
-// at formats a place of the file.
-func (r *reader) at(line int, place string) string {
+// formatPlace formats a place in the file.
+func (r *reader) formatPlace(line int, place string) string {
 	separator := ":"
 	if r.name == "line" {
 		separator = " "
@@ -116,9 +115,9 @@
 
 // readChildren reads the nodes one level below path.
 func (r *reader) readChildren(path Path, group string, node *yaml.Node) {
-	r.eachEntry(place(path, group), node, func(key, value *yaml.Node) {
+	r.eachEntry(findingPlace(path, group), node, func(key, value *yaml.Node) {
 		if err := checkName(key.Value); err != nil {
-			r.found.Addf(r.at(key.Line, place(path, group)), "%v", err)
+			r.found.Addf(r.formatPlace(key.Line, findingPlace(path, group)), "%v", err)
 			return
 		}
 		child := path.Child(key.Value)
@@ -131,12 +130,12 @@
 // readRevision reads the revision of the tree.
 func (r *reader) readRevision(path Path, value *yaml.Node) {
 	if path != RootPath {
-		r.found.Addf(r.at(value.Line, place(path, revisionKey)), "stands only at the root of the file")
+		r.found.Addf(r.formatPlace(value.Line, findingPlace(path, revisionKey)), "stands only at the root of the file")
 		return
 	}
 	revision, err := strconv.ParseUint(value.Value, 10, 64)
 	if err != nil {
-		r.found.Addf(r.at(value.Line, place(path, revisionKey)), "%q is no revision", value.Value)
+		r.found.Addf(r.formatPlace(value.Line, findingPlace(path, revisionKey)), "%q is no revision", value.Value)
 		return
 	}
 	r.revision = Revision(revision)
@@ -144,45 +143,45 @@
 
 // readSetting reads one setting of the node at path.
 func (r *reader) readSetting(path Path, key, value *yaml.Node) {
-	here := place(path, key.Value)
+	here := findingPlace(path, key.Value)
 	r.lines[here] = value.Line
 	if value.Kind != yaml.ScalarNode || value.Tag == "!!null" {
-		r.refused.note(path, key.Value)
+		r.refused.add(path, key.Value)
 		if _, known := keysByName[key.Value]; !known {
-			r.found.Addf(r.at(key.Line, here), "%s", unknownKey(path.Level(), key.Value))
+			r.found.Addf(r.formatPlace(key.Line, here), "%s", unknownKey(path.Level(), key.Value))
 			return
 		}
-		r.found.Addf(r.at(value.Line, here), "must be a single value")
+		r.found.Addf(r.formatPlace(value.Line, here), "must be a single value")
 		return
 	}
 	canonical, err := checkSetting(path.Level(), key.Value, value.Value)
 	if err != nil {
-		r.refused.note(path, key.Value)
-		r.found.Addf(r.at(value.Line, here), "%v", err)
+		r.refused.add(path, key.Value)
+		r.found.Addf(r.formatPlace(value.Line, here), "%v", err)
 		return
 	}
 	r.nodes[path][key.Value] = canonical
 }
 
-// eachEntry calls visit for each entry of a mapping and reports keys that
-// stand twice. An empty node is an empty mapping.
+// eachEntry calls visit for each entry of a mapping and reports duplicate keys. It treats an empty node as
+// an empty mapping.
 func (r *reader) eachEntry(here string, node *yaml.Node, visit func(key, value *yaml.Node)) {
 	if node.Kind == yaml.ScalarNode && node.Tag == "!!null" {
 		return
 	}
 	if node.Kind != yaml.MappingNode {
-		r.found.Addf(r.at(node.Line, here), "must be a mapping, without aliases")
+		r.found.Addf(r.formatPlace(node.Line, here), "must be a mapping, without aliases")
 		return
 	}
 	seen := make(map[string]bool, len(node.Content)/2)
 	for index := 0; index+1 < len(node.Content); index += 2 {
 		key, value := node.Content[index], node.Content[index+1]
 		if key.Kind != yaml.ScalarNode {
-			r.found.Addf(r.at(key.Line, here), "keys must be plain text")
+			r.found.Addf(r.formatPlace(key.Line, here), "keys must be plain text")
 			continue
 		}
 		if seen[key.Value] {
-			r.found.Addf(r.at(key.Line, here), "%q stands twice", key.Value)
+			r.found.Addf(r.formatPlace(key.Line, here), "%q stands twice", key.Value)
 			continue
 		}
 		seen[key.Value] = true
@@ -190,8 +189,7 @@
 	}
 }
 
-// checkSetting checks that key may be set to text at a node of the level and
-// returns the canonical text.
+// checkSetting checks that the key may be set to text at the level, and returns the canonical text.
 func checkSetting(level Level, name, text string) (string, error) {
 	key, known := keysByName[name]
 	if !known {
@@ -203,7 +201,7 @@
 	return key.Parse(text)
 }
 
-// unknownKey says what may stand in place of an unknown key.
+// unknownKey returns the message for an unknown key, with the key that holds child nodes at the level.
 func unknownKey(level Level, name string) string {
 	if children, nested := childrenKeys[level]; nested {
 		return fmt.Sprintf("unknown key %q; nodes below a %s stand under %q", name, level, children)
@@ -211,7 +209,7 @@
 	return fmt.Sprintf("unknown key %q", name)
 }
 
-// joinLevels lists levels by name.
+// joinLevels returns the names of levels, separated by commas.
 func joinLevels(levels []Level) string {
 	text := ""
 	for index, level := range levels {
@@ -223,7 +221,7 @@
 	return text
 }
 
-// Marshal writes the tree as YAML that Parse reads back, with its revision.
+// Marshal returns the tree with its revision as YAML that Parse can read.
 func (t *Tree) Marshal() []byte {
 	children := make(map[Path][]Path)
 	for _, path := range t.Paths() {
@@ -240,7 +238,7 @@
 	encoder := yaml.NewEncoder(&buffer)
 	encoder.SetIndent(2)
 	if err := encoder.Encode(root); err != nil {
-		panic(errors.WithMessage(err, "a tree of checked names and values can always be written"))
+		panic(errors.WithMessage(err, "encode a validated tree"))
 	}
 	return buffer.Bytes()
 }
@@ -270,7 +268,7 @@
 	return &yaml.Node{Kind: yaml.ScalarNode, Tag: "!!str", Value: text}
 }
 
-// valueNode returns the value of a key: free text as a string, all others bare.
+// valueNode returns the value of a key as a YAML node: free text as a string, others as plain scalars.
 func valueNode(key Key, value string) *yaml.Node {
 	if key.Unit == textUnit {
 		return scalarNode(value)
