--- a/pkg/control/answers.go
+++ b/pkg/control/answers.go
@@ -1,8 +1,8 @@
 package control
 
-// takeOrderAnswer offers an answer to all owners; the one whose order it was knows
-// it by the server and the fence.
-func (m *Machine) takeOrderAnswer(e OrderAnswered) {
+// handleOrderAnswered passes the answer to the owners of all cells. An owner
+// recognises its own order by server and fence and ignores others.
+func (m *Machine) handleOrderAnswered(e OrderAnswered) {
 	for _, name := range m.cellOrder {
 		if owner := m.cells[name].owner; owner != nil {
 			owner.OrderAnswered(m.now, e.Server, e.Order, e.Result, e.Err)
@@ -10,7 +10,7 @@
 	}
 }
 
-func (m *Machine) takeInventory(e InventoryAnswered) {
+func (m *Machine) handleInventoryAnswered(e InventoryAnswered) {
 	for _, name := range m.cellOrder {
 		if owner := m.cells[name].owner; owner != nil {
 			owner.InventoryAnswered(m.now, e.Server, e.Request, e.Inventory, e.Err)
@@ -18,18 +18,18 @@
 	}
 }
 
-func (m *Machine) takeRecord(e RecordRead) {
+func (m *Machine) handleRecordRead(e RecordRead) {
 	for _, name := range m.cellOrder {
 		if c := m.cells[name]; c.recordKey() == e.Key {
-			c.takeRecord(e.Record, e.Err)
+			c.handleRecordRead(e.Record, e.Err)
 		}
 	}
 }
 
-func (m *Machine) takeCommit(e RecordCommitted) {
+func (m *Machine) handleRecordCommitted(e RecordCommitted) {
 	for _, name := range m.cellOrder {
 		if c := m.cells[name]; c.calls.token == e.Transaction.Token {
-			c.takeCommit(e.Err)
+			c.handleRecordCommitted(e.Err)
 		}
 	}
 }
--- a/pkg/control/candidates.go
+++ b/pkg/control/candidates.go
@@ -11,8 +11,9 @@
 	"martenwheel.dev/pkg/membership"
 )
 
-// mostAlive tells whether a majority of the members is alive in the same life.
-func (c *cellControl) mostAlive(members []api.NodeRef) bool {
+// majorityAlive reports whether a majority of the members is alive with the same
+// incarnation.
+func (c *cellControl) majorityAlive(members []api.NodeRef) bool {
 	live := c.machine.liveNodes()
 	count := 0
 	for _, member := range members {
@@ -23,8 +24,8 @@
 	return 2*count > len(members)
 }
 
-// rank is this node's place among the live nodes in an order that differs from
-// cell to cell.
+// rank is this node's position among the live nodes. The order differs from cell
+// to cell.
 func (c *cellControl) rank() int {
 	for index, node := range c.ranked(c.machine.liveNodes()) {
 		if c.machine.isSelf(node) {
@@ -34,7 +35,7 @@
 	return 0
 }
 
-// ranked sorts nodes by a hash of the cell and the node's life.
+// ranked sorts nodes by a hash of the cell name, the node ID and its incarnation.
 func (c *cellControl) ranked(nodes []api.NodeRef) []api.NodeRef {
 	sorted := append([]api.NodeRef(nil), nodes...)
 	sort.Slice(sorted, func(i, j int) bool {
@@ -53,8 +54,8 @@
 	return sum.Sum64()
 }
 
-// chooseMembers returns up to quorum.Size of the nodes: those of first, then
-// others in zones that are not taken yet, then any.
+// chooseMembers returns up to quorum.Size nodes: the given first ones, then nodes
+// in zones that are not used yet, then any others.
 func (c *cellControl) chooseMembers(first, nodes []api.NodeRef) []api.NodeRef {
 	chosen := append([]api.NodeRef(nil), first...)
 	zones := make(map[string]bool)
@@ -77,16 +78,16 @@
 	return chosen
 }
 
-// deadMemory is how long a dead node counts when a node asks itself whether it
-// is the one that is cut off.
-const deadMemory = 10 * time.Minute
+// deadNodeRetention is how long a dead node still counts as known when this node
+// checks whether it is in a minority partition.
+const deadNodeRetention = 10 * time.Minute
 
-// inMinority tells whether less than half of the region's nodes, with those that
-// died lately, are alive.
+// inMinority reports whether fewer than half of the region's known nodes are
+// alive. Nodes that died within deadNodeRetention count as known.
 func (m *Machine) inMinority() bool {
 	known := 0
 	for _, member := range m.membership.Members() {
-		old := member.State == membership.StateDead && m.now.Sub(member.Since) >= deadMemory
+		old := member.State == membership.StateDead && m.now.Sub(member.Since) >= deadNodeRetention
 		if member.Ref.Region == m.config.Self.Region && member.State != membership.StateLeft && !old {
 			known++
 		}
@@ -94,8 +95,9 @@
 	return 2*len(m.liveNodes()) < known
 }
 
-// mostMayLive tells whether a majority of the members is alive or unknown here.
-func (c *cellControl) mostMayLive(members []api.NodeRef) bool {
+// majorityMayBeAlive reports whether a majority of the members is alive or not
+// known to this node.
+func (c *cellControl) majorityMayBeAlive(members []api.NodeRef) bool {
 	known := make(map[api.NodeID]bool)
 	for _, member := range c.machine.membership.Members() {
 		known[member.Ref.ID] = true
--- a/pkg/control/cell/decide.go
+++ b/pkg/control/cell/decide.go
@@ -9,18 +9,18 @@
 	"martenwheel.dev/pkg/tree"
 )
 
-// decisionDue tells whether it is time for the next decision.
+// decisionDue reports whether it is time for the next decision.
 func (o *Owner) decisionDue(now time.Time) bool {
 	return !now.Before(o.decideAt) && now.Sub(o.decidedAt) >= o.config.Timing.DecidePause
 }
 
-// decide asks the policies for their wishes and carries out those that the
-// limits allow.
+// decide asks the policies for actions, carries out those that the limits allow
+// and sends load estimates to the nodes with waiting requests.
 func (o *Owner) decide(now time.Time, sink Sink) {
 	o.decidedAt = now
 	o.decideAt = now.Add(o.config.Timing.DecideInterval)
 	o.queue = o.queue[:0]
-	o.revive(now, sink)
+	o.reviveDraining(now, sink)
 	for _, name := range o.policies() {
 		decider := o.config.Decider(name)
 		if decider == nil {
@@ -31,25 +31,26 @@
 			o.carryOut(now, action, sink)
 		}
 	}
-	o.queueUnwished(now)
-	o.answerDemand(now, sink)
+	o.queueUnrequested(now)
+	o.sendEstimates(now, sink)
 }
 
-// revive takes draining replicas back into service for requests that began to
-// wait meanwhile. A policy does not wish that: it counts them as present.
-func (o *Owner) revive(now time.Time, sink Sink) {
+// reviveDraining returns draining replicas to service if requests started waiting
+// after the drain began. A policy does not ask for that, because it counts
+// draining replicas as present.
+func (o *Owner) reviveDraining(now time.Time, sink Sink) {
 	draining := func(r *replica) bool { return r.phase == phaseDraining }
-	for _, r := range o.moving.sorted(draining) {
+	for _, r := range o.transitioning.sorted(draining) {
 		model, known := o.models[r.intent.Model]
 		if known && !o.hasReady(model.Name) && o.summary(now, model.Name).Waiting > 0 {
-			o.undrain(now, model, sink)
+			o.cancelDrain(now, model, sink)
 		}
 	}
 }
 
-// queueUnwished queues the models with waiting requests that no policy wished
-// to load now, since a policy may hold a wish back until there is a slot.
-func (o *Owner) queueUnwished(now time.Time) {
+// queueUnrequested queues the models with waiting requests that no policy asked
+// to load now, since a policy may delay a load until a slot is free.
+func (o *Owner) queueUnrequested(now time.Time) {
 	queued := make(map[api.ModelName]bool, len(o.queue))
 	for _, load := range o.queue {
 		queued[load.model] = true
@@ -67,7 +68,7 @@
 	}
 }
 
-// servesSoon tells whether a replica of the model is ready or loading.
+// servesSoon reports whether a replica of the model is ready or loading.
 func (o *Owner) servesSoon(model api.ModelName) bool {
 	if o.counts[model] == 0 {
 		return false
@@ -80,7 +81,7 @@
 	return false
 }
 
-// policies returns the policies that the cell's models name, in order.
+// policies returns the sorted names of the policies that the cell's models use.
 func (o *Owner) policies() []string {
 	seen := make(map[string]bool)
 	var names []string
@@ -94,12 +95,13 @@
 	return names
 }
 
-// input is what a policy decides by: the models that name it, and all servers.
+// input returns the input of one policy: the models that use it, and all admitted
+// servers.
 func (o *Owner) input(now time.Time, policyName string) policy.Input {
 	input := policy.Input{LoadSlots: o.allocation.Slots, LoadRate: o.allocation.Rate}
 	replicas := o.replicasByModel()
 	loading := make(map[api.ServerID]int)
-	for _, r := range o.moving {
+	for _, r := range o.transitioning {
 		if r.loading() {
 			loading[r.intent.Server]++
 		}
@@ -117,6 +119,8 @@
 	return input
 }
 
+// replicasByModel returns all replicas grouped by model, each group sorted by
+// server.
 func (o *Owner) replicasByModel() map[api.ModelName][]*replica {
 	byModel := make(map[api.ModelName][]*replica)
 	for _, r := range o.replicas.sorted(anyReplica) {
@@ -125,6 +129,8 @@
 	return byModel
 }
 
+// policyModel returns a model as shown to its policy. Requests in flight are
+// spread evenly over the ready replicas.
 func (o *Owner) policyModel(now time.Time, model tree.Model, replicas []*replica) policy.Model {
 	result := policy.Model{
 		Name:     model.Name,
@@ -153,6 +159,8 @@
 	return result
 }
 
+// policyServer returns a server as shown to policies, with its number of loading
+// replicas.
 func (o *Owner) policyServer(s *server, loading int) policy.Server {
 	shown := policy.Server{
 		ID: s.ID, Zone: s.Zone, CapacityBytes: s.capacityBytes(), Leaving: s.leaving(),
@@ -164,30 +172,32 @@
 	return shown
 }
 
-// carryOut does what a policy wishes as far as the limits allow.
+// carryOut executes a policy's action as far as the limits allow.
 func (o *Owner) carryOut(now time.Time, action policy.Action, sink Sink) {
 	model, known := o.models[action.Model]
 	if !known {
 		return
 	}
 	if action.Kind == policy.ActionUnload {
-		r := o.replicas[key{server: action.Server, model: action.Model}]
+		r := o.replicas[replicaKey{server: action.Server, model: action.Model}]
 		if r != nil && r.phase != phaseInherited {
 			o.startDrain(now, r, action.Reason, sink)
 		}
 		return
 	}
 	if o.config.Unsafe.TrustDecider {
-		if s := o.servers[action.Server]; s != nil && o.replicas[key{server: s.ID, model: model.Name}] == nil {
-			o.intend(now, model, s, action)
+		if s := o.servers[action.Server]; s != nil && o.replicas[replicaKey{server: s.ID, model: model.Name}] == nil {
+			o.beginLoad(now, model, s, action)
 		}
 		return
 	}
 	o.carryOutLoad(now, model, action, sink)
 }
 
+// carryOutLoad loads a model, or queues the load if something prevents it now. A
+// draining replica is returned to service instead of a new load.
 func (o *Owner) carryOutLoad(now time.Time, model tree.Model, action policy.Action, sink Sink) {
-	if o.undrain(now, model, sink) {
+	if o.cancelDrain(now, model, sink) {
 		return
 	}
 	wait := queuedLoad{model: model.Name, urgent: action.Urgent}
@@ -199,7 +209,7 @@
 		o.queue = append(o.queue, wait)
 		return
 	}
-	s, _ := o.place(now, model, action.Server)
+	s, _ := o.choosePlacement(now, model, action.Server)
 	o.loadTokens--
-	o.intend(now, model, s, action)
+	o.beginLoad(now, model, s, action)
 }
--- a/pkg/control/cell/demand.go
+++ b/pkg/control/cell/demand.go
@@ -8,24 +8,24 @@
 	"martenwheel.dev/pkg/policy"
 )
 
-// estimateTolerance is how far an estimate may move before it is sent again.
+// estimateTolerance is the largest change of an estimate that is not sent.
 const estimateTolerance = 500 * time.Millisecond
 
-// demand is what the nodes reported of one model.
+// demand is the demand that the nodes reported for one model.
 type demand struct {
 	reports map[api.NodeID]*report
 	history *policy.History
 }
 
-// report is the last word of one node.
+// report is the last demand report of one node.
 type report struct {
 	node      api.NodeRef
 	demand    api.ModelDemand
 	at        time.Time
-	estimated *api.LoadEstimate // last sent
+	estimated *api.LoadEstimate // last estimate sent to the node
 }
 
-// Reported takes over a node's demand.
+// Reported handles a node's demand report.
 func (o *Owner) Reported(now time.Time, node api.NodeRef, models []api.ModelDemand) {
 	for _, seen := range models {
 		if _, known := o.models[seen.Model]; !known {
@@ -39,13 +39,13 @@
 		if seen.Arrivals > 0 {
 			d.history.Observe(seen.LastArrival)
 		}
-		o.reportedBy(now, d, node, seen)
+		o.updateReport(now, d, node, seen)
 	}
 }
 
-// reportedBy replaces a node's report on a model. A first waiter makes a decision
-// due, and use of the model puts off its unload.
-func (o *Owner) reportedBy(now time.Time, d *demand, node api.NodeRef, seen api.ModelDemand) {
+// updateReport replaces a node's report for a model. The first waiting request
+// triggers a decision, and use of the model postpones its unload.
+func (o *Owner) updateReport(now time.Time, d *demand, node api.NodeRef, seen api.ModelDemand) {
 	previous := d.reports[node.ID]
 	next := &report{node: node, demand: seen, at: now}
 	if previous != nil && previous.demand.Waiting > 0 && now.Sub(previous.at) < o.config.Timing.DemandExpiry {
@@ -64,7 +64,8 @@
 	}
 }
 
-// summary adds up the reports on a model that still count, and forgets others.
+// summary sums up the reports on a model that have not expired. LastArrival
+// includes expired ones.
 func (o *Owner) summary(now time.Time, model api.ModelName) policy.Demand {
 	var sum policy.Demand
 	d := o.demand[model]
@@ -95,7 +96,7 @@
 }
 
 // waitingRequest returns the ID of a request that waits for the model, or "".
-// Among several nodes' it is the least, so that the choice does not vary.
+// With several nodes it is the smallest ID, to keep the choice deterministic.
 func (o *Owner) waitingRequest(model api.ModelName) string {
 	least := ""
 	d := o.demand[model]
@@ -110,11 +111,12 @@
 	return least
 }
 
+// inFlight returns the number of the model's requests in flight on all nodes.
 func (o *Owner) inFlight(now time.Time, model api.ModelName) int {
 	return o.summary(now, model).InFlight
 }
 
-// history returns what is remembered of a model's arrivals.
+// history returns the recorded arrivals of a model.
 func (o *Owner) history(model api.ModelName) *policy.History {
 	if d := o.demand[model]; d != nil {
 		return d.history
@@ -122,18 +124,20 @@
 	return &policy.History{}
 }
 
-// answerDemand tells the nodes with waiting requests when a model that is not
-// ready will be, if they have not been told so.
-func (o *Owner) answerDemand(now time.Time, sink Sink) {
+// sendEstimates sends an estimate of when the model will be ready to the nodes
+// with requests that wait for it, unless they already have it. Models with a
+// ready replica are skipped.
+func (o *Owner) sendEstimates(now time.Time, sink Sink) {
 	for _, name := range o.modelOrder {
 		d := o.demand[name]
 		if d == nil || o.hasReady(name) {
 			continue
 		}
-		o.answerModel(now, name, d, sink)
+		o.sendModelEstimate(now, name, d, sink)
 	}
 }
 
+// hasReady reports whether the model has a ready replica.
 func (o *Owner) hasReady(model api.ModelName) bool {
 	if o.counts[model] == 0 {
 		return false
@@ -146,7 +150,9 @@
 	return false
 }
 
-func (o *Owner) answerModel(now time.Time, model api.ModelName, d *demand, sink Sink) {
+// sendModelEstimate sends one model's estimate to the nodes whose last one
+// differs.
+func (o *Owner) sendModelEstimate(now time.Time, model api.ModelName, d *demand, sink Sink) {
 	var estimate *api.LoadEstimate
 	for _, id := range sortedNodes(d.reports) {
 		r := d.reports[id]
@@ -164,7 +170,7 @@
 	}
 }
 
-// differs tells whether an estimate is worth telling after another one.
+// differs reports whether the change between two estimates is worth sending.
 func differs(a, b api.LoadEstimate) bool {
 	if a.Accepted != b.Accepted || a.Reason != b.Reason {
 		return true
@@ -172,7 +178,7 @@
 	return a.ReadyBy.Sub(b.ReadyBy).Abs() > estimateTolerance
 }
 
-// sortedNodes returns the nodes of some reports in order.
+// sortedNodes returns the sorted IDs of the nodes in reports.
 func sortedNodes(reports map[api.NodeID]*report) []api.NodeID {
 	nodes := make([]api.NodeID, 0, len(reports))
 	for id := range reports {
--- a/pkg/control/cell/estimate.go
+++ b/pkg/control/cell/estimate.go
@@ -8,38 +8,40 @@
 	"martenwheel.dev/pkg/tree"
 )
 
-// Assumptions of estimates.
+// Constants of the load estimates.
 const (
-	defaultLoadTime  = 10 * time.Second // when the settings give none
-	settleTime       = time.Second      // for an unload or a takeover to finish
-	capacityRetry    = 10 * time.Second // when the memory is taken by models in use
-	measuredShare    = 0.3              // weight of a new measurement of a load time
-	progressCredible = 0.1              // progress from which a load's end is extrapolated
+	defaultLoadTime     = 10 * time.Second // when the settings give no load time
+	settleTime          = time.Second      // expected time for an unload or a takeover to finish
+	capacityRetry       = 10 * time.Second // suggested retry delay if models in use take the memory
+	measurementWeight   = 0.3              // weight of a new measurement in the average load time
+	minCredibleProgress = 0.1              // progress from which the end of a load is extrapolated
 )
 
-// waitCause tells why a wished load has not begun.
+// waitCause is the reason why a requested load has not started. The causes are
+// ordered: placement reports the lowest cause among the servers.
 type waitCause uint8
 
 const (
-	waitsForSlot    waitCause = iota + 1 // of the weight store
-	waitsForRoom                         // which an unload under way will make
-	waitsForBase                         // of the adapter
-	waitsForUnload                       // of the model itself
-	waitsForServers                      // to be fenced, or for the newest settings, after a takeover
-	waitsForBackoff                      // after a failed load
-	waitsForRecord                       // of the servers in the table service
-	waitsForMemory                       // which is in use
+	waitsForSlot          waitCause = iota + 1 // a load slot of the weight store
+	waitsForPendingUnload                      // memory that a pending unload will free
+	waitsForBase                               // the base model of the adapter
+	waitsForOwnUnload                          // the unload of a replica of the model itself
+	waitsForServers                            // servers to be fenced, or the newest settings, after a takeover
+	waitsForBackoff                            // the back-off after a failed load
+	waitsForRecord                             // the table service to record the servers
+	waitsForMemory                             // memory, which is in use
 )
 
-// queuedLoad is a wish that waits.
+// queuedLoad is a requested load that cannot start yet.
 type queuedLoad struct {
 	model  api.ModelName
 	urgent bool
 	cause  waitCause
-	until  time.Time // of a back-off
+	until  time.Time // end of the back-off
 }
 
-// loadTime is the expected duration of a load.
+// loadTime returns the expected duration of a load: measured, else from the
+// settings, else the default.
 func (o *Owner) loadTime(model tree.Model) time.Duration {
 	if measured, known := o.loadTimes[model.Name]; known {
 		return measured
@@ -50,19 +52,19 @@
 	return defaultLoadTime
 }
 
-// measureLoad remembers how long a load took.
+// measureLoad updates the moving average of a model's load time.
 func (o *Owner) measureLoad(model api.ModelName, took time.Duration) {
 	known, measured := o.loadTimes[model]
 	if !measured {
 		o.loadTimes[model] = took
 		return
 	}
-	o.loadTimes[model] = known + time.Duration(measuredShare*float64(took-known))
+	o.loadTimes[model] = known + time.Duration(measurementWeight*float64(took-known))
 }
 
 // estimateReady extrapolates the end of a load from its progress.
 func (o *Owner) estimateReady(now time.Time, r *replica, progress float64) {
-	if progress < progressCredible || r.orderedAt.IsZero() {
+	if progress < minCredibleProgress || r.orderedAt.IsZero() {
 		if r.readyBy.Before(now) {
 			r.readyBy = now.Add(settleTime)
 		}
@@ -72,11 +74,11 @@
 	estimate := r.orderedAt.Add(time.Duration(float64(elapsed) / progress))
 	if estimate.Sub(r.readyBy).Abs() > estimateTolerance {
 		r.readyBy = estimate
-		o.changed = true
+		o.viewChanged = true
 	}
 }
 
-// estimate tells when a model that is not ready will be.
+// estimate returns when a model that is not ready will be, or why it will not be.
 func (o *Owner) estimate(now time.Time, name api.ModelName) api.LoadEstimate {
 	estimate := api.LoadEstimate{Model: name, Accepted: true}
 	for _, r := range o.replicasOf(name) {
@@ -101,7 +103,7 @@
 	return refusal(name, capacityRetry, "no server of the cell has room for the model")
 }
 
-// estimateAdapter adds the adapter's own load to that of its base.
+// estimateAdapter adds the adapter's own load time to the estimate for its base.
 func (o *Owner) estimateAdapter(now time.Time, name, base api.ModelName) api.LoadEstimate {
 	estimate := o.estimate(now, base)
 	estimate.Model = name
@@ -111,10 +113,12 @@
 	return estimate
 }
 
+// refusal returns an estimate that rejects the wait and suggests when to retry.
 func refusal(model api.ModelName, retry time.Duration, reason string) api.LoadEstimate {
 	return api.LoadEstimate{Model: model, RetryAfter: retry, Reason: reason}
 }
 
+// estimateQueued returns the estimate for the queued load at index.
 func (o *Owner) estimateQueued(now time.Time, index int) api.LoadEstimate {
 	queued := o.queue[index]
 	model := o.models[queued.model]
@@ -122,7 +126,7 @@
 	switch queued.cause {
 	case waitsForSlot:
 		return accept(queued.model, now.Add(o.slotDelay(now, index)+load))
-	case waitsForRoom, waitsForUnload, waitsForServers:
+	case waitsForPendingUnload, waitsForOwnUnload, waitsForServers:
 		return accept(queued.model, now.Add(o.config.Timing.DrainGrace+settleTime+load))
 	case waitsForBase:
 		base := o.models[model.Base]
@@ -136,12 +140,14 @@
 	}
 }
 
+// accept returns an estimate with the expected time of readiness.
 func accept(model api.ModelName, readyBy time.Time) api.LoadEstimate {
 	return api.LoadEstimate{Model: model, Accepted: true, ReadyBy: readyBy}
 }
 
 // slotDelay estimates how long the queued load at index waits for a slot: until
-// enough loads under way have ended, and for the rate of starts.
+// enough current loads have ended, and at least as long as the rate of load
+// starts requires.
 func (o *Owner) slotDelay(now time.Time, index int) time.Duration {
 	ahead := 0
 	for _, queued := range o.queue[:index] {
@@ -150,7 +156,7 @@
 		}
 	}
 	var ends []time.Time
-	for _, r := range o.moving {
+	for _, r := range o.transitioning {
 		if r.loading() {
 			ends = append(ends, r.readyBy)
 		}
--- a/pkg/control/cell/excess.go
+++ b/pkg/control/cell/excess.go
@@ -9,11 +9,11 @@
 	"martenwheel.dev/pkg/api"
 )
 
-// drainExcess drains replicas beyond a lowered limit, of models that are no
-// longer in the settings, on leaving servers, and of outdated versions.
+// drainExcess drains replicas above the replica limit, of models missing in the
+// settings, on leaving servers, and of outdated versions.
 func (o *Owner) drainExcess(now time.Time, sink Sink) {
 	live := make(map[api.ModelName][]*replica)
-	settled := func(r *replica) bool { return !r.leavingMemory() && r.phase != phaseInherited }
+	settled := func(r *replica) bool { return !r.isBeingRemoved() && r.phase != phaseInherited }
 	for _, r := range o.replicas.sorted(settled) {
 		if s := o.servers[r.intent.Server]; s != nil && s.leaving() {
 			o.startDrain(now, r, "server leaving", sink)
@@ -23,17 +23,18 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(live)) {
 		replicas := live[name]
-		settings := o.models[name].Settings // none: no replica is allowed
+		settings := o.models[name].Settings // zero value for an unknown model: no replica is allowed
 		if excess := len(replicas) - settings.MaxReplicas; excess > 0 {
-			o.drainFirst(now, replicas, excess, sink)
+			o.drainLeastUsed(now, replicas, excess, sink)
 			continue
 		}
 		o.drainOutdated(now, replicas, settings.Version, sink)
 	}
 }
 
-// drainFirst drains the replicas that are missed least.
-func (o *Owner) drainFirst(now time.Time, replicas []*replica, count int, sink Sink) {
+// drainLeastUsed drains count replicas: first those in the earliest phase, then
+// those used least recently.
+func (o *Owner) drainLeastUsed(now time.Time, replicas []*replica, count int, sink Sink) {
 	sort.Slice(replicas, func(i, j int) bool {
 		a, b := replicas[i], replicas[j]
 		if a.phase != b.phase {
@@ -49,8 +50,8 @@
 	}
 }
 
-// drainOutdated drains one replica of another version than the settings name,
-// once all others are ready.
+// drainOutdated drains one replica whose version differs from the settings, once
+// all replicas are ready.
 func (o *Owner) drainOutdated(now time.Time, replicas []*replica, version string, sink Sink) {
 	var outdated *replica
 	for _, r := range replicas {
--- a/pkg/control/cell/inventory.go
+++ b/pkg/control/cell/inventory.go
@@ -8,8 +8,8 @@
 	"martenwheel.dev/pkg/engine"
 )
 
-// InventoryAnswered takes over an engine's inventory. Answers other than to the
-// inventory under way are too late to be used.
+// InventoryAnswered handles the answer to an inventory request. Answers to any
+// other request than the pending one are ignored as outdated.
 func (o *Owner) InventoryAnswered(now time.Time, id api.ServerID, request engine.InventoryRequest, inventory engine.Inventory, err error) {
 	s, known := o.servers[id]
 	if !known || s.operation == nil || s.operation.order != nil || s.operation.fence != request.Fence {
@@ -25,31 +25,32 @@
 		o.deposedBy = inventory.Fence.Term()
 		return
 	}
-	o.takeInventory(now, s, inventory, sentAt)
+	o.applyInventory(now, s, inventory, sentAt)
 }
 
-// takeInventory brings the owner's knowledge in line with an inventory that was
-// read at its own fence: no order given before can take effect any more.
-func (o *Owner) takeInventory(now time.Time, s *server, inventory engine.Inventory, sentAt time.Time) {
+// applyInventory updates the owner's state from an inventory that was read with
+// the owner's own fence. No order given earlier can take effect any more.
+func (o *Owner) applyInventory(now time.Time, s *server, inventory engine.Inventory, sentAt time.Time) {
 	first := !s.fenced
-	if first || !s.reachable || s.engineLeaving != inventory.Leaving || s.capacity != inventory.CapacityBytes {
-		o.news()
+	if first || !s.reachable || s.engineLeaving != inventory.Leaving || s.reportedCapacity != inventory.CapacityBytes {
+		o.noteChange()
 	}
 	s.fenced, s.reachable, s.failures = true, true, 0
 	s.lastContact = sentAt
 	if s.instance != inventory.Instance {
 		s.instance, s.instanceAt = inventory.Instance, now
 	}
-	s.capacity, s.engineLeaving = inventory.CapacityBytes, inventory.Leaving
+	s.reportedCapacity, s.engineLeaving = inventory.CapacityBytes, inventory.Leaving
 	s.cached = cachedCheckpoints(inventory.Cached)
-	o.settleReplicas(now, s, inventory)
+	o.reconcileReplicas(now, s, inventory)
 	if s.Unknown {
 		s.Unknown = false
-		o.dirty = true
+		o.dataChanged = true
 	}
 	s.pollAt = now.Add(o.pollInterval(s.ID))
 }
 
+// cachedCheckpoints returns the cache tier of each cached checkpoint.
 func cachedCheckpoints(cached []engine.CachedCheckpoint) map[string]engine.CacheTier {
 	tiers := make(map[string]engine.CacheTier, len(cached))
 	for _, checkpoint := range cached {
@@ -58,9 +59,9 @@
 	return tiers
 }
 
-// pollInterval is the time until the next inventory of a server.
+// pollInterval returns the time until the next inventory of a server.
 func (o *Owner) pollInterval(id api.ServerID) time.Duration {
-	for _, r := range o.moving {
+	for _, r := range o.transitioning {
 		if r.intent.Server == id && r.phase != phaseDraining {
 			return o.config.Timing.BusyInterval
 		}
@@ -68,8 +69,8 @@
 	return o.config.Timing.InventoryInterval
 }
 
-// settleReplicas matches the items of an inventory with the replicas.
-func (o *Owner) settleReplicas(now time.Time, s *server, inventory engine.Inventory) {
+// reconcileReplicas matches the items of an inventory with the replicas.
+func (o *Owner) reconcileReplicas(now time.Time, s *server, inventory engine.Inventory) {
 	items := make(map[api.ModelName]engine.Item, len(inventory.Items))
 	for _, item := range inventory.Items {
 		items[item.Model] = item
@@ -78,51 +79,51 @@
 		item, present := items[r.intent.Model]
 		switch {
 		case present && item.State != engine.ItemFailed:
-			o.showItem(now, r, item)
+			o.applyItem(now, r, item)
 		case r.phase == phaseIntended && r.intent.Instance == inventory.Instance:
-			// Not ordered yet.
+			// Its load has not been ordered yet.
 		default:
-			o.gone(now, s, r, present)
+			o.removeMissing(now, s, r, present)
 		}
 		delete(items, r.intent.Model)
 	}
 	for _, item := range inventory.Items {
 		if _, unexpected := items[item.Model]; unexpected && item.State != engine.ItemFailed {
-			o.adopt(now, s, item)
+			o.adoptItem(now, s, item)
 		}
 	}
 }
 
-// showItem takes over the state that the engine shows for a replica.
-func (o *Owner) showItem(now time.Time, r *replica, item engine.Item) {
-	o.grow(r, item.MemoryBytes)
+// applyItem updates a replica from the item that the engine reports for it.
+func (o *Owner) applyItem(now time.Time, r *replica, item engine.Item) {
+	o.raiseReservation(r, item.MemoryBytes)
 	before := r.state()
-	r.doubt, r.serving = false, false
+	r.outcomeUnknown, r.wasReady = false, false
 	if r.intent.OrderID != item.OrderID && item.OrderID != "" {
 		r.intent.OrderID = item.OrderID
-		r.committed = true // it is loaded: nothing is left to order
-		o.dirty = true
+		r.committed = true // the model is loaded, so there is nothing left to order
+		o.dataChanged = true
 	}
 	switch item.State {
 	case engine.ItemLoading:
-		if !r.leavingMemory() {
-			o.enter(now, r, phaseLoading)
+		if !r.isBeingRemoved() {
+			o.setPhase(now, r, phaseLoading)
 			o.estimateReady(now, r, item.Progress)
 		}
 	case engine.ItemReady:
-		if !r.leavingMemory() {
+		if !r.isBeingRemoved() {
 			o.becomeReady(now, r)
 		}
 	case engine.ItemUnloading:
-		o.enter(now, r, phaseUnloading)
+		o.setPhase(now, r, phaseUnloading)
 		r.retryAt = now.Add(o.config.Timing.UnloadRetry)
 	}
 	if r.state() != before {
-		o.news()
+		o.noteChange()
 	}
 }
 
-// becomeReady ends a load.
+// becomeReady completes a load.
 func (o *Owner) becomeReady(now time.Time, r *replica) {
 	if r.phase == phaseReady {
 		return
@@ -131,22 +132,22 @@
 		o.measureLoad(r.intent.Model, now.Sub(r.orderedAt))
 	}
 	delete(o.failures, r.intent.Model)
-	o.enter(now, r, phaseReady)
+	o.setPhase(now, r, phaseReady)
 	r.lastUse = now
-	o.news()
+	o.noteChange()
 }
 
-// gone drops a replica that its engine does not hold, and tells a failed load
-// from a finished unload.
-func (o *Owner) gone(now time.Time, s *server, r *replica, failed bool) {
+// removeMissing drops a replica that its engine does not hold, or holds as
+// failed, and records a failed load unless the replica was being unloaded.
+func (o *Owner) removeMissing(now time.Time, s *server, r *replica, failed bool) {
 	if failed || r.phase == phaseOrdered || r.phase == phaseLoading {
 		o.loadFailed(now, s, r, failed)
 	}
 	o.drop(now, r)
 }
 
-// adopt counts a model that nobody of this group is known to have ordered.
-func (o *Owner) adopt(now time.Time, s *server, item engine.Item) {
+// adoptItem counts a model that an engine holds without a known order.
+func (o *Owner) adoptItem(now time.Time, s *server, item engine.Item) {
 	r := &replica{
 		intent: quorum.Intent{
 			OrderID: item.OrderID, Server: s.ID, Model: item.Model, Base: item.Base,
@@ -160,5 +161,5 @@
 		r.intent.Bytes = max(item.MemoryBytes, replicaBytes(model))
 	}
 	o.addReplica(r)
-	o.showItem(now, r, item)
+	o.applyItem(now, r, item)
 }
--- a/pkg/control/cell/machines.go
+++ b/pkg/control/cell/machines.go
@@ -8,8 +8,8 @@
 	"martenwheel.dev/pkg/platform"
 )
 
-// Listed takes over a list of machines; those of other cells have been left
-// out. An older list than the last one is ignored.
+// Listed handles a machine list that was reduced to this cell's machines. A list
+// older than the last one is ignored.
 func (o *Owner) Listed(now time.Time, list platform.MachineList) {
 	if list.Version < o.listVersion {
 		return
@@ -32,7 +32,7 @@
 	}
 }
 
-// machineListed takes over a live or leaving machine.
+// machineListed handles a live or leaving machine.
 func (o *Owner) machineListed(now time.Time, machine platform.Machine, version uint64) {
 	id := api.ServerID(machine.ID)
 	s, known := o.servers[id]
@@ -45,30 +45,30 @@
 		o.serverOrder = nil
 	}
 	if known && s.machineInstance != "" && s.machineInstance != machine.Instance {
-		s.pollBy(now) // replaced: the engine's instance tells what it holds
+		s.pollNoLaterThan(now) // the machine was replaced; the engine's instance shows what it holds
 	}
 	changed := s.Address != machine.Address || s.Zone != machine.Zone || s.MemoryBytes != machine.MemoryBytes
 	if changed || s.listLeaving != (machine.State == platform.MachineLeaving) {
-		o.news()
+		o.noteChange()
 	}
 	if changed && s.admitted {
-		o.dirty = true
+		o.dataChanged = true
 	}
 	s.Address, s.Zone, s.MemoryBytes = machine.Address, machine.Zone, machine.MemoryBytes
 	s.machineInstance = machine.Instance
 	s.listLeaving = machine.State == platform.MachineLeaving
 }
 
-// goneFor tells whether a list of the time asOf proves that whatever the server
-// may hold is gone. A machine may have come back since the list was made, and
-// been loaded on again:
+// isProvablyGone reports whether a list as of the time asOf proves that
+// everything the server may have held is gone. The machine may have come back
+// after the list was made and have been loaded again:
 //
-//   - by this owner or one before it in the epoch: then an instance was seen
+//   - by this owner or a predecessor in the same epoch: then an instance was seen
 //     later than asOf;
 //   - by an owner of an earlier epoch, if the server is unknown: then an
 //     instance was seen, and the record read, before this epoch was formed.
-func (o *Owner) goneFor(s *server, asOf time.Time) bool {
-	if o.config.Unsafe.BelieveList {
+func (o *Owner) isProvablyGone(s *server, asOf time.Time) bool {
+	if o.config.Unsafe.TrustOldList {
 		return true
 	}
 	latest := s.lastContact
@@ -83,15 +83,16 @@
 	return asOf.After(latest.Add(o.config.Timing.ClockSkew))
 }
 
-// machineGone drops a server with all that it held, if the list proves it.
+// machineGone drops a server and its replicas if the list proves that they are
+// gone. Otherwise the server counts as leaving and is polled.
 func (o *Owner) machineGone(now time.Time, id api.ServerID, asOf time.Time) {
 	s, known := o.servers[id]
 	if !known {
 		return
 	}
-	if !o.goneFor(s, asOf) {
+	if !o.isProvablyGone(s, asOf) {
 		s.listLeaving = true
-		s.pollBy(now)
+		s.pollNoLaterThan(now)
 		return
 	}
 	for _, r := range o.replicasOn(id) {
@@ -99,12 +100,12 @@
 	}
 	delete(o.servers, id)
 	o.serverOrder = nil
-	o.dirty = o.dirty || s.admitted
-	o.news()
+	o.dataChanged = o.dataChanged || s.admitted
+	o.noteChange()
 }
 
-// Servers returns all servers that the table service must record, in order of
-// ID: those in use, and those that may be used once they are recorded.
+// Servers returns all servers that the table service must record, sorted by ID:
+// those in use, and those that may be used once they are recorded.
 func (o *Owner) Servers() []quorum.Server {
 	servers := make([]quorum.Server, 0, len(o.servers))
 	for _, s := range o.sortedServers() {
@@ -113,7 +114,7 @@
 	return servers
 }
 
-// Recorded tells that the record of the table service names these servers.
+// Recorded notes that the record in the table service names these servers.
 func (o *Owner) Recorded(now time.Time, servers []quorum.Server) {
 	for _, recorded := range servers {
 		s, known := o.servers[recorded.ID]
@@ -123,10 +124,11 @@
 	}
 }
 
-// admit lets a recorded server be used once the group has committed it.
+// admit adds a recorded server to the data to commit. It is used once the group
+// has committed it.
 func (o *Owner) admit(now time.Time, s *server) {
 	s.admitted = true
 	s.pollAt = now
-	o.dirty = true
-	o.news()
+	o.dataChanged = true
+	o.noteChange()
 }
--- a/pkg/control/cell/orders.go
+++ b/pkg/control/cell/orders.go
@@ -11,13 +11,14 @@
 	"martenwheel.dev/pkg/tree"
 )
 
-// intend begins a load: it counts from now on and is ordered once its intent
-// is committed. The caller has checked the limits.
-func (o *Owner) intend(now time.Time, model tree.Model, s *server, action policy.Action) *replica {
-	o.orders++
+// beginLoad creates the intent of a load, which counts towards the limits from
+// now on. The load is ordered once the intent is committed. The caller must have
+// checked the limits.
+func (o *Owner) beginLoad(now time.Time, model tree.Model, s *server, action policy.Action) *replica {
+	o.intentCount++
 	r := &replica{
 		intent: quorum.Intent{
-			OrderID:  fmt.Sprintf("%s/%d/%d", o.config.Cell, o.start.Term, o.orders),
+			OrderID:  fmt.Sprintf("%s/%d/%d", o.config.Cell, o.start.Term, o.intentCount),
 			Server:   s.ID,
 			Model:    model.Name,
 			Base:     model.Base,
@@ -40,7 +41,7 @@
 
 // orderLoads orders the loads whose intents are committed.
 func (o *Owner) orderLoads(now time.Time, sink Sink) {
-	for _, r := range o.moving.sorted((*replica).awaitsOrder) {
+	for _, r := range o.transitioning.sorted((*replica).awaitsOrder) {
 		if !r.committed && !o.config.Unsafe.NoIntents {
 			continue
 		}
@@ -59,13 +60,13 @@
 	}
 }
 
-// awaitsOrder tells whether the load is intended and not ordered yet.
+// awaitsOrder reports whether the replica's load is intended but not ordered.
 func (r *replica) awaitsOrder() bool {
 	return r.phase == phaseIntended
 }
 
-// mayStillLoad checks again what may have changed while the intent was being
-// committed.
+// mayStillLoad rechecks the conditions that may have changed while the intent was
+// being committed.
 func (o *Owner) mayStillLoad(r *replica, s *server) bool {
 	if o.config.Unsafe.NoRecheck {
 		return true
@@ -77,16 +78,17 @@
 	if r.intent.Base != "" && !o.baseReady(r.intent.Base, s.ID) {
 		return false
 	}
-	return s.takesLoads() && s.instance == r.intent.Instance && o.reserved[s.ID] <= s.capacityBytes()
+	return s.acceptsLoads() && s.instance == r.intent.Instance && o.reserved[s.ID] <= s.capacityBytes()
 }
 
-// baseReady tells whether a server has a base model on which an adapter can be
-// loaded.
+// baseReady reports whether a server has a ready replica of the base model, on
+// which an adapter can be loaded.
 func (o *Owner) baseReady(base api.ModelName, id api.ServerID) bool {
-	r := o.replicas[key{server: id, model: base}]
+	r := o.replicas[replicaKey{server: id, model: base}]
 	return r != nil && r.phase == phaseReady
 }
 
+// orderLoad orders one load.
 func (o *Owner) orderLoad(now time.Time, r *replica, s *server, sink Sink) {
 	model := o.models[r.intent.Model]
 	order := engine.Order{
@@ -102,16 +104,16 @@
 	if r.intent.Base != "" {
 		order.Kind = engine.OrderLoadAdapter
 	}
-	o.give(now, s, order, sink)
-	o.enter(now, r, phaseOrdered)
+	o.sendOrder(now, s, order, sink)
+	o.setPhase(now, r, phaseOrdered)
 	r.orderedAt = now
 	r.readyBy = now.Add(o.loadTime(model))
 	sink.Log("info", "load ordered", "model", r.intent.Model, "server", s.ID, "order", order.ID,
 		"reason", r.reason, "request_id", o.waitingRequest(r.intent.Model))
 }
 
-// give sends an order with the next fence.
-func (o *Owner) give(now time.Time, s *server, order engine.Order, sink Sink) {
+// sendOrder sends an order with the next fence.
+func (o *Owner) sendOrder(now time.Time, s *server, order engine.Order, sink Sink) {
 	order.Fence = o.nextFence(s)
 	order.Instance = s.instance
 	if o.config.Unsafe.NoInstance {
@@ -121,16 +123,16 @@
 	sink.OrderEngine(s.ID, s.Address, order)
 }
 
-// OrderAnswered takes over the answer to an order. Only acceptance is believed;
-// any other answer, or none, leaves the order in doubt until the next
-// inventory: the engine may have carried out the order and answered a copy.
+// OrderAnswered handles the answer to an order. Only acceptance is trusted. After
+// any other answer, or none, the outcome is unknown until the next inventory: the
+// engine may have carried out one copy of the order and answered another.
 func (o *Owner) OrderAnswered(now time.Time, id api.ServerID, order engine.Order, result engine.OrderResult, err error) {
 	s, known := o.servers[id]
 	if !known || s.operation == nil || s.operation.fence != order.Fence {
 		return
 	}
 	s.operation = nil
-	s.pollBy(now)
+	s.pollNoLaterThan(now)
 	if err == nil && result.Status == engine.OrderAccepted {
 		o.orderAccepted(now, s, order)
 		return
@@ -141,13 +143,15 @@
 	}
 	if err == nil && result.Status == engine.OrderLeaving {
 		s.engineLeaving = true
-		o.news()
+		o.noteChange()
 	}
-	o.orderInDoubt(now, s, order)
+	o.orderOutcomeUnknown(now, s, order)
 }
 
+// orderAccepted moves the replica of an accepted load to loading. An accepted
+// unload frees no memory until an inventory shows that the model is gone.
 func (o *Owner) orderAccepted(now time.Time, s *server, order engine.Order) {
-	r := o.replicas[key{server: s.ID, model: order.Model}]
+	r := o.replicas[replicaKey{server: s.ID, model: order.Model}]
 	if r == nil {
 		return
 	}
@@ -156,43 +160,43 @@
 		o.drop(now, r)
 	}
 	if !unload && r.phase == phaseOrdered {
-		o.enter(now, r, phaseLoading)
-		o.changed = true
+		o.setPhase(now, r, phaseLoading)
+		o.viewChanged = true
 	}
 }
 
-// orderInDoubt notes that an order may or may not have taken effect. The next
-// inventory raises the fence above it and tells.
-func (o *Owner) orderInDoubt(now time.Time, s *server, order engine.Order) {
+// orderOutcomeUnknown records that an order may or may not have taken effect. The
+// next inventory raises the fence above the order's and shows the outcome.
+func (o *Owner) orderOutcomeUnknown(now time.Time, s *server, order engine.Order) {
 	s.pollAt = now
-	r := o.replicas[key{server: s.ID, model: order.Model}]
+	r := o.replicas[replicaKey{server: s.ID, model: order.Model}]
 	if r == nil || r.intent.OrderID != order.ID {
 		return
 	}
-	if o.config.Unsafe.DoubtIsRefused {
+	if o.config.Unsafe.UnknownOutcomeIsRefused {
 		o.drop(now, r)
 		return
 	}
-	if r.loading() && !r.doubt {
-		r.doubt = true
-		o.changed = true
+	if r.loading() && !r.outcomeUnknown {
+		r.outcomeUnknown = true
+		o.viewChanged = true
 	}
 }
 
-// startDrain tells the routers to stop using a replica. Its unload follows. A
+// startDrain makes the routers stop using a replica, to be unloaded afterwards. A
 // load that is not ordered yet is cancelled.
 func (o *Owner) startDrain(now time.Time, r *replica, reason string, sink Sink) {
-	if r.leavingMemory() || r.phase == phaseInherited {
+	if r.isBeingRemoved() || r.phase == phaseInherited {
 		return
 	}
-	sink.Log("info", "replica drained", "model", r.intent.Model, "server", r.intent.Server, "reason", reason)
+	sink.Log("info", "draining replica", "model", r.intent.Model, "server", r.intent.Server, "reason", reason)
 	if r.phase == phaseIntended {
 		o.drop(now, r)
 		return
 	}
 	r.reason = reason
-	o.enter(now, r, phaseDraining)
-	o.news()
+	o.setPhase(now, r, phaseDraining)
+	o.noteChange()
 	for _, adapter := range o.adaptersOn(r) {
 		o.startDrain(now, adapter, "base "+reason, sink)
 	}
@@ -207,7 +211,7 @@
 
 // orderUnloads orders the unloads that are due.
 func (o *Owner) orderUnloads(now time.Time, sink Sink) {
-	for _, r := range o.moving.sorted((*replica).leavingMemory) {
+	for _, r := range o.transitioning.sorted((*replica).isBeingRemoved) {
 		s, known := o.servers[r.intent.Server]
 		if !known || !s.fenced || s.failures > 0 || s.operation != nil || !o.unloadDue(now, r) {
 			continue
@@ -216,23 +220,25 @@
 	}
 }
 
+// orderUnload orders one unload.
 func (o *Owner) orderUnload(now time.Time, r *replica, s *server, sink Sink) {
 	order := engine.Order{ID: r.intent.OrderID + "/unload", Kind: engine.OrderUnload, Model: r.intent.Model}
 	if r.intent.Base != "" {
 		order.Kind = engine.OrderUnloadAdapter
 		order.Base = r.intent.Base
 	}
-	o.give(now, s, order, sink)
+	o.sendOrder(now, s, order, sink)
 	if r.phase != phaseUnloading {
-		o.changed = true
+		o.viewChanged = true
 	}
-	o.enter(now, r, phaseUnloading)
+	o.setPhase(now, r, phaseUnloading)
 	r.retryAt = now.Add(o.config.Timing.UnloadRetry)
 	sink.Log("info", "unload ordered", "model", r.intent.Model, "server", s.ID, "reason", r.reason)
 }
 
-// unloadDue tells whether the routers have stopped using a draining replica
-// and its requests are done, or have had their time.
+// unloadDue reports whether a draining replica can be unloaded: the routers have
+// stopped using it, and its requests have finished or the drain time has passed.
+// An unload without effect is due again at retryAt.
 func (o *Owner) unloadDue(now time.Time, r *replica) bool {
 	if r.phase == phaseUnloading {
 		return !now.Before(r.retryAt)
--- a/pkg/control/cell/owner.go
+++ b/pkg/control/cell/owner.go
@@ -11,70 +11,77 @@
 	"martenwheel.dev/pkg/tree"
 )
 
-// Owner decides what the servers of one cell load, for as long as its term
-// lasts. See New.
+// Owner decides what the servers of one cell load during one term. Use New to
+// create one.
 type Owner struct {
 	config Config
 	start  Start
 
-	models      map[api.ModelName]tree.Model
-	modelOrder  []api.ModelName // sorted
-	servers     map[api.ServerID]*server
-	serverOrder []*server // sorted; nil when servers were added or removed
-	replicas    replicaSet
-	moving      replicaSet // of these, those with an order due or under way
-	onServer    replicaIndex[api.ServerID]
-	ofModel     replicaIndex[api.ModelName]
-	reserved    map[api.ServerID]uint64   // bytes counted on each server
-	counts      map[api.ModelName]int     // replicas counted of each model
-	demand      map[api.ModelName]*demand // of the models that nodes reported
-	failures    map[api.ModelName]*failure
-	loadTimes   map[api.ModelName]time.Duration // measured
+	models        map[api.ModelName]tree.Model
+	modelOrder    []api.ModelName // sorted
+	servers       map[api.ServerID]*server
+	serverOrder   []*server // sorted by ID; nil when servers were added or removed
+	replicas      replicaSet
+	transitioning replicaSet // replicas with a due or pending order
+	onServer      replicaIndex[api.ServerID]
+	ofModel       replicaIndex[api.ModelName]
+	reserved      map[api.ServerID]uint64   // bytes reserved on each server
+	counts        map[api.ModelName]int     // counted replicas of each model
+	demand        map[api.ModelName]*demand // reported demand by model
+	failures      map[api.ModelName]*failure
+	loadTimes     map[api.ModelName]time.Duration // measured load times
 
-	revision    uint64 // of the settings
+	revision uint64 // tree revision of the settings
+	// listVersion is the version of the last machine list.
 	listVersion uint64
 	allocation  weights.Allocation
-	loadTokens  float64
-	rated       bool // the first tokens were given
-	tokensAt    time.Time
-	queue       []queuedLoad // wishes that wait for a slot or for room
+	// loadTokens is the number of loads that the weight store's rate allows to
+	// start now, as of tokensAt.
+	loadTokens        float64
+	tokensInitialized bool // loadTokens was initialised
+	tokensAt          time.Time
+	queue             []queuedLoad // requested loads that cannot start yet
 
-	version   uint64 // of the view
-	changed   bool   // the view changed since it was last taken
-	dirty     bool   // the data changed since it was last taken
+	version     uint64 // version of the view
+	viewChanged bool   // the view changed since TakeView
+	dataChanged bool   // the data changed since TakeData
+	// decideAt is when the next decision is due, decidedAt when the last one was
+	// made.
 	decideAt  time.Time
 	decidedAt time.Time
-	deposedBy uint64 // a higher term that an engine has seen
-	exhausted bool
-	orders    uint32 // given so far, for their IDs
+	deposedBy uint64 // a higher term seen by an engine, else zero
+	// exhausted means that the fences of the term are used up.
+	exhausted   bool
+	intentCount uint32 // number of load intents so far, used in order IDs
 }
 
 // New returns the owner of a cell for the term in start.
 func New(now time.Time, config Config, start Start) *Owner {
 	o := &Owner{
-		config:    config,
-		start:     start,
-		models:    make(map[api.ModelName]tree.Model),
-		servers:   make(map[api.ServerID]*server),
-		replicas:  make(replicaSet),
-		moving:    make(replicaSet),
-		onServer:  make(replicaIndex[api.ServerID]),
-		ofModel:   make(replicaIndex[api.ModelName]),
-		reserved:  make(map[api.ServerID]uint64),
-		counts:    make(map[api.ModelName]int),
-		demand:    make(map[api.ModelName]*demand),
-		failures:  make(map[api.ModelName]*failure),
-		loadTimes: make(map[api.ModelName]time.Duration),
-		tokensAt:  now,
-		decideAt:  now,
+		config:        config,
+		start:         start,
+		models:        make(map[api.ModelName]tree.Model),
+		servers:       make(map[api.ServerID]*server),
+		replicas:      make(replicaSet),
+		transitioning: make(replicaSet),
+		onServer:      make(replicaIndex[api.ServerID]),
+		ofModel:       make(replicaIndex[api.ModelName]),
+		reserved:      make(map[api.ServerID]uint64),
+		counts:        make(map[api.ModelName]int),
+		demand:        make(map[api.ModelName]*demand),
+		failures:      make(map[api.ModelName]*failure),
+		loadTimes:     make(map[api.ModelName]time.Duration),
+		tokensAt:      now,
+		decideAt:      now,
 	}
 	o.inheritServers(now)
 	o.inheritReplicas(now)
-	o.dirty = false
-	o.changed = true
+	o.dataChanged = false
+	o.viewChanged = true
 	return o
 }
 
+// inheritServers takes over the servers of the committed data.
 func (o *Owner) inheritServers(now time.Time) {
 	for _, known := range o.start.Data.Servers {
 		o.servers[known.ID] = &server{
@@ -88,42 +95,45 @@
 	}
 }
 
+// inheritReplicas takes over the replicas of the committed data. Those that were
+// ready in the last view keep serving until an inventory shows their state.
 func (o *Owner) inheritReplicas(now time.Time) {
-	serving := make(map[key]bool)
+	wasReady := make(map[replicaKey]bool)
 	for _, r := range o.start.Previous.Replicas {
 		if r.State == api.ReplicaReady {
-			serving[key{server: r.Server, model: r.Model}] = true
+			wasReady[replicaKey{server: r.Server, model: r.Model}] = true
 		}
 	}
 	for _, intent := range o.start.Data.Intents {
 		r := &replica{intent: intent, committed: true, phase: phaseInherited, since: now, lastUse: now}
-		r.serving = serving[r.key()]
+		r.wasReady = wasReady[r.key()]
 		o.addReplica(r)
 	}
 }
 
-// Term returns the term that the owner orders in.
+// Term returns the term of the owner's orders.
 func (o *Owner) Term() uint64 {
 	return o.start.Term
 }
 
-// DeposedBy returns a higher term that an engine has seen, or zero. The owner
-// does nothing more then.
+// DeposedBy returns a higher term that an engine has seen, or zero. A deposed
+// owner does nothing more.
 func (o *Owner) DeposedBy() uint64 {
 	return o.deposedBy
 }
 
-// Exhausted tells that the fences of the term run out: a new term is needed.
+// Exhausted reports that the fences of the term are used up, so that a new term
+// is needed.
 func (o *Owner) Exhausted() bool {
 	return o.exhausted
 }
 
-// Configure takes over the settings of the cell's models, sorted by name, of a
-// revision of the tree.
+// Configure sets the settings of the cell's models, which come from the given
+// tree revision.
 func (o *Owner) Configure(revision tree.Revision, models []tree.Model) {
 	if uint64(revision) > o.revision {
 		o.revision = uint64(revision)
-		o.dirty = true
+		o.dataChanged = true
 	}
 	o.models = make(map[api.ModelName]tree.Model, len(models))
 	o.modelOrder = o.modelOrder[:0]
@@ -135,13 +145,13 @@
 	o.decideAt = time.Time{}
 }
 
-// outdated tells whether the owner before this one decided by newer settings.
-// This one loads nothing until it has them too.
+// outdated reports whether the previous owner used newer settings than this one
+// has. Until it has them, this owner loads nothing.
 func (o *Owner) outdated() bool {
 	return o.revision < o.start.Data.Revision && !o.config.Unsafe.NoRevision
 }
 
-// Committed tells that a majority has committed data.
+// Committed notes that a majority has committed data.
 func (o *Owner) Committed(now time.Time, data quorum.Data) {
 	orders := make(map[string]bool, len(data.Intents))
 	for _, intent := range data.Intents {
@@ -154,18 +164,19 @@
 		s, present := o.servers[known.ID]
 		if present && s.admitted && !s.committed {
 			s.committed = true
-			s.pollBy(now)
-			o.news()
+			s.pollNoLaterThan(now)
+			o.noteChange()
 		}
 	}
 }
 
-// TakeData returns the data to commit, and false if it is the same as last time.
+// TakeData returns the data to commit, and false if it has not changed since the
+// last call.
 func (o *Owner) TakeData() (quorum.Data, bool) {
-	if !o.dirty {
+	if !o.dataChanged {
 		return quorum.Data{}, false
 	}
-	o.dirty = false
+	o.dataChanged = false
 	data := quorum.Data{FormedAt: o.start.Data.FormedAt, Revision: max(o.revision, o.start.Data.Revision)}
 	for _, s := range o.sortedServers() {
 		if s.admitted {
@@ -178,8 +189,8 @@
 	return data, true
 }
 
-// Advance does what is due: it decides, gives orders and reads inventories.
-// It is called after each event and with each tick.
+// Advance performs all due work: it decides, sends orders and reads inventories.
+// It must be called after each event and each tick.
 func (o *Owner) Advance(now time.Time, sink Sink) {
 	if o.deposedBy > 0 || o.exhausted {
 		return
@@ -194,14 +205,14 @@
 	o.pollServers(now, sink)
 }
 
-// Allocate sets the owner's share of the weight store's slots.
+// Allocate sets the owner's share of the weight store's slots and rate.
 func (o *Owner) Allocate(allocation weights.Allocation) {
 	o.allocation = allocation
 }
 
-// Claim returns what the owner has under way and wants of the weight store.
+// Claim returns the owner's current and wanted use of the weight store.
 func (o *Owner) Claim(now time.Time) weights.Claim {
-	claim := weights.Claim{Cell: o.config.Cell, Heard: now, Active: o.activeLoads()}
+	claim := weights.Claim{Cell: o.config.Cell, UpdatedAt: now, Active: o.activeLoads()}
 	for _, queued := range o.queue {
 		if queued.cause != waitsForSlot {
 			continue
@@ -214,9 +225,10 @@
 	return claim
 }
 
+// activeLoads returns the number of loads in progress.
 func (o *Owner) activeLoads() int {
 	active := 0
-	for _, r := range o.moving {
+	for _, r := range o.transitioning {
 		if r.loading() {
 			active++
 		}
@@ -224,24 +236,25 @@
 	return active
 }
 
-// refillTokens lets the rate of the weight store accrue, up to one second's.
+// refillTokens adds the load starts that the rate allows since the last call,
+// limited to those of one second.
 func (o *Owner) refillTokens(now time.Time) {
 	elapsed := now.Sub(o.tokensAt).Seconds()
 	o.tokensAt = now
 	limit := max(1, o.allocation.Rate)
-	if !o.rated {
-		o.rated, o.loadTokens = true, limit
+	if !o.tokensInitialized {
+		o.tokensInitialized, o.loadTokens = true, limit
 	}
 	o.loadTokens = min(limit, o.loadTokens+elapsed*o.allocation.Rate)
 }
 
-// news makes a decision and a new view due.
-func (o *Owner) news() {
-	o.changed = true
+// noteChange triggers a decision and a new view.
+func (o *Owner) noteChange() {
+	o.viewChanged = true
 	o.decideAt = time.Time{}
 }
 
-// sortedServers returns the servers in order of ID.
+// sortedServers returns the servers sorted by ID.
 func (o *Owner) sortedServers() []*server {
 	if len(o.serverOrder) == len(o.servers) {
 		return o.serverOrder
@@ -255,7 +268,7 @@
 	return sorted
 }
 
-// replicaBytes is the memory that a replica of the model may take.
+// replicaBytes returns the memory that a replica of the model may use.
 func replicaBytes(model tree.Model) uint64 {
 	return policy.ReplicaBytes(&policy.Model{Base: model.Base, Settings: model.Settings})
 }
--- a/pkg/control/cell/placement.go
+++ b/pkg/control/cell/placement.go
@@ -7,14 +7,15 @@
 	"martenwheel.dev/pkg/tree"
 )
 
-// failure is the back-off of a model whose loads failed.
+// failure is the back-off state of a model whose loads failed.
 type failure struct {
-	count   int
-	until   time.Time
-	servers map[api.ServerID]time.Time // not tried again before
+	count   int                        // number of failures in a row
+	until   time.Time                  // end of the back-off
+	servers map[api.ServerID]time.Time // earliest next attempt on each server
 }
 
-// loadObstacle tells why a load of the model can't begin on any server.
+// loadObstacle returns why a load of the model cannot start on any server, or
+// zero, and the end of a back-off.
 func (o *Owner) loadObstacle(now time.Time, model tree.Model) (waitCause, time.Time) {
 	if f := o.failures[model.Name]; f != nil && now.Before(f.until) {
 		return waitsForBackoff, f.until
@@ -22,12 +23,13 @@
 	if cause := o.countObstacle(model); cause != 0 {
 		return cause, time.Time{}
 	}
-	_, cause := o.place(now, model, "")
+	_, cause := o.choosePlacement(now, model, "")
 	return cause, time.Time{}
 }
 
-// undrain takes a replica back into service instead of loading another one.
-func (o *Owner) undrain(now time.Time, model tree.Model, sink Sink) bool {
+// cancelDrain returns a draining replica to service and reports whether it did,
+// so that no other replica need be loaded.
+func (o *Owner) cancelDrain(now time.Time, model tree.Model, sink Sink) bool {
 	if o.liveCount(model.Name) >= model.Settings.MaxReplicas {
 		return false
 	}
@@ -39,27 +41,28 @@
 		if r.intent.Base != "" && !o.baseReady(r.intent.Base, s.ID) {
 			continue
 		}
-		sink.Log("info", "replica taken back into service", "model", model.Name, "server", s.ID)
-		o.enter(now, r, phaseReady)
+		sink.Log("info", "draining replica returned to service", "model", model.Name, "server", s.ID)
+		o.setPhase(now, r, phaseReady)
 		r.lastUse = now
-		o.news()
+		o.noteChange()
 		return true
 	}
 	return false
 }
 
-// liveCount is the number of replicas that are not on their way out.
+// liveCount returns the number of replicas that are neither draining nor
+// unloading.
 func (o *Owner) liveCount(model api.ModelName) int {
 	count := 0
 	for _, r := range o.ofModel[model] {
-		if !r.leavingMemory() {
+		if !r.isBeingRemoved() {
 			count++
 		}
 	}
 	return count
 }
 
-// countObstacle tells why the replica limit forbids another load now.
+// countObstacle returns why the replica limit forbids another load now, or zero.
 func (o *Owner) countObstacle(model tree.Model) waitCause {
 	counted := o.counted(model.Name)
 	switch {
@@ -67,18 +70,19 @@
 		return waitsForServers
 	case counted < model.Settings.MaxReplicas:
 		return 0
-	case counted > o.counts[model.Name], o.inherits(model.Name):
+	case counted > o.counts[model.Name], o.hasInherited(model.Name):
 		return waitsForServers
 	case o.liveCount(model.Name) < model.Settings.MaxReplicas:
-		return waitsForUnload
+		return waitsForOwnUnload
 	default:
 		return waitsForMemory
 	}
 }
 
-// inherits tells whether a replica of the model is an earlier owner's, of which no engine has told yet: it may be loading,
-// so that a request for it is not to be refused as if all memory were in use.
-func (o *Owner) inherits(model api.ModelName) bool {
+// hasInherited reports whether the model has a replica from an earlier owner that
+// no inventory has confirmed yet. It may be loading, so a request for it must not
+// be refused as if all memory were in use.
+func (o *Owner) hasInherited(model api.ModelName) bool {
 	for _, r := range o.ofModel[model] {
 		if r.phase == phaseInherited {
 			return true
@@ -87,10 +91,11 @@
 	return false
 }
 
-// place returns the wished server, or another one if the wished one can't take
-// the load.
-func (o *Owner) place(now time.Time, model tree.Model, wished api.ServerID) (*server, waitCause) {
-	if s := o.servers[wished]; s != nil && o.serverObstacle(now, model, s) == 0 {
+// choosePlacement returns the preferred server if it can take the load, else the
+// suitable server with the most free memory. Without any it returns the cause to
+// wait for.
+func (o *Owner) choosePlacement(now time.Time, model tree.Model, preferred api.ServerID) (*server, waitCause) {
+	if s := o.servers[preferred]; s != nil && o.serverObstacle(now, model, s) == 0 {
 		return s, 0
 	}
 	var best *server
@@ -110,27 +115,28 @@
 	return nil, cause
 }
 
-// freeBytes is the memory of a server that no replica counts on.
+// freeBytes returns the memory of a server that is not reserved.
 func (o *Owner) freeBytes(s *server) uint64 {
 	return s.capacityBytes() - min(s.capacityBytes(), o.reserved[s.ID])
 }
 
-// serverObstacle tells why a server can't take a load of the model now.
+// serverObstacle returns why a server cannot take a load of the model now, or
+// zero.
 func (o *Owner) serverObstacle(now time.Time, model tree.Model, s *server) waitCause {
-	if s.settles(now) || s.admitted && !s.fenced && s.reachable {
+	if s.isSettling(now) || s.admitted && !s.fenced && s.reachable {
 		return waitsForServers
 	}
 	if !s.admitted || s.unverified() {
 		return waitsForRecord
 	}
-	if !s.takesLoads() || o.replicas[key{server: s.ID, model: model.Name}] != nil {
+	if !s.acceptsLoads() || o.replicas[replicaKey{server: s.ID, model: model.Name}] != nil {
 		return waitsForMemory
 	}
 	if f := o.failures[model.Name]; f != nil && now.Before(f.servers[s.ID]) {
 		return waitsForMemory
 	}
 	if model.Base != "" && !o.baseReady(model.Base, s.ID) {
-		if base := o.replicas[key{server: s.ID, model: model.Base}]; base != nil && base.loading() {
+		if base := o.replicas[replicaKey{server: s.ID, model: model.Base}]; base != nil && base.loading() {
 			return waitsForBase
 		}
 		return waitsForMemory
@@ -140,24 +146,25 @@
 		return 0
 	}
 	if need <= o.freeBytes(s)+o.leavingBytes(s.ID) {
-		return waitsForRoom
+		return waitsForPendingUnload
 	}
 	return waitsForMemory
 }
 
-// leavingBytes is the memory that unloads under way will free.
+// leavingBytes returns the memory that draining and unloading replicas will free.
 func (o *Owner) leavingBytes(id api.ServerID) uint64 {
 	var bytes uint64
 	for _, r := range o.onServer[id] {
-		if r.leavingMemory() {
+		if r.isBeingRemoved() {
 			bytes += r.intent.Bytes
 		}
 	}
 	return bytes
 }
 
-// loadFailed backs off from a model, and for longer from the server. The pause
-// doubles with each failure in a row, so retries stay few.
+// loadFailed starts a back-off for the model and, if the engine reported the
+// failure, a longer one for the model on that server. The model's back-off
+// doubles with each failure in a row, which keeps retries rare.
 func (o *Owner) loadFailed(now time.Time, s *server, r *replica, failed bool) {
 	f := o.failures[r.intent.Model]
 	if f == nil {
--- a/pkg/control/cell/replica.go
+++ b/pkg/control/cell/replica.go
@@ -8,110 +8,113 @@
 	"martenwheel.dev/pkg/control/quorum"
 )
 
-// phase is how far a replica has come, as the owner knows.
+// phase is the progress of a replica as known to the owner.
 type phase uint8
 
 const (
-	phaseInherited phase = iota // of an earlier owner; the inventory will tell
-	phaseIntended               // its intent is being committed
+	phaseInherited phase = iota // taken over from an earlier owner; not yet confirmed by an inventory
+	phaseIntended               // the intent is being committed
 	phaseOrdered                // the load is ordered, with or without an answer
-	phaseLoading                // the engine shows that it loads
-	phaseReady                  // the engine shows that it serves
+	phaseLoading                // the engine accepted the load or reports it as loading
+	phaseReady                  // the engine reports it as ready
 	phaseDraining               // routers are told to stop using it
-	phaseUnloading              // its unload is ordered
+	phaseUnloading              // the unload is ordered
 )
 
-// key identifies a replica: a server holds a model at most once.
-type key struct {
+// replicaKey identifies a replica: a server holds a model at most once.
+type replicaKey struct {
 	server api.ServerID
 	model  api.ModelName
 }
 
-// replica is one intent with what the owner knows besides. It counts for the
+// replica is an intent with the owner's additional state. It counts towards the
 // replica limit and the memory in every phase.
 type replica struct {
-	intent    quorum.Intent
-	committed bool
-	phase     phase
-	since     time.Time // of the phase
-	doubt     bool      // the order or its answer may be lost
-	serving   bool      // inherited, and ready in the last view
+	intent         quorum.Intent
+	committed      bool
+	phase          phase
+	since          time.Time // when the phase began
+	outcomeUnknown bool      // the order or its answer may be lost
+	wasReady       bool      // inherited, and ready in the last view
 
 	orderedAt time.Time
-	readyBy   time.Time // estimate while loading
+	readyBy   time.Time // estimated time of readiness while loading
 	lastUse   time.Time
+	// prewarmed means that it was loaded without waiting requests and not used
+	// since.
 	prewarmed bool
-	retryAt   time.Time // of the unload
-	reason    string    // why it was loaded, or drains
+	retryAt   time.Time // when the unload is repeated
+	reason    string    // why it was loaded or drained
 }
 
-func (r *replica) key() key {
-	return key{server: r.intent.Server, model: r.intent.Model}
+func (r *replica) key() replicaKey {
+	return replicaKey{server: r.intent.Server, model: r.intent.Model}
 }
 
-// moving tells whether an order for the replica is due or under way.
-func (r *replica) moving() bool {
+// inTransition reports whether an order for the replica is due or pending.
+func (r *replica) inTransition() bool {
 	return r.phase != phaseReady && r.phase != phaseInherited
 }
 
-// enter moves a replica to its next phase.
-func (o *Owner) enter(now time.Time, r *replica, next phase) {
+// setPhase moves a replica to its next phase.
+func (o *Owner) setPhase(now time.Time, r *replica, next phase) {
 	if r.phase == next {
 		return
 	}
 	r.phase, r.since = next, now
-	o.noteMoving(r)
+	o.updateTransitioning(r)
 }
 
-// noteMoving keeps the set of moving replicas.
-func (o *Owner) noteMoving(r *replica) {
-	if r.moving() {
-		o.moving[r.key()] = r
+// updateTransitioning adds the replica to the set of transitioning replicas or
+// removes it.
+func (o *Owner) updateTransitioning(r *replica) {
+	if r.inTransition() {
+		o.transitioning[r.key()] = r
 		return
 	}
-	delete(o.moving, r.key())
+	delete(o.transitioning, r.key())
 }
 
-// leavingMemory tells whether the replica is on its way out.
-func (r *replica) leavingMemory() bool {
+// isBeingRemoved reports whether the replica is draining or unloading.
+func (r *replica) isBeingRemoved() bool {
 	return r.phase == phaseDraining || r.phase == phaseUnloading
 }
 
-// loading tells whether the replica takes a slot of the weight store.
+// loading reports whether the replica takes a slot of the weight store.
 func (r *replica) loading() bool {
 	return r.phase == phaseIntended || r.phase == phaseOrdered || r.phase == phaseLoading
 }
 
-// state translates the phase for routers and policies.
+// state returns the replica's state as shown to routers and policies.
 func (r *replica) state() api.ReplicaState {
 	switch {
 	case r.phase == phaseDraining:
 		return api.ReplicaDraining
 	case r.phase == phaseUnloading:
 		return api.ReplicaUnloading
-	case r.phase == phaseReady || r.serving:
+	case r.phase == phaseReady || r.wasReady:
 		return api.ReplicaReady
-	case r.doubt || r.phase == phaseInherited:
+	case r.outcomeUnknown || r.phase == phaseInherited:
 		return api.ReplicaInDoubt
 	default:
 		return api.ReplicaLoading
 	}
 }
 
-// addReplica takes a replica into the count.
+// addReplica starts counting a replica.
 func (o *Owner) addReplica(r *replica) {
 	o.replicas[r.key()] = r
 	o.onServer.add(r.intent.Server, r)
 	o.ofModel.add(r.intent.Model, r)
-	o.noteMoving(r)
+	o.updateTransitioning(r)
 	o.reserved[r.intent.Server] += r.intent.Bytes
 	o.counts[r.intent.Model]++
-	o.dirty = true
-	o.news()
+	o.dataChanged = true
+	o.noteChange()
 }
 
-// drop takes a replica out of the count: it is surely not loaded, and will not
-// be by any order given so far.
+// drop stops counting a replica. The caller must know that it is not loaded and
+// that no order given so far can load it.
 func (o *Owner) drop(_ time.Time, r *replica) {
 	if o.replicas[r.key()] != r {
 		return
@@ -119,52 +122,52 @@
 	delete(o.replicas, r.key())
 	delete(o.onServer[r.intent.Server], r.key())
 	delete(o.ofModel[r.intent.Model], r.key())
-	delete(o.moving, r.key())
+	delete(o.transitioning, r.key())
 	o.reserved[r.intent.Server] -= r.intent.Bytes
 	o.counts[r.intent.Model]--
-	o.dirty = true
-	o.news()
+	o.dataChanged = true
+	o.noteChange()
 }
 
-// grow raises the memory that a replica counts for to what its engine reports.
-func (o *Owner) grow(r *replica, bytes uint64) {
+// raiseReservation raises a replica's reserved memory to what its engine reports.
+func (o *Owner) raiseReservation(r *replica, bytes uint64) {
 	if bytes <= r.intent.Bytes {
 		return
 	}
 	o.reserved[r.intent.Server] += bytes - r.intent.Bytes
 	r.intent.Bytes = bytes
-	o.dirty = true
+	o.dataChanged = true
 }
 
-// counted returns the number of replicas of a model that may be loaded: those
-// known, and one for each server that may hold any model.
+// counted returns the number of replicas of a model that may be loaded: the known
+// ones, and one for each server that may hold any model.
 func (o *Owner) counted(model api.ModelName) int {
 	count := o.counts[model]
 	if o.config.Unsafe.UnknownIsEmpty {
 		return count
 	}
 	for id, s := range o.servers {
-		if s.Unknown && o.replicas[key{server: id, model: model}] == nil {
+		if s.Unknown && o.replicas[replicaKey{server: id, model: model}] == nil {
 			count++
 		}
 	}
 	return count
 }
 
-// replicasOn returns the replicas on a server in order of model.
+// replicasOn returns the replicas on a server, sorted by model.
 func (o *Owner) replicasOn(id api.ServerID) []*replica {
 	return o.onServer[id].sorted(anyReplica)
 }
 
-// replicasOf returns the replicas of a model in order of server.
+// replicasOf returns the replicas of a model, sorted by server.
 func (o *Owner) replicasOf(model api.ModelName) []*replica {
 	return o.ofModel[model].sorted(anyReplica)
 }
 
 // replicaSet is a set of replicas.
-type replicaSet map[key]*replica
+type replicaSet map[replicaKey]*replica
 
-// replicaIndex finds the replicas of a server or of a model.
+// replicaIndex maps a server or a model to its replicas.
 type replicaIndex[K comparable] map[K]replicaSet
 
 func (i replicaIndex[K]) add(value K, r *replica) {
@@ -176,7 +179,8 @@
 
 func anyReplica(*replica) bool { return true }
 
-// sorted returns the wanted replicas in order of server and model.
+// sorted returns the replicas for which wanted is true, sorted by server and
+// model.
 func (s replicaSet) sorted(wanted func(*replica) bool) []*replica {
 	var selected []*replica
 	for _, r := range s {
--- a/pkg/control/cell/site_test.go
+++ b/pkg/control/cell/site_test.go
@@ -15,37 +15,40 @@
 
 var testStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// site is an owner with engines that answer at once.
-type site struct {
-	t       *testing.T
-	now     time.Time
-	owner   *Owner
-	wishes  []policy.Action // of the next decision
-	items   map[api.ServerID]map[api.ModelName]engine.Item
-	fences  map[api.ServerID]api.Fence
-	orders  []engine.Order
-	targets []api.ServerID // of the orders
-	told    map[api.ModelName]api.LoadEstimate
-	answers []func()
-	refuse  map[api.ServerID]bool // loads fail
-	slow    bool                  // unloads do not end
-}
-
-func (s *site) Name() string { return "" }
-
-func (s *site) Decide(time.Time, policy.Input) []policy.Action {
-	wishes := s.wishes
-	s.wishes = nil
-	return wishes
-}
-
-func newSite(t *testing.T, servers ...quorum.Server) *site {
-	s := &site{
+// testSite runs an owner with engines that answer immediately. It is also the
+// owner's policy and returns the proposed actions.
+type testSite struct {
+	t        *testing.T
+	now      time.Time
+	owner    *Owner
+	proposed []policy.Action // actions for the next decision
+	items    map[api.ServerID]map[api.ModelName]engine.Item
+	fences   map[api.ServerID]api.Fence
+	orders   []engine.Order
+	targets  []api.ServerID // servers that the orders went to
+	// estimates holds the last estimate sent for each model.
+	estimates map[api.ModelName]api.LoadEstimate
+	// answers deliver the pending answers of the engines.
+	answers     []func()
+	failLoads   map[api.ServerID]bool // servers on which loads fail
+	slowUnloads bool                  // unloads never finish
+}
+
+func (s *testSite) Name() string { return "" }
+
+func (s *testSite) Decide(time.Time, policy.Input) []policy.Action {
+	actions := s.proposed
+	s.proposed = nil
+	return actions
+}
+
+func newTestSite(t *testing.T, servers ...quorum.Server) *testSite {
+	s := &testSite{
 		t: t, now: testStart,
-		items:  make(map[api.ServerID]map[api.ModelName]engine.Item),
-		fences: make(map[api.ServerID]api.Fence),
-		told:   make(map[api.ModelName]api.LoadEstimate),
-		refuse: make(map[api.ServerID]bool),
+		items:     make(map[api.ServerID]map[api.ModelName]engine.Item),
+		fences:    make(map[api.ServerID]api.Fence),
+		estimates: make(map[api.ModelName]api.LoadEstimate),
+		failLoads: make(map[api.ServerID]bool),
 	}
 	for index := range servers {
 		servers[index].Address = "a"
@@ -64,14 +67,16 @@
 	return s
 }
 
+// model returns a model with the given base and memory, of which one replica is
+// allowed.
 func model(name, base string, bytes uint64) tree.Model {
 	return tree.Model{Name: api.ModelName(name), Base: api.ModelName(base), Settings: tree.Settings{
 		MemoryBytes: bytes, MaxReplicas: 1, LoadTime: time.Second, DrainTime: 10 * time.Second,
 	}}
 }
 
-// run lets time pass in ticks. Commits and answers come at once.
-func (s *site) run(duration time.Duration) {
+// run advances time in ticks. Commits and answers happen immediately.
+func (s *testSite) run(duration time.Duration) {
 	for end := s.now.Add(duration); s.now.Before(end); s.now = s.now.Add(100 * time.Millisecond) {
 		for range 3 {
 			s.owner.Advance(s.now, s)
@@ -87,14 +92,14 @@
 	}
 }
 
-func (s *site) OrderEngine(server api.ServerID, _ string, order engine.Order) {
+func (s *testSite) OrderEngine(server api.ServerID, _ string, order engine.Order) {
 	s.orders = append(s.orders, order)
 	s.targets = append(s.targets, server)
 	s.fences[server] = order.Fence
 	switch order.Kind {
 	case engine.OrderLoad, engine.OrderLoadAdapter:
 		state := engine.ItemReady
-		if s.refuse[server] {
+		if s.failLoads[server] {
 			state = engine.ItemFailed
 		}
 		s.items[server][order.Model] = engine.Item{
@@ -104,7 +109,7 @@
 		item := s.items[server][order.Model]
 		item.State = engine.ItemUnloading
 		s.items[server][order.Model] = item
-		if !s.slow {
+		if !s.slowUnloads {
 			delete(s.items[server], order.Model)
 		}
 	}
@@ -113,7 +118,7 @@
 	})
 }
 
-func (s *site) ReadInventory(server api.ServerID, _ string, request engine.InventoryRequest) {
+func (s *testSite) ReadInventory(server api.ServerID, _ string, request engine.InventoryRequest) {
 	s.fences[server] = max(s.fences[server], request.Fence)
 	inventory := engine.Inventory{Instance: "i", Fence: s.fences[server], CapacityBytes: 21}
 	for _, item := range s.items[server] {
@@ -122,21 +127,27 @@
 	s.answers = append(s.answers, func() { s.owner.InventoryAnswered(s.now, server, request, inventory, nil) })
 }
 
-func (s *site) Estimate(_ api.NodeRef, estimate api.LoadEstimate) { s.told[estimate.Model] = estimate }
-func (s *site) Log(string, string, ...any)                        {}
+func (s *testSite) Estimate(_ api.NodeRef, estimate api.LoadEstimate) {
+	s.estimates[estimate.Model] = estimate
+}
+func (s *testSite) Log(string, string, ...any) {}
 
-func (s *site) wish(actions ...policy.Action) {
-	s.wishes = actions
+// propose makes the policy return the given actions in a decision that is due
+// now.
+func (s *testSite) propose(actions ...policy.Action) {
+	s.proposed = actions
 	s.owner.decideAt = time.Time{}
 }
 
-func (s *site) report(model api.ModelName, waiting, inFlight uint32) {
+// report reports demand for a model from one node.
+func (s *testSite) report(model api.ModelName, waiting, inFlight uint32) {
 	s.owner.Reported(s.now, api.NodeRef{ID: "n"}, []api.ModelDemand{{
 		Model: model, Arrivals: waiting, Waiting: waiting, InFlight: inFlight, LastArrival: s.now,
 	}})
 }
 
-func (s *site) holds(server api.ServerID, model api.ModelName) bool {
+// holds reports whether a server's engine holds a model.
+func (s *testSite) holds(server api.ServerID, model api.ModelName) bool {
 	_, held := s.items[server][model]
 	return held
 }
@@ -149,23 +160,23 @@
 	return policy.Action{Kind: policy.ActionUnload, Model: api.ModelName(model), Server: api.ServerID(server)}
 }
 
-// loaded lets a model be loaded on the server s.
-func (s *site) loaded(model string) {
-	s.wish(load(model, "s"))
+// loadModel loads a model on server "s".
+func (s *testSite) loadModel(model string) {
+	s.propose(load(model, "s"))
 	s.run(time.Second)
 }
 
-// stopPolls lets the server s read no inventory for a minute, and loses the
-// answers under way.
-func (s *site) stopPolls() {
+// stopPolls postpones the inventories of server "s" for a minute and drops
+// pending answers.
+func (s *testSite) stopPolls() {
 	s.owner.servers["s"].pollAt = s.now.Add(time.Minute)
 	s.owner.servers["s"].operation = nil
 	s.answers = nil
 }
 
-// replaceServers puts a server in the place of all that is known since a time
-// and is not recorded.
-func (s *site) replaceServers(knownAt time.Time) {
+// replaceServers replaces all servers by one that is known since the given time
+// and not recorded.
+func (s *testSite) replaceServers(knownAt time.Time) {
 	s.owner.servers = map[api.ServerID]*server{
 		"new": {Server: quorum.Server{ID: "new", MemoryBytes: 100}, knownAt: knownAt},
 	}
--- a/pkg/control/cell/types.go
+++ b/pkg/control/cell/types.go
@@ -11,19 +11,19 @@
 	"martenwheel.dev/pkg/policy"
 )
 
-// Sink takes what the owner wants done.
+// Sink receives the owner's outputs.
 type Sink interface {
-	// OrderEngine sends an order. It is sent at most once.
+	// OrderEngine sends an order at most once.
 	OrderEngine(server api.ServerID, address string, order engine.Order)
-	// ReadInventory fences an engine and reads its inventory.
+	// ReadInventory raises an engine's fence and reads its inventory.
 	ReadInventory(server api.ServerID, address string, request engine.InventoryRequest)
-	// Estimate answers a node's demand.
+	// Estimate sends a load estimate to a node that reported waiting requests.
 	Estimate(to api.NodeRef, estimate api.LoadEstimate)
-	// Log writes a log line; fields are key, value, ...
+	// Log writes a log line; fields are alternating keys and values.
 	Log(level, message string, fields ...any)
 }
 
-// Config sets up an Owner.
+// Config configures an Owner.
 type Config struct {
 	Cell    api.CellName
 	Self    api.NodeRef
@@ -33,22 +33,23 @@
 	Unsafe  switches.Set // tests only
 }
 
-// Timing holds the time constants of an owner. None matters for safety.
+// Timing holds the time constants of an owner. Safety does not depend on any of
+// them.
 type Timing struct {
-	InventoryInterval time.Duration // between inventories of a quiet server
-	BusyInterval      time.Duration // the same while loads or unloads are under way
-	OperationTimeout  time.Duration // until an unanswered order or inventory is in doubt
-	UnreachableRetry  time.Duration // first pause after a failed inventory; doubles
+	InventoryInterval time.Duration // interval of inventories of a server without loads or unloads in progress
+	BusyInterval      time.Duration // interval of inventories while loads or unloads are in progress
+	OperationTimeout  time.Duration // time after which an unanswered order or inventory request is given up
+	UnreachableRetry  time.Duration // first pause after a failed inventory; doubles with each failure
 	UnreachableMax    time.Duration // longest pause after failed inventories
-	DecideInterval    time.Duration // between decisions with no news
+	DecideInterval    time.Duration // longest time between two decisions
 	DecidePause       time.Duration // shortest time between two decisions
-	DrainGrace        time.Duration // until every router has stopped using a replica
-	DemandExpiry      time.Duration // how long a node's report counts
-	FailurePause      time.Duration // first pause after a failed load of a model; doubles
-	FailurePauseMax   time.Duration // longest pause after failed loads
-	ServerPause       time.Duration // how long a failed load keeps a model off that server
-	UnloadRetry       time.Duration // until an unload that shows no effect is repeated
-	ClockSkew         time.Duration // largest difference of the platform's clock
+	DrainGrace        time.Duration // time until every router has stopped using a replica
+	DemandExpiry      time.Duration // how long a node's demand report counts
+	FailurePause      time.Duration // first back-off after a failed load of a model; doubles with each failure
+	FailurePauseMax   time.Duration // longest back-off after failed loads
+	ServerPause       time.Duration // how long a model is not loaded again on a server where its load failed
+	UnloadRetry       time.Duration // time after which an unload without effect is repeated
+	ClockSkew         time.Duration // largest difference between the platform's clock and this node's
 }
 
 // DefaultTiming returns the time constants for engines a few milliseconds away.
@@ -71,9 +72,10 @@
 	}
 }
 
-// Start is what an owner begins with.
+// Start is the state that an owner begins with.
 type Start struct {
-	Term     uint64
+	Term uint64
+	// Data is the committed data of the group.
 	Data     quorum.Data
-	Previous api.CellView // the last view known, for the replicas' states
+	Previous api.CellView // last known view, which shows the replicas that were ready
 }
--- a/pkg/control/cell/view.go
+++ b/pkg/control/cell/view.go
@@ -4,13 +4,13 @@
 	"martenwheel.dev/pkg/api"
 )
 
-// TakeView returns the view for routers, and false if nothing has changed since
-// it was last taken. The members of the group are left to the caller.
+// TakeView returns the view for routers, and false if it has not changed since
+// the last call. The caller adds the members of the group.
 func (o *Owner) TakeView() (api.CellView, bool) {
-	if !o.changed {
+	if !o.viewChanged {
 		return api.CellView{}, false
 	}
-	o.changed = false
+	o.viewChanged = false
 	o.version++
 	view := api.CellView{Cell: o.config.Cell, Term: o.start.Term, Version: o.version, Leader: o.config.Self}
 	for _, s := range o.sortedServers() {
@@ -24,9 +24,9 @@
 	return view, true
 }
 
-// MarkChanged makes TakeView return a view although the cell did not change.
+// MarkChanged makes TakeView return a view even if the cell has not changed.
 func (o *Owner) MarkChanged() {
-	o.changed = true
+	o.viewChanged = true
 }
 
 func (o *Owner) serverView(s *server) api.ServerView {
--- a/pkg/control/cells.go
+++ b/pkg/control/cells.go
@@ -10,30 +10,33 @@
 )
 
 // advanceRounds bounds how often an owner's new data is proposed within one
-// event. More than one round is needed only while commits are immediate.
+// event. More than one round is needed only when a proposal commits immediately,
+// as it does in a group of one.
 const advanceRounds = 4
 
-// cellControl is this node's part in one cell: its place in the quorum group,
-// the owner while it leads, and the newest view.
+// cellControl holds this node's state for one cell: its member of the quorum
+// group, the Owner while this node leads the group, and the newest view.
 type cellControl struct {
 	machine     *Machine
 	name        api.CellName
 	models      []tree.Model
 	group       *quorum.Group
-	owner       *cell.Owner // nil unless this node leads
-	committed   uint64      // version of the group's state that the owner knows
+	owner       *cell.Owner // nil unless this node leads the group
+	committed   uint64      // version of the group's state that the owner last received
 	view        api.CellView
-	newestClaim claimEntry // on the weight store, heard or, at the owner, told
+	newestClaim claimEntry // claim on the weight store: computed here at the owner, received from peers elsewhere
 
-	formation     formation
-	leaderlessAt  time.Time // since when this member has heard of no leader
-	record        recordKeeper
-	calls         recordCalls
-	leaving       []api.NodeRef // members that asked to be replaced
+	formation       formation
+	leaderlessSince time.Time // since when this member has not heard from a leader
+	record          recordKeeper
+	calls           recordCalls
+	leaving         []api.NodeRef // members that asked to be replaced
+	// reconfigureAt is when the members are checked next, publishAt the earliest
+	// time of the next view.
 	reconfigureAt time.Time
 	publishAt     time.Time
-	estimates     map[quorum.Member]*outbox
-	outboxes      []quorum.Member // in order of first use
+	estimates     map[quorum.Member]*outbox // estimates to send, by node
+	outboxes      []quorum.Member           // keys of estimates in order of first use
 }
 
 func newCellControl(m *Machine, name api.CellName) *cellControl {
@@ -46,7 +49,8 @@
 	}
 }
 
-// tick lets time pass for the group and for what watches over it.
+// tick runs the time-driven work of the cell: group, formation, record and
+// membership.
 func (c *cellControl) tick() {
 	c.sendGroup(c.group.Tick(c.machine.now))
 	c.tickFormation()
@@ -60,12 +64,12 @@
 	}
 }
 
-// advance lets the owner act, and begins or ends its ownership as this node
-// gains or loses the lead of the group.
+// advance starts or ends ownership as this node gains or loses the lead of the
+// group, and lets the owner act.
 func (c *cellControl) advance() {
 	now := c.machine.now
 	for range advanceRounds {
-		c.followLead(now)
+		c.syncOwnership(now)
 		if c.owner == nil {
 			return
 		}
@@ -90,8 +94,8 @@
 	c.flushEstimates()
 }
 
-// followLead makes the owner match the group's state.
-func (c *cellControl) followLead(now time.Time) {
+// syncOwnership starts, ends or updates the owner to match the group's state.
+func (c *cellControl) syncOwnership(now time.Time) {
 	term, leading := c.group.Leading()
 	if !leading {
 		c.endOwnership()
@@ -107,7 +111,7 @@
 	}
 }
 
-// beginOwnership makes the owner for a term that this node has begun to lead in.
+// beginOwnership creates the owner for a term that this node now leads.
 func (c *cellControl) beginOwnership(now time.Time, term uint64) {
 	state := c.group.Committed()
 	c.owner = cell.New(now, cell.Config{
@@ -119,16 +123,16 @@
 	c.record.reset(now)
 	c.leaving = c.stillLeaving()
 	c.reconfigureAt = now
-	c.machine.machinesAt = now
+	c.machine.nextListAt = now
 	if state.Data.Revision > uint64(c.machine.TreeRevision()) {
-		c.machine.treePoll = now // nothing is loaded before
+		c.machine.nextTreePollAt = now // the owner loads nothing until it has a tree of at least this revision
 	}
 	c.Log("info", "cell owned", "term", term)
 	c.machine.repeatDemand(c)
 }
 
-// endOwnership drops the owner. Engines judge its orders under way by their
-// fences.
+// endOwnership drops the owner. Engines reject its outstanding orders once a
+// later owner has raised their fences.
 func (c *cellControl) endOwnership() {
 	if c.owner == nil {
 		return
@@ -138,11 +142,11 @@
 	c.estimates, c.outboxes = nil, nil
 }
 
-// checkTerm gives up the lead when an engine has seen a higher term, or when
-// the fences of this one run out.
+// checkTerm gives up the lead when an engine has seen a higher term, or when this
+// term's fences are used up.
 func (c *cellControl) checkTerm(now time.Time) {
 	if term := c.owner.DeposedBy(); term > 0 {
-		c.Log("warn", "an engine follows a later owner", "term", term)
+		c.Log("warn", "engine is fenced by a later owner", "term", term)
 		c.group.NoticeTerm(now, term)
 	}
 	if c.owner.Exhausted() {
@@ -150,7 +154,7 @@
 	}
 }
 
-// epoch returns the epoch of the newest view of the cell, or zero without one.
+// epoch returns the epoch of the newest view, or zero without a view.
 func (c *cellControl) epoch() uint64 {
 	return quorum.Epoch(c.view.Term)
 }
--- a/pkg/control/claims.go
+++ b/pkg/control/claims.go
@@ -7,15 +7,17 @@
 	"martenwheel.dev/pkg/membership"
 )
 
-// claimEntry is the newest claim of a cell on the weight store.
+// claimEntry is the newest known claim of a cell on the weight store, with the
+// owner's term and the claim's version in that term.
 type claimEntry struct {
 	claim   weights.Claim
 	term    uint64
 	version uint64
 }
 
-// hearClaim takes over a newer claim of another owner.
-func (c *cellControl) hearClaim(now time.Time, theirs membership.CellVersion) {
+// updateClaim stores the claim from a peer's digest if it is newer. An owner
+// keeps its own claim.
+func (c *cellControl) updateClaim(now time.Time, theirs membership.CellVersion) {
 	if c.owner != nil {
 		return
 	}
@@ -27,12 +29,13 @@
 		term:    theirs.Term,
 		version: theirs.LoadsVersion,
 		claim: weights.Claim{
-			Cell: c.name, Active: theirs.ActiveLoads, Wanted: theirs.WantedLoads, Urgent: theirs.UrgentLoads, Heard: now,
+			Cell: c.name, Active: theirs.ActiveLoads, Wanted: theirs.WantedLoads, Urgent: theirs.UrgentLoads, UpdatedAt: now,
 		},
 	}
 }
 
-// refreshClaims renews the claims of the cells that this node owns.
+// refreshClaims recomputes the claims of the cells that this node owns and
+// publishes them in the digest.
 func (m *Machine) refreshClaims() {
 	if m.now.Before(m.claimsAt) {
 		return
@@ -56,7 +59,8 @@
 	m.updateDigest()
 }
 
-// allocation is the cell's part of the weight store's slots.
+// allocation returns the cell's share of the weight store's load slots and load
+// rate.
 func (c *cellControl) allocation(now time.Time) weights.Allocation {
 	m := c.machine
 	budget := weights.Budget{Slots: 1, Rate: 1}
@@ -73,7 +77,8 @@
 	return weights.Share(now, budget, c.owner.Claim(now), others)
 }
 
-// claim returns the cell's claim on the weight store as known here.
+// claim returns the cell's claim on the weight store: the owner's current one if
+// this node owns the cell, else the newest one received.
 func (c *cellControl) claim(now time.Time) weights.Claim {
 	if c.owner != nil {
 		return c.owner.Claim(now)
--- a/pkg/control/delta.go
+++ b/pkg/control/delta.go
@@ -7,20 +7,21 @@
 	"martenwheel.dev/pkg/control/quorum"
 )
 
-// ViewDelta brings what changed in a view of a cell since version Base of the
-// same term. A node that does not have that version asks for the whole view.
+// ViewDelta is a peer message with the changes to a cell's view since version
+// Base of the same term. A node that does not have version Base requests the
+// whole view.
 type ViewDelta struct {
 	Cell            api.CellName
 	Term            uint64
-	Base            uint64
-	Version         uint64
-	Servers         []api.ServerView // new or changed
+	Base            uint64           // version of the view that the delta applies to
+	Version         uint64           // version of the view after the delta
+	Servers         []api.ServerView // new or changed servers
 	RemovedServers  []api.ServerID
-	Replicas        []api.Replica // new or changed
+	Replicas        []api.Replica // new or changed replicas
 	RemovedReplicas []ReplicaKey
 }
 
-// ReplicaKey names a replica: a server holds a model at most once.
+// ReplicaKey identifies a replica: a server holds a model at most once.
 type ReplicaKey struct {
 	Server api.ServerID
 	Model  api.ModelName
@@ -34,8 +35,8 @@
 	return server.ID
 }
 
-// makeDelta returns the change from one view to the next, and false if it can't
-// be told as one: the term or the configuration differs.
+// makeDelta returns the change from one view to the next. It returns false if
+// term or configuration differ, since a delta cannot express that.
 func makeDelta(from, to api.CellView) (ViewDelta, bool) {
 	if from.Term != to.Term || from.ConfigVersion != to.ConfigVersion {
 		return ViewDelta{}, false
@@ -46,8 +47,8 @@
 	return delta, true
 }
 
-// difference returns the values of to that are not in from, and the keys of
-// those in from that are not in to.
+// difference returns the values of to that are new or changed compared with from,
+// and the keys of from that are missing in to.
 func difference[K, V comparable](from, to []V, key func(V) K) (changed []V, removed []K) {
 	old := make(map[K]V, len(from))
 	for _, value := range from {
@@ -67,7 +68,8 @@
 	return changed, removed
 }
 
-// apply returns the view after the delta, which must be based on it.
+// apply returns the view after the delta. The given view must be the delta's
+// base.
 func (d ViewDelta) apply(view api.CellView) api.CellView {
 	view.Version = d.Version
 	view.Servers = merge(view.Servers, d.Servers, d.RemovedServers, idOf)
@@ -83,8 +85,8 @@
 	return view
 }
 
-// merge returns a copy of values with the changed ones put in and the removed
-// ones left out.
+// merge returns a copy of values with changed values replaced or added and
+// removed ones left out.
 func merge[K, V comparable](values, changed []V, removed []K, key func(V) K) []V {
 	replaced := make(map[K]bool, len(changed)+len(removed))
 	for _, value := range changed {
@@ -102,12 +104,13 @@
 	return append(merged, changed...)
 }
 
-// takeDelta applies a delta, or asks its sender for the whole view.
-func (m *Machine) takeDelta(from api.NodeRef, delta ViewDelta) {
+// handleDelta applies a delta to its base view, or requests the whole view from
+// the sender if this node lacks the base and the delta is newer.
+func (m *Machine) handleDelta(from api.NodeRef, delta ViewDelta) {
 	c := m.ensureCell(delta.Cell)
 	c.group.Supersede(quorum.Epoch(delta.Term))
 	if delta.Term == c.view.Term && delta.Base == c.view.Version {
-		m.takeView(delta.apply(c.view))
+		m.handleView(delta.apply(c.view))
 		return
 	}
 	if (api.CellView{Term: delta.Term, Version: delta.Version}).NewerThan(c.view) {
--- a/pkg/control/delta_test.go
+++ b/pkg/control/delta_test.go
@@ -13,7 +13,8 @@
 	"martenwheel.dev/pkg/api"
 )
 
-// TestDeltasRebuildViews: a view plus the delta to the next is the next.
+// TestDeltasRebuildViews checks that a view plus the delta to the next view
+// equals the next view.
 func TestDeltasRebuildViews(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(20260101)
 	properties := gopter.NewProperties(parameters)
@@ -50,10 +51,10 @@
 	return view
 }
 
-// TestMissedViewIsAskedFor: a delta on a view that the node does not have is
-// answered by a request for the whole view, and an old one by nothing.
+// TestMissedViewIsAskedFor checks that a node requests the whole view when it
+// lacks the base of a delta, and that it ignores outdated deltas.
 func TestMissedViewIsAskedFor(t *testing.T) {
-	s := newStandby(1, 1)
+	s := newHarness(1, 1)
 	owner := api.NodeRef{ID: "owner"}
 	s.machine.Step(s.now, PeerReceived{From: owner, Message: ViewPush{View: api.CellView{Cell: "c@r", Term: 9, Version: 3}}})
 	effects := s.machine.Step(s.now, PeerReceived{From: owner, Message: ViewDelta{Cell: "c@r", Term: 9, Base: 4, Version: 5}})
@@ -62,6 +63,6 @@
 		t.Errorf("effects = %+v, want %+v", effects, want)
 	}
 	if effects := s.machine.Step(s.now, PeerReceived{From: owner, Message: ViewDelta{Cell: "c@r", Term: 8, Base: 1, Version: 9}}); len(effects) > 0 {
-		t.Errorf("an old delta has effects: %+v", effects)
+		t.Errorf("effects of an outdated delta = %+v, want none", effects)
 	}
 }
--- a/pkg/control/demand.go
+++ b/pkg/control/demand.go
@@ -8,16 +8,19 @@
 	"martenwheel.dev/pkg/api"
 )
 
-// demandMemory is how long reported demand is repeated to a new owner.
-const demandMemory = 5 * time.Second
+// demandRetention is how long demand that was already sent is repeated to a new
+// owner.
+const demandRetention = 5 * time.Second
 
-// demandBuffer collects what this node's routers see until it is sent.
+// demandBuffer collects the demand that this node's routers report until it is
+// sent to the owners.
 type demandBuffer struct {
 	pending map[api.ModelName]api.ModelDemand
-	sent    map[api.ModelName]sentDemand // the last that was sent of each model
+	sent    map[api.ModelName]sentDemand // last demand sent, by model
 	flushAt time.Time
 }
 
+// sentDemand is demand that was sent to an owner, and when.
 type sentDemand struct {
 	demand api.ModelDemand
 	at     time.Time
@@ -30,8 +33,8 @@
 	}
 }
 
-// add merges seen into what is pending: counts of events add up, and of levels
-// the newest counts.
+// add merges seen into the pending demand: arrivals add up, gauges such as
+// Waiting take the newest value.
 func (b *demandBuffer) add(seen api.ModelDemand) {
 	previous, pending := b.pending[seen.Model]
 	if pending {
@@ -43,9 +46,9 @@
 	b.pending[seen.Model] = seen
 }
 
-// takeDemand sends a first waiter on at once and keeps the rest for the next
-// report.
-func (m *Machine) takeDemand(seen api.ModelDemand) {
+// handleDemand sends the first waiting request of a model to the owner at once,
+// since it may need a load. Other demand is sent with the next report.
+func (m *Machine) handleDemand(seen api.ModelDemand) {
 	m.demand.add(seen)
 	c, known := m.cells[m.modelCell[seen.Model]]
 	if !known {
@@ -59,7 +62,7 @@
 	}
 }
 
-// serves tells whether the view shows a ready replica of a model.
+// serves reports whether the view shows a ready replica of a model.
 func (c *cellControl) serves(model api.ModelName) bool {
 	for _, replica := range c.view.Replicas {
 		if replica.Model == model && replica.State == api.ReplicaReady {
@@ -69,7 +72,7 @@
 	return false
 }
 
-// flushDemand sends what has been collected, about once in DemandInterval.
+// flushDemand sends all pending demand once per DemandInterval.
 func (m *Machine) flushDemand() {
 	if m.now.Before(m.demand.flushAt) {
 		return
@@ -87,8 +90,8 @@
 	}
 }
 
-// sendDemand sends the pending demand of some models to the cell's owner. With
-// no owner known it stays pending.
+// sendDemand sends the pending demand of the given models to the cell's owner.
+// Without a known owner the demand stays pending.
 func (m *Machine) sendDemand(c *cellControl, models []api.ModelName) {
 	owner, known := c.ownerNode()
 	if !known || len(models) == 0 {
@@ -102,13 +105,14 @@
 		delete(m.demand.pending, model)
 	}
 	if m.isSelf(owner) {
-		m.takeReport(owner, report)
+		m.handleDemandReport(owner, report)
 		return
 	}
 	m.send(owner, report)
 }
 
-// ownerNode returns the node that owns the cell, as far as known.
+// ownerNode returns the node that owns the cell according to the group or,
+// failing that, the newest view.
 func (c *cellControl) ownerNode() (api.NodeRef, bool) {
 	if c.owner != nil {
 		return c.machine.config.Self, true
@@ -119,8 +123,8 @@
 	return c.view.Leader, c.view.Term > 0
 }
 
-// repeatDemand tells a new owner of the requests that wait here, whether an
-// owner before it was told or not.
+// repeatDemand reports the requests that wait on this node to a new owner,
+// including those already reported to the previous owner.
 func (m *Machine) repeatDemand(c *cellControl) {
 	var waiting []api.ModelName
 	for _, model := range c.models {
@@ -131,7 +135,7 @@
 	}
 	for _, model := range slices.Sorted(maps.Keys(m.demand.sent)) {
 		last := m.demand.sent[model]
-		if m.modelCell[model] != c.name || last.demand.Waiting == 0 || m.now.Sub(last.at) >= demandMemory {
+		if m.modelCell[model] != c.name || last.demand.Waiting == 0 || m.now.Sub(last.at) >= demandRetention {
 			continue
 		}
 		if _, pending := m.demand.pending[model]; !pending {
@@ -144,8 +148,9 @@
 	m.sendDemand(c, waiting)
 }
 
-// takeReport gives a node's demand to the owner, if this node is it.
-func (m *Machine) takeReport(from api.NodeRef, report api.DemandReport) {
+// handleDemandReport passes a node's demand to the owner if this node owns the
+// cell.
+func (m *Machine) handleDemandReport(from api.NodeRef, report api.DemandReport) {
 	if c, known := m.cells[report.Cell]; known && c.owner != nil {
 		c.owner.Reported(m.now, from, report.Models)
 	}
--- a/pkg/control/explore/calls_test.go
+++ b/pkg/control/explore/calls_test.go
@@ -11,31 +11,34 @@
 	"martenwheel.dev/pkg/platform"
 )
 
-// latency is the one-way delay of a message.
-func (w *world) latency() time.Duration {
+// latency returns a random one-way delay of a message.
+func (w *simulation) latency() time.Duration {
 	if w.chance(w.odds.late) {
-		return w.between(100*time.Millisecond, 15*time.Second)
+		return w.randomDuration(100*time.Millisecond, 15*time.Second)
 	}
-	return w.between(time.Millisecond, 5*time.Millisecond)
+	return w.randomDuration(time.Millisecond, 5*time.Millisecond)
 }
 
-// depart runs send when the bytes leave the process, which is after it wakes if
-// it froze meanwhile. They may leave even if the process has died since.
+// depart runs send when the bytes leave the process. A frozen process sends them
+// after it wakes; a process that died in the meantime may still send them.
 func (n *node) depart(send func()) {
-	life := n.life
-	n.world.after(n.world.between(0, 2*time.Millisecond), func() { n.departNow(life, send) })
+	incarnation := n.incarnation
+	n.sim.after(n.sim.randomDuration(0, 2*time.Millisecond), func() { n.departNow(incarnation, send) })
 }
 
-func (n *node) departNow(life uint64, send func()) {
-	if n.life == life && n.frozen {
-		n.world.after(50*time.Millisecond, func() { n.departNow(life, send) })
+// departNow runs send, or waits while the process is frozen.
+func (n *node) departNow(incarnation uint64, send func()) {
+	if n.incarnation == incarnation && n.frozen {
+		n.sim.after(50*time.Millisecond, func() { n.departNow(incarnation, send) })
 		return
 	}
 	send()
 }
 
+// sendPeer delivers a message to another node unless it is lost or the link is
+// cut. It may deliver it twice.
 func (n *node) sendPeer(e control.SendPeer) {
-	w := n.world
+	w := n.sim
 	if w.onSend != nil {
 		w.onSend(n, e)
 	}
@@ -54,23 +57,25 @@
 	})
 }
 
-func (w *world) arrive(address string, event control.Event) {
+// arrive delivers an event to the node with the given address.
+func (w *simulation) arrive(address string, event control.Event) {
 	for _, n := range w.nodes {
 		if n.address() == address {
-			n.deliver(n.life, event)
+			n.deliver(n.incarnation, event)
 		}
 	}
 }
 
+// callFailure is the way in which a call failed, or callAnswered.
 type callFailure int
 
-// call carries out a request to another party and gives exactly one answer:
-// its result, a surely failed call, or an unknown outcome.
+// call performs a request to another party, possibly twice, and delivers exactly
+// one answer: a result, a certain failure, or an unknown outcome.
 func (n *node) call(party string, carryOut func(), answer func(failure callFailure) control.Event) {
-	w := n.world
-	life := n.life
+	w := n.sim
+	incarnation := n.incarnation
 	reply := func(delay time.Duration, failure callFailure) {
-		w.after(delay, func() { n.deliver(life, answer(failure)) })
+		w.after(delay, func() { n.deliver(incarnation, answer(failure)) })
 	}
 	n.depart(func() {
 		if w.cut(n.address(), party) {
@@ -108,15 +113,15 @@
 }
 
 func (n *node) orderEngine(e control.OrderEngine) {
-	if n.world.onOrder != nil {
-		n.world.onOrder(e)
+	if n.sim.onOrder != nil {
+		n.sim.onOrder(e)
 	}
-	given := ordering{issued: n.world.steps}
+	given := orderContext{step: n.sim.steps}
 	if n.tree != nil {
 		given.limit = n.tree.model(e.Order.Model).Settings.MaxReplicas
 	}
 	var result engine.OrderResult
-	carryOut := func(target *modelEngine) { result = target.order(e.Order, given) }
+	carryOut := func(target *simEngine) { result = target.order(e.Order, given) }
 	n.callEngine(e.Server, e.Address, carryOut, func(failure callFailure) control.Event {
 		answered := control.OrderAnswered{Server: e.Server, Order: e.Order, Err: failure.engineError()}
 		if failure == callAnswered {
@@ -128,7 +133,7 @@
 
 func (n *node) readInventory(e control.ReadInventory) {
 	var inventory engine.Inventory
-	carryOut := func(target *modelEngine) { inventory = target.inventory(e.Request) }
+	carryOut := func(target *simEngine) { inventory = target.inventory(e.Request) }
 	n.callEngine(e.Server, e.Address, carryOut, func(failure callFailure) control.Event {
 		answered := control.InventoryAnswered{Server: e.Server, Request: e.Request, Err: failure.engineError()}
 		if failure == callAnswered {
@@ -138,10 +143,10 @@
 	})
 }
 
-// callEngine is call for a server's engine, which is not reached while it is
+// callEngine is call for a server's engine, which is unreachable while it is
 // down.
-func (n *node) callEngine(id api.ServerID, address string, carryOut func(*modelEngine), answer func(callFailure) control.Event) {
-	target := n.world.server(id)
+func (n *node) callEngine(id api.ServerID, address string, carryOut func(*simEngine), answer func(callFailure) control.Event) {
+	target := n.sim.server(id)
 	reached := false
 	carryOutIfUp := func() {
 		if target != nil && !target.down {
@@ -160,7 +165,7 @@
 func (n *node) listMachines() {
 	var list platform.MachineList
 	down := false
-	n.call("machines", func() { list, down = n.world.laggingList(), n.world.listDown }, func(failure callFailure) control.Event {
+	n.call("machines", func() { list, down = n.sim.laggingList(), n.sim.listDown }, func(failure callFailure) control.Event {
 		if down {
 			failure = callUnreached
 		}
@@ -171,7 +176,7 @@
 func (n *node) readRecord(e control.ReadRecord) {
 	var record platform.Record
 	read := func() (err error) {
-		record, err = n.world.table.get(e.Key)
+		record, err = n.sim.table.get(e.Key)
 		return err
 	}
 	n.callTable(read, func(err error) control.Event {
@@ -180,19 +185,19 @@
 }
 
 func (n *node) commitRecord(e control.CommitRecord) {
-	commit := func() error { return n.world.table.commit(e.Transaction) }
+	commit := func() error { return n.sim.table.commit(e.Transaction) }
 	n.callTable(commit, func(err error) control.Event {
 		return control.RecordCommitted{Transaction: e.Transaction, Err: err}
 	})
 }
 
-// callTable is call for the table service, which carries out nothing while it
-// is down.
+// callTable is call for the table service, which performs nothing while it is
+// down.
 func (n *node) callTable(carryOut func() error, answer func(error) control.Event) {
 	var err error
 	carryOutIfUp := func() {
 		err = errors.WithStack(platform.ErrUnavailable)
-		if !n.world.table.down {
+		if !n.sim.table.down {
 			err = carryOut()
 		}
 	}
@@ -204,21 +209,23 @@
 	})
 }
 
-// fetchTree brings the tree of a peer, or one of the platform, which may be
-// stale.
+// fetchTree fetches the tree of a peer or of the platform, which may return an
+// older one.
 func (n *node) fetchTree(e control.FetchTree) {
-	w := n.world
-	life := n.life
+	w := n.sim
+	incarnation := n.incarnation
 	n.depart(func() {
 		w.after(w.latency(), func() {
 			fetched := n.fetched(e.Peer)
-			w.after(w.latency(), func() { n.useTree(life, fetched) })
+			w.after(w.latency(), func() { n.useTree(incarnation, fetched) })
 		})
 	})
 }
 
+// fetched returns the tree of a peer or of the platform, or nil if it cannot be
+// read.
 func (n *node) fetched(peer string) *settings {
-	w := n.world
+	w := n.sim
 	if peer == "" {
 		if w.treeDown || w.cut(n.address(), "table") {
 			return nil
--- a/pkg/control/explore/decider_test.go
+++ b/pkg/control/explore/decider_test.go
@@ -31,13 +31,13 @@
 	return actions
 }
 
-// recklessDecider wishes anything, whatever the limits.
-type recklessDecider struct{ world *world }
+// randomDecider proposes random actions without regard to any limit.
+type randomDecider struct{ sim *simulation }
 
-func (recklessDecider) Name() string { return "" }
+func (randomDecider) Name() string { return "" }
 
-func (d recklessDecider) Decide(_ time.Time, input policy.Input) []policy.Action {
-	w := d.world
+func (d randomDecider) Decide(_ time.Time, input policy.Input) []policy.Action {
+	w := d.sim
 	var actions []policy.Action
 	for _, model := range input.Models {
 		for _, server := range input.Servers {
--- a/pkg/control/explore/engine_test.go
+++ b/pkg/control/explore/engine_test.go
@@ -11,51 +11,55 @@
 	"martenwheel.dev/pkg/platform"
 )
 
-// modelEngine judges fences and nothing else: it loads whatever it is told, so
-// that the owners' own accounting is what keeps the limits.
-type modelEngine struct {
-	world    *world
-	id       api.ServerID
-	address  string
-	life     int
-	fence    api.Fence
-	last     engine.OrderResult // of the order with the last accepted fence
-	capacity uint64
-	leaving  bool
-	down     bool
-	items    map[api.ModelName]*modelItem
-	machine  platform.MachineState
+// simEngine simulates an engine. It checks fences and nothing else: it loads
+// whatever it is ordered to, so that only the owners' own accounting enforces the
+// limits.
+type simEngine struct {
+	sim         *simulation
+	id          api.ServerID
+	address     string
+	incarnation int
+	fence       api.Fence
+	last        engine.OrderResult // result of the order with the last accepted fence
+	capacity    uint64
+	leaving     bool
+	down        bool
+	items       map[api.ModelName]*simItem
+	machine     platform.MachineState
 }
 
-type modelItem struct {
+// simItem is a model that a simulated engine holds.
+type simItem struct {
 	engine.Item
-	held uint64 // bytes with KV cache
-	ordering
-	term uint64
+	held uint64 // memory in bytes including the KV cache
+	orderContext
+	term uint64 // term of the owner that ordered the load
 }
 
-// ordering is what the world remembers of the moment in which an order was
-// given.
-type ordering struct {
-	limit  int // max_replicas in force at the node
-	issued int // step of the world
+// orderContext records the state of the simulation when an order was sent.
+type orderContext struct {
+	limit int // max_replicas in the tree of the ordering node
+	step  int // simulation step in which the order was sent
 }
 
-func (e *modelEngine) instance() string {
-	return fmt.Sprintf("%s#%d", e.id, e.life)
+// instance returns the ID of the engine's current instance.
+func (e *simEngine) instance() string {
+	return fmt.Sprintf("%s#%d", e.id, e.incarnation)
 }
 
-// restart empties the engine.
-func (e *modelEngine) restart() {
-	e.life++
+// restart replaces the engine by a new instance that holds nothing.
+func (e *simEngine) restart() {
+	e.incarnation++
 	e.fence = 0
 	e.last = engine.OrderResult{}
 	e.leaving = false
-	e.items = make(map[api.ModelName]*modelItem)
-	e.world.note("engine %s restarts", e.id)
+	e.items = make(map[api.ModelName]*simItem)
+	e.sim.tracef("engine %s restarts", e.id)
 }
 
-func (e *modelEngine) order(order engine.Order, given ordering) engine.OrderResult {
+// order executes an order unless its instance or fence is outdated. A repeated
+// order gets the same result again.
+func (e *simEngine) order(order engine.Order, given orderContext) engine.OrderResult {
 	if order.Instance != "" && order.Instance != e.instance() {
 		return e.answer(engine.OrderWrongInstance)
 	}
@@ -70,11 +74,11 @@
 	return e.last
 }
 
-func (e *modelEngine) answer(status engine.OrderStatus) engine.OrderResult {
+func (e *simEngine) answer(status engine.OrderStatus) engine.OrderResult {
 	return engine.OrderResult{Status: status, Fence: e.fence, Instance: e.instance()}
 }
 
-func (e *modelEngine) apply(order engine.Order, given ordering) engine.OrderResult {
+func (e *simEngine) apply(order engine.Order, given orderContext) engine.OrderResult {
 	item := e.items[order.Model]
 	switch order.Kind {
 	case engine.OrderLoad, engine.OrderLoadAdapter:
@@ -82,7 +86,7 @@
 			return e.answer(engine.OrderLeaving)
 		}
 		if item != nil && item.State != engine.ItemFailed {
-			e.world.fail("%s: load of %s, which it already holds", e.id, order.Model)
+			e.sim.violate("%s was ordered to load %s, which it already holds", e.id, order.Model)
 		}
 		if order.Base != "" && (e.items[order.Base] == nil || e.items[order.Base].State != engine.ItemReady) {
 			return e.answer(engine.OrderUnknownModel)
@@ -97,21 +101,21 @@
 	return e.answer(engine.OrderAccepted)
 }
 
-func (e *modelEngine) load(order engine.Order, given ordering) {
-	item := &modelItem{
+func (e *simEngine) load(order engine.Order, given orderContext) {
+	item := &simItem{
 		Item: engine.Item{
 			Model: order.Model, Base: order.Base, State: engine.ItemLoading,
 			MemoryBytes: order.MemoryBytes, OrderID: order.ID, Fence: order.Fence,
 		},
-		held:     order.MemoryBytes + e.world.kvBytes(order.Model),
-		ordering: given,
-		term:     order.Fence.Term(),
+		held:         order.MemoryBytes + e.sim.kvBytes(order.Model),
+		orderContext: given,
+		term:         order.Fence.Term(),
 	}
 	e.items[order.Model] = item
-	e.world.note("%s loads %s (term %x)", e.id, order.Model, order.Fence.Term())
-	took := e.world.between(200*time.Millisecond, 3*time.Second)
-	failed := e.world.chance(e.world.odds.loadFails)
-	e.world.after(took, func() {
+	e.sim.tracef("%s loads %s (term %x)", e.id, order.Model, order.Fence.Term())
+	took := e.sim.randomDuration(200*time.Millisecond, 3*time.Second)
+	failed := e.sim.chance(e.sim.odds.loadFails)
+	e.sim.after(took, func() {
 		if e.items[order.Model] != item || item.State != engine.ItemLoading {
 			return
 		}
@@ -120,26 +124,26 @@
 			item.State = engine.ItemFailed
 		}
 	})
-	e.world.check()
-	e.world.checkLoad(order.Model)
+	e.sim.check()
+	e.sim.checkLoad(order.Model)
 }
 
-func (e *modelEngine) unload(item *modelItem) {
-	e.world.note("%s unloads %s", e.id, item.Model)
+func (e *simEngine) unload(item *simItem) {
+	e.sim.tracef("%s unloads %s", e.id, item.Model)
 	item.State = engine.ItemUnloading
-	e.world.after(e.world.between(50*time.Millisecond, 4*time.Second), func() {
+	e.sim.after(e.sim.randomDuration(50*time.Millisecond, 4*time.Second), func() {
 		if e.items[item.Model] == item {
 			delete(e.items, item.Model)
 		}
 	})
 }
 
-func (e *modelEngine) inventory(request engine.InventoryRequest) engine.Inventory {
+func (e *simEngine) inventory(request engine.InventoryRequest) engine.Inventory {
 	e.fence = max(e.fence, request.Fence)
 	inventory := engine.Inventory{
 		Instance: e.instance(), Fence: e.fence, CapacityBytes: e.capacity, Leaving: e.leaving,
 	}
-	for _, model := range e.world.models {
+	for _, model := range e.sim.models {
 		if item := e.items[model]; item != nil {
 			inventory.Items = append(inventory.Items, item.Item)
 			inventory.UsedBytes += item.MemoryBytes
@@ -148,20 +152,20 @@
 	return inventory
 }
 
-// holds tells whether the engine holds memory for a model.
-func (e *modelEngine) holds(model api.ModelName) bool {
+// holds reports whether the engine holds memory for a model.
+func (e *simEngine) holds(model api.ModelName) bool {
 	item := e.items[model]
 	return item != nil && item.State != engine.ItemFailed
 }
 
-// modelTable is the table service.
-type modelTable struct {
+// simTable simulates the table service.
+type simTable struct {
 	records map[string]platform.Record
 	tokens  map[string]bool
 	down    bool
 }
 
-func (t *modelTable) get(key string) (platform.Record, error) {
+func (t *simTable) get(key string) (platform.Record, error) {
 	record, found := t.records[key]
 	if !found {
 		return platform.Record{}, errors.WithStack(platform.ErrNotFound)
@@ -169,7 +173,7 @@
 	return record, nil
 }
 
-func (t *modelTable) commit(transaction platform.Transaction) error {
+func (t *simTable) commit(transaction platform.Transaction) error {
 	if t.tokens[transaction.Token] {
 		return nil
 	}
--- a/pkg/control/explore/explore_test.go
+++ b/pkg/control/explore/explore_test.go
@@ -16,22 +16,24 @@
 )
 
 // TestSchedules runs random schedules of faults. A failure prints the seed and
-// the steps; -explore.seed=N -explore.schedules=1 repeats it.
+// the trace. The flags -explore.seed=N -explore.schedules=1 reproduce it.
 func TestSchedules(t *testing.T) {
 	runSchedules(t, *schedules, options{recovery: true})
 }
 
-// TestSchedulesWithMembership runs a fifth as many with package membership,
-// which costs more steps, in place of the oracle.
+// TestSchedulesWithMembership uses package membership instead of the oracle. It
+// runs a fifth as many schedules, because each takes more steps.
 func TestSchedulesWithMembership(t *testing.T) {
 	runSchedules(t, *schedules/5, options{recovery: true, ownMembership: true})
 }
 
+// runSchedules runs schedules in batches up to the first violation, which it
+// repeats with tracing.
 func runSchedules(t *testing.T, count int, o options) {
 	t.Helper()
 	var failed *violation
 	for first := 0; first < count && failed == nil; first += batch {
-		var explored extent
+		var explored exploreStats
 		seed := *firstSeed + uint64(first)
 		failed, explored = explore(seed, min(batch, count-first), o)
 		t.Logf("%d schedules from seed %d, %d steps", explored.schedules, seed, explored.steps)
@@ -44,39 +46,39 @@
 	t.Log("\n" + strings.Join(again.trace, "\n"))
 }
 
-// foundSeeds are schedules that broke a promise or did not recover at some time.
-// The causes have tests of their own; see docs/proposals/0033.
+// foundSeeds are regression seeds: schedules that have violated an invariant or
+// failed to recover. Each cause also has a test of its own.
 var foundSeeds = []uint64{14, 31, 1024062, 3015782}
 
-// TestFoundSchedules runs the schedules that once failed.
+// TestFoundSchedules runs the schedules of foundSeeds.
 func TestFoundSchedules(t *testing.T) {
 	for _, seed := range foundSeeds {
 		w := runSchedule(seed, options{}, false)
-		if w.failure != "" || w.stuck != "" {
-			t.Errorf("seed %d: %s%s", seed, w.failure, w.stuck)
+		if w.failure != "" || w.unrecoveredState != "" {
+			t.Errorf("seed %d: violation %q, unrecovered %q", seed, w.failure, w.unrecoveredState)
 		}
 	}
 }
 
-// extent tells how much was explored.
-type extent struct {
+// exploreStats counts what was explored.
+type exploreStats struct {
 	schedules int64
 	steps     int64
 }
 
-// batch is the number of schedules after which a long run tells how far it is.
+// batch is the number of schedules after which a long run logs its progress.
 const batch = 5000
 
-// violation is a schedule in which a promise was broken.
+// violation is a schedule in which an invariant was violated.
 type violation struct {
 	seed    uint64
 	failure string
 }
 
-// explore runs schedules with the seeds from first and returns the violation
-// with the smallest seed, if any, and what was explored. It begins no schedule
-// after a violation.
-func explore(first uint64, count int, o options) (*violation, extent) {
+// explore runs schedules with consecutive seeds starting at first. It returns the
+// violation with the smallest seed, if any, and what was explored. It starts no
+// new schedule after a violation.
+func explore(first uint64, count int, o options) (*violation, exploreStats) {
 	found := make([]*violation, count)
 	var steps, run atomic.Int64
 	var stop atomic.Int64
@@ -92,7 +94,7 @@
 			steps.Add(int64(w.steps))
 			run.Add(1)
 			if w.failure == "" && o.recovery {
-				w.failure = w.stuck
+				w.failure = w.unrecoveredState
 			}
 			if w.failure != "" {
 				found[index] = &violation{seed: seed, failure: w.failure}
@@ -101,7 +103,7 @@
 		})
 	}
 	running.Wait()
-	explored := extent{schedules: run.Load(), steps: steps.Load()}
+	explored := exploreStats{schedules: run.Load(), steps: steps.Load()}
 	for _, failed := range found {
 		if failed != nil {
 			return failed, explored
@@ -110,7 +112,7 @@
 	return nil, explored
 }
 
-// lower sets limit to value if that is less.
+// lower sets limit to value if value is less.
 func lower(limit *atomic.Int64, value int64) {
 	for {
 		current := limit.Load()
--- a/pkg/control/explore/faults_test.go
+++ b/pkg/control/explore/faults_test.go
@@ -8,53 +8,53 @@
 	"martenwheel.dev/pkg/platform"
 )
 
-// siteFault is a fault that begins while a load is under way.
+// siteFault is a fault injected while a load is in progress.
 type siteFault struct {
 	name  string
-	cause func(w *world)
+	cause func(w *simulation)
 }
 
-// siteFaults are the faults that promises 1 and 2 are proved under, each alone
-// and in pairs. What makes a promise break without its mechanism is in
-// TestMechanismsAreNeeded.
+// siteFaults are the faults under which the replica limit and the memory limit
+// must hold, each alone and in pairs. TestMechanismsAreNeeded shows which
+// violations occur without the safety mechanisms.
 var siteFaults = []siteFault{
-	{"owner dies mid-load", func(w *world) {
+	{"owner dies mid-load", func(w *simulation) {
 		owner := w.owner()
 		owner.crash()
 		w.after(6*time.Second, func() { w.bootIfDown(owner) })
 	}},
-	{"owner frozen with orders in its buffers", func(w *world) {
+	{"owner frozen with orders in its buffers", func(w *simulation) {
 		w.owner().report("m2", 1, 0)
 		w.owner().freeze(8 * time.Second)
 	}},
-	{"two owners at once", func(w *world) {
+	{"two owners at once", func(w *simulation) {
 		owner := w.owner()
 		for _, n := range w.nodes {
 			w.cutFor(owner.address(), n.address(), 8*time.Second)
 		}
 	}},
-	{"orders and messages lost", func(w *world) { w.withOdds(6*time.Second, odds{lost: 0.3}) }},
-	{"answers lost after the effect", func(w *world) { w.withOdds(6*time.Second, odds{answerLost: 0.5}) }},
-	{"orders late", func(w *world) { w.withOdds(6*time.Second, odds{late: 0.5}) }},
-	{"orders twice", func(w *world) { w.withOdds(6*time.Second, odds{duplicated: 0.5}) }},
-	{"lowered count races a wake", func(w *world) {
+	{"orders and messages lost", func(w *simulation) { w.withOdds(6*time.Second, odds{lost: 0.3}) }},
+	{"answers lost after the effect", func(w *simulation) { w.withOdds(6*time.Second, odds{answerLost: 0.5}) }},
+	{"orders late", func(w *simulation) { w.withOdds(6*time.Second, odds{late: 0.5}) }},
+	{"orders twice", func(w *simulation) { w.withOdds(6*time.Second, odds{duplicated: 0.5}) }},
+	{"lowered count races a wake", func(w *simulation) {
 		w.edit("m0", 0)
-		w.nodes[1].useTree(w.nodes[1].life, w.newest())
+		w.nodes[1].useTree(w.nodes[1].incarnation, w.newest())
 		w.nodes[2].report("m0", 1, 0)
 		w.after(3*time.Second, func() { w.edit("m0", 1) })
 	}},
-	{"engines out of reach of the next owner", func(w *world) {
+	{"engines out of reach of the next owner", func(w *simulation) {
 		for _, n := range w.nodes {
 			if n != w.owner() {
 				w.cutFor(n.address(), w.servers[0].address, 8*time.Second)
 			}
 		}
 	}},
-	{"table service down", func(w *world) {
+	{"table service down", func(w *simulation) {
 		w.table.down, w.treeDown = true, true
 		w.after(20*time.Second, func() { w.table.down, w.treeDown = false, false })
 	}},
-	{"group lost and formed anew", func(w *world) {
+	{"group lost and formed anew", func(w *simulation) {
 		owner := w.owner()
 		for _, n := range w.nodes {
 			if n != owner {
@@ -64,25 +64,25 @@
 			}
 		}
 	}},
-	{"engine restarts with nothing", func(w *world) { w.servers[0].restart() }},
-	{"loads fail", func(w *world) { w.withOdds(6*time.Second, odds{loadFails: 0.7}) }},
-	{"machine vanishes and comes back", func(w *world) {
+	{"engine restarts with nothing", func(w *simulation) { w.servers[0].restart() }},
+	{"loads fail", func(w *simulation) { w.withOdds(6*time.Second, odds{loadFails: 0.7}) }},
+	{"machine vanishes and comes back", func(w *simulation) {
 		w.reclaim(w.servers[0])
-		w.after(5*time.Second, func() { w.giveBack(w.servers[0]) })
+		w.after(5*time.Second, func() { w.bringBack(w.servers[0]) })
 	}},
-	{"list of machines lags", func(w *world) {
+	{"list of machines lags", func(w *simulation) {
 		w.listLag = 6 * time.Second
 		w.after(20*time.Second, func() { w.listLag = 0 })
 	}},
-	{"list of machines down", func(w *world) {
+	{"list of machines down", func(w *simulation) {
 		w.listDown = true
 		w.after(20*time.Second, func() { w.listDown = false })
 	}},
 }
 
-// TestFaultsAndPairs causes each fault and each pair of faults while models
-// that fill the memory are loaded, and expects that no promise breaks and that
-// a waiting model is served in the end.
+// TestFaultsAndPairs injects each fault and each pair of faults while models that
+// fill the memory are being loaded. No invariant may be violated, and a waiting
+// model must be served in the end.
 func TestFaultsAndPairs(t *testing.T) {
 	for first := range siteFaults {
 		for second := first; second < len(siteFaults); second++ {
@@ -98,10 +98,10 @@
 func runFaults(t *testing.T, first, second int) {
 	w := smallSite(uint64(first*len(siteFaults) + second))
 	w.demandForAll()
-	w.mustReach(t, 15*time.Second, func() bool { return w.servers[0].holds("m0") || w.servers[1].holds("m0") }, "no load begins")
+	w.mustReach(t, 15*time.Second, func() bool { return w.servers[0].holds("m0") || w.servers[1].holds("m0") }, "no load began")
 	siteFaults[first].cause(w)
 	if second != first {
-		w.run(w.between(0, 3*time.Second))
+		w.run(w.randomDuration(0, 3*time.Second))
 		if w.owner() != nil {
 			siteFaults[second].cause(w)
 		}
@@ -111,15 +111,15 @@
 		w.edit("m0", 1)
 	}
 	if !w.runUntil(2*time.Minute, func() bool { return w.ready("m0") == 1 }) {
-		t.Error("the waiting model is not served after the faults")
+		t.Error("the waiting model was not served after the faults")
 	}
 	printTrace(t, w)
 }
 
-// smallSite has three nodes in three zones and two servers with room for two of
-// its three models each.
-func smallSite(seed uint64) *world {
-	w := newWorld(seed)
+// smallSite returns a site with three models, three nodes in three zones and two
+// servers, each with memory for two of the models.
+func smallSite(seed uint64) *simulation {
+	w := newSimulation(seed)
 	w.addModel("m0", "", 10, 1)
 	w.addModel("m1", "", 10, 2)
 	w.addModel("m2", "", 10, 1)
@@ -129,49 +129,50 @@
 	return w
 }
 
-// demandForAll lets a request for each model wait at one of the nodes, each
-// second.
-func (w *world) demandForAll() {
+// demandForAll reports a waiting request for each model at one of the nodes, once
+// per second.
+func (w *simulation) demandForAll() {
 	for index, model := range w.models {
 		w.nodes[index%len(w.nodes)].report(model, 1, 0)
 	}
 	w.after(time.Second, w.demandForAll)
 }
 
-func (w *world) withOdds(duration time.Duration, faulty odds) {
+// withOdds injects faults with the given odds for a while.
+func (w *simulation) withOdds(duration time.Duration, faulty odds) {
 	w.odds = faulty
 	w.after(duration, func() { w.odds = odds{} })
 }
 
-// TestLeavingIsToldEverywhere measures how long it takes from the moment that
-// the platform or the engine knows that a server leaves until every node's
-// routers know. The target is two seconds.
-func TestLeavingIsToldEverywhere(t *testing.T) {
+// TestLeavingServerIsKnownEverywhere measures the time from the moment that the
+// platform or the engine knows that a server leaves until the routers of every
+// node know it. The target is two seconds.
+func TestLeavingServerIsKnownEverywhere(t *testing.T) {
 	const target = 2 * time.Second
 	cases := []struct {
 		name  string
-		leave func(w *world)
+		leave func(w *simulation)
 	}{
-		{"the platform tells", func(w *world) { w.listLeaving(w.servers[0]) }},
-		{"the engine tells", func(w *world) { w.servers[0].leaving = true }},
-		{"the engine tells while the list lags", func(w *world) {
+		{"the platform tells", func(w *simulation) { w.listLeaving(w.servers[0]) }},
+		{"the engine tells", func(w *simulation) { w.servers[0].leaving = true }},
+		{"the engine tells while the list lags", func(w *simulation) {
 			w.listLag = 30 * time.Second
 			w.servers[0].leaving = true
 		}},
-		{"the engine tells while the list is down", func(w *world) {
+		{"the engine tells while the list is down", func(w *simulation) {
 			w.listDown = true
 			w.servers[0].leaving = true
 		}},
-		{"the platform tells while the engine is out of reach", func(w *world) {
+		{"the platform tells while the engine is out of reach", func(w *simulation) {
 			w.servers[0].down = true
 			w.listLeaving(w.servers[0])
 		}},
-		{"a node missed the news", func(w *world) {
+		{"a node missed the news", func(w *simulation) {
 			missed := w.notOwner()
 			w.cutFor(w.owner().address(), missed.address(), time.Minute)
 			w.servers[0].leaving = true
 		}},
-		{"the table service is down", func(w *world) {
+		{"the table service is down", func(w *simulation) {
 			w.table.down = true
 			w.servers[0].leaving = true
 		}},
@@ -180,12 +181,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			w := smallSite(7)
 			w.demandForAll()
-			w.mustReach(t, 15*time.Second, func() bool { return w.ready("m0") == 1 }, "the site does not come up")
+			w.mustReach(t, 15*time.Second, func() bool { return w.ready("m0") == 1 }, "the site did not come up")
 			w.run(2 * time.Second)
 			began := w.now
 			c.leave(w)
 			if !w.runUntil(target, func() bool { return w.allKnowLeaving("s0") }) {
-				t.Errorf("not every node knows within %v", target)
+				t.Errorf("not every node knows within %v that the server leaves", target)
 			}
 			t.Logf("all nodes know after %v", w.now.Sub(began))
 			w.run(10 * time.Second)
@@ -194,13 +195,14 @@
 	}
 }
 
-// TestVanishedMachineIsLeft: a machine that vanishes with no notice is shown as
-// out of reach, and its models are loaded elsewhere once the list says gone.
-func TestVanishedMachineIsLeft(t *testing.T) {
+// TestVanishedMachineIsReplaced checks that a machine that vanishes without notice
+// is shown as unreachable, and that its models are loaded elsewhere once the
+// machine list reports it gone.
+func TestVanishedMachineIsReplaced(t *testing.T) {
 	w := smallSite(3)
 	w.addServer("s2", 23)
 	w.demandForAll()
-	w.mustReach(t, 15*time.Second, func() bool { return w.ready("m0") == 1 }, "the site does not come up")
+	w.mustReach(t, 15*time.Second, func() bool { return w.ready("m0") == 1 }, "the site did not come up")
 	held := w.servers[0]
 	if !held.holds("m0") {
 		held = w.servers[1]
@@ -208,22 +210,24 @@
 	began := w.now
 	w.reclaim(held)
 	if !w.runUntil(5*time.Second, func() bool { return w.allSeeUnreachable(held.id) }) {
-		t.Error("not every node sees the machine out of reach")
+		t.Error("not every node sees the machine as unreachable")
 	}
-	t.Logf("all nodes see it out of reach after %v", w.now.Sub(began))
+	t.Logf("all nodes see it as unreachable after %v", w.now.Sub(began))
 	if !w.runUntil(30*time.Second, func() bool { return w.ready("m0") == 1 }) {
-		t.Error("the model is not loaded elsewhere")
+		t.Error("the model was not loaded elsewhere")
 	}
 	t.Logf("loaded elsewhere after %v", w.now.Sub(began))
 	printTrace(t, w)
 }
 
-func (w *world) listLeaving(e *modelEngine) {
+// listLeaving makes the platform list the server as leaving.
+func (w *simulation) listLeaving(e *simEngine) {
 	e.machine = platform.MachineLeaving
 	w.listMachines()
 }
 
-func (w *world) notOwner() *node {
+// notOwner returns a node that does not own the cell.
+func (w *simulation) notOwner() *node {
 	for _, n := range w.nodes {
 		if n != w.owner() {
 			return n
@@ -232,17 +236,17 @@
 	return nil
 }
 
-func (w *world) allKnowLeaving(id api.ServerID) bool {
+func (w *simulation) allKnowLeaving(id api.ServerID) bool {
 	return w.allViews(id, func(server api.ServerView) bool { return server.Leaving })
 }
 
-func (w *world) allSeeUnreachable(id api.ServerID) bool {
+func (w *simulation) allSeeUnreachable(id api.ServerID) bool {
 	return w.allViews(id, func(server api.ServerView) bool { return !server.Reachable })
 }
 
-// allViews tells whether in the newest view of every node that has the server
-// the condition holds, and no node is without views.
-func (w *world) allViews(id api.ServerID, condition func(api.ServerView) bool) bool {
+// allViews reports whether every node has a view and, where a view has the
+// server, the condition holds for it.
+func (w *simulation) allViews(id api.ServerID, condition func(api.ServerView) bool) bool {
 	for _, n := range w.nodes {
 		if len(n.view.Servers) == 0 {
 			return false
--- a/pkg/control/explore/node_test.go
+++ b/pkg/control/explore/node_test.go
@@ -8,30 +8,33 @@
 	"martenwheel.dev/pkg/membership"
 )
 
-// node is a process with a machine, and the runtime that carries out effects.
+// node is a simulated process with a control machine and the runtime that carries
+// out its effects.
 type node struct {
-	world *world
-	id    api.NodeID
-	zone  string
-	life  uint64
-
-	peerAddress string
-	machine     *control.Machine // nil while the process is down
-	frozen      bool
-	skew        time.Duration   // of its clock
-	inbox       []control.Event // while frozen
-	digest      membership.Digest
-	downAt      time.Time
-	presumed    time.Time // looks dead to others until then
-	tree        *settings // in force in this life
-	views       int
-	estimate    map[api.ModelName]api.LoadEstimate
-	view        api.CellView
+	sim         *simulation
+	id          api.NodeID
+	zone        string
+	incarnation uint64
+
+	peerAddress       string
+	machine           *control.Machine // nil while the process is down
+	frozen            bool
+	skew              time.Duration   // offset of its clock
+	inbox             []control.Event // events that arrived while it is frozen
+	digest            membership.Digest
+	downAt            time.Time
+	presumedDeadUntil time.Time // other nodes see it as dead until then
+	tree              *settings // tree in force in this incarnation
+	viewCount         int       // number of published views
+	// estimates holds the last published estimate of each model.
+	estimates map[api.ModelName]api.LoadEstimate
+	// view is the last published view.
+	view api.CellView
 }
 
-// clock is the time as the node sees it.
+// clock returns the time on the node's own clock.
 func (n *node) clock() time.Time {
-	return n.world.now.Add(n.skew)
+	return n.sim.now.Add(n.skew)
 }
 
 func (n *node) address() string {
@@ -39,53 +42,53 @@
 }
 
 func (n *node) ref() api.NodeRef {
-	return api.NodeRef{ID: n.id, Incarnation: n.life, PeerAddress: n.address(), Zone: n.zone, Region: region}
+	return api.NodeRef{ID: n.id, Incarnation: n.incarnation, PeerAddress: n.address(), Zone: n.zone, Region: region}
 }
 
-// boot starts a new life of the process.
+// boot starts a new incarnation of the process.
 func (n *node) boot() {
-	n.life++
+	n.incarnation++
 	n.frozen = false
 	n.inbox = nil
 	n.tree = nil
 	n.digest = membership.Digest{}
 	n.view = api.CellView{}
-	n.estimate = make(map[api.ModelName]api.LoadEstimate)
+	n.estimates = make(map[api.ModelName]api.LoadEstimate)
 	config := control.Config{
-		Self: n.ref(), Seed: n.world.random.Uint64(), Decider: n.world.decider, Unsafe: n.world.unsafe,
+		Self: n.ref(), Seed: n.sim.random.Uint64(), Decider: n.sim.decider, Unsafe: n.sim.unsafe,
 	}
-	if n.world.ownMembership {
-		config.Seeds = n.world.seeds
+	if n.sim.ownMembership {
+		config.Seeds = n.sim.seeds
 	} else {
-		config.Membership = &oracle{node: n, world: n.world}
+		config.Membership = &oracle{node: n, sim: n.sim}
 	}
 	n.machine = control.New(config)
-	n.world.note("%s starts, life %d", n.id, n.life)
-	n.tick(n.life)
+	n.sim.tracef("%s starts, incarnation %d", n.id, n.incarnation)
+	n.tick(n.incarnation)
 }
 
 func (n *node) crash() {
-	n.world.note("%s dies", n.id)
+	n.sim.tracef("%s dies", n.id)
 	n.machine = nil
 	n.frozen = false
 	n.inbox = nil
-	n.downAt = n.world.now
+	n.downAt = n.sim.now
 }
 
 func (n *node) freeze(duration time.Duration) {
-	n.world.note("%s freezes for %v", n.id, duration)
+	n.sim.tracef("%s freezes for %v", n.id, duration)
 	n.frozen = true
-	life := n.life
-	n.world.after(duration, func() {
-		if n.life == life && n.machine != nil {
+	incarnation := n.incarnation
+	n.sim.after(duration, func() {
+		if n.incarnation == incarnation && n.machine != nil {
 			n.thaw()
 		}
 	})
 }
 
-// thaw handles what arrived meanwhile.
+// thaw wakes the process and handles the events that arrived while it was frozen.
 func (n *node) thaw() {
-	n.world.note("%s wakes", n.id)
+	n.sim.tracef("%s wakes", n.id)
 	n.frozen = false
 	inbox := n.inbox
 	n.inbox = nil
@@ -94,19 +97,20 @@
 	}
 }
 
-func (n *node) tick(life uint64) {
-	if n.life != life || n.machine == nil {
+func (n *node) tick(incarnation uint64) {
+	if n.incarnation != incarnation || n.machine == nil {
 		return
 	}
 	if !n.frozen {
 		n.step(control.Tick{})
 	}
-	n.world.after(control.TickInterval, func() { n.tick(life) })
+	n.sim.after(control.TickInterval, func() { n.tick(incarnation) })
 }
 
-// deliver gives an event to the life of the process that it is for.
-func (n *node) deliver(life uint64, event control.Event) {
-	if n.machine == nil || n.life != life {
+// deliver delivers an event to the given incarnation of the process, if it still
+// runs.
+func (n *node) deliver(incarnation uint64, event control.Event) {
+	if n.machine == nil || n.incarnation != incarnation {
 		return
 	}
 	if n.frozen {
@@ -124,9 +128,9 @@
 	n.checkRevision()
 }
 
-// useTree gives the machine a tree.
-func (n *node) useTree(life uint64, next *settings) {
-	if n.machine == nil || n.life != life || n.frozen || next == nil {
+// useTree puts a tree in force at the node's machine.
+func (n *node) useTree(incarnation uint64, next *settings) {
+	if n.machine == nil || n.incarnation != incarnation || n.frozen || next == nil {
 		return
 	}
 	effects := n.machine.SetTree(n.clock(), next)
@@ -134,17 +138,19 @@
 	n.execute(effects)
 }
 
-// checkRevision verifies that the tree in force never goes back.
+// checkRevision verifies that the tree in force is never replaced by an older
+// one.
 func (n *node) checkRevision() {
 	revision := n.machine.TreeRevision()
 	if n.tree != nil && revision < n.tree.revision {
-		n.world.fail("tree of %s went back from revision %d to %d", n.id, n.tree.revision, revision)
+		n.sim.violate("tree of %s went back from revision %d to %d", n.id, n.tree.revision, revision)
 	}
 	if revision > 0 {
-		n.tree = n.world.trees[revision-1]
+		n.tree = n.sim.trees[revision-1]
 	}
 }
 
+// execute carries out the effects of a step.
 func (n *node) execute(effects []control.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
@@ -164,11 +170,11 @@
 			n.fetchTree(e)
 		case control.PublishView:
 			n.view = e.View
-			n.views++
+			n.viewCount++
 		case control.PublishEstimate:
-			n.estimate[e.Estimate.Model] = e.Estimate
+			n.estimates[e.Estimate.Model] = e.Estimate
 		case control.Log:
-			n.world.note("%s: %s %v", n.id, e.Message, e.Fields)
+			n.sim.tracef("%s: %s %v", n.id, e.Message, e.Fields)
 		}
 	}
 }
@@ -179,10 +185,10 @@
 	callUnknown
 )
 
-// report gives the machine demand of its routers.
+// report reports demand of the node's routers for a model.
 func (n *node) report(model api.ModelName, waiting, inFlight uint32) {
-	n.deliver(n.life, control.DemandReported{Demand: api.ModelDemand{
-		Model: model, Arrivals: waiting, Waiting: waiting, InFlight: inFlight, LastArrival: n.world.now,
-		EarliestDeadline: n.world.now.Add(10 * time.Second),
+	n.deliver(n.incarnation, control.DemandReported{Demand: api.ModelDemand{
+		Model: model, Arrivals: waiting, Waiting: waiting, InFlight: inFlight, LastArrival: n.sim.now,
+		EarliestDeadline: n.sim.now.Add(10 * time.Second),
 	}})
 }
--- a/pkg/control/explore/oracle_test.go
+++ b/pkg/control/explore/oracle_test.go
@@ -7,13 +7,14 @@
 	"martenwheel.dev/pkg/membership"
 )
 
-// oracle is a membership that knows the truth with a delay, and is wrong about
-// nodes that the schedule says look dead.
+// oracle is a Membership that knows the true state of all nodes with a delay, and
+// reports nodes as dead that the schedule makes look dead.
 type oracle struct {
-	node  *node
-	world *world
+	node *node
+	sim  *simulation
 }
 
+// deathDelay is the time until the oracle reports a stopped node as dead.
 const deathDelay = 2 * time.Second
 
 func (o *oracle) Tick(time.Time) []membership.Packet                      { return nil }
@@ -23,25 +24,25 @@
 
 func (o *oracle) Members() []membership.Member {
 	var members []membership.Member
-	for _, n := range o.world.nodes {
-		if n.life == 0 {
+	for _, n := range o.sim.nodes {
+		if n.incarnation == 0 {
 			continue
 		}
 		state := membership.StateAlive
-		if n.machine == nil && o.world.now.Sub(n.downAt) > deathDelay {
+		if n.machine == nil && o.sim.now.Sub(n.downAt) > deathDelay {
 			state = membership.StateDead
 		}
-		if n != o.node && (o.world.now.Before(n.presumed) || o.world.cut(o.node.address(), n.address())) {
+		if n != o.node && (o.sim.now.Before(n.presumedDeadUntil) || o.sim.cut(o.node.address(), n.address())) {
 			state = membership.StateDead
 		}
-		members = append(members, membership.Member{Ref: n.ref(), State: state, Since: o.world.now})
+		members = append(members, membership.Member{Ref: n.ref(), State: state, Since: o.sim.now})
 	}
 	return members
 }
 
 func (o *oracle) Digest(id api.NodeID) (membership.Digest, bool) {
-	for _, n := range o.world.nodes {
-		if n.id == id && n.machine != nil && !o.world.cut(o.node.address(), n.address()) {
+	for _, n := range o.sim.nodes {
+		if n.id == id && n.machine != nil && !o.sim.cut(o.node.address(), n.address()) {
 			return n.digest, true
 		}
 	}
--- a/pkg/control/explore/scenarios_test.go
+++ b/pkg/control/explore/scenarios_test.go
@@ -8,9 +8,9 @@
 	"martenwheel.dev/pkg/control/internal/switches"
 )
 
-// isNeeded runs a scenario with all mechanisms and without each of those given: a
-// promise must break without one, and only then.
-func isNeeded(t *testing.T, site func(switches.Set) *world, run func(*testing.T, *world), without ...mechanism) {
+// expectNeeded runs a scenario with all mechanisms and without each of those
+// given. An invariant must be violated exactly when a mechanism is disabled.
+func expectNeeded(t *testing.T, site func(switches.Set) *simulation, run func(*testing.T, *simulation), without ...mechanism) {
 	t.Helper()
 	for _, m := range append([]mechanism{{name: "all mechanisms"}}, without...) {
 		t.Run(m.name, func(t *testing.T) {
@@ -24,40 +24,42 @@
 	}
 }
 
-// scenarioSite has one model and no servers and nodes yet.
-func scenarioSite(seed uint64, unsafe switches.Set) *world {
-	w := newWorld(seed)
+// scenarioSite returns a site with one model and without servers and nodes.
+func scenarioSite(seed uint64, unsafe switches.Set) *simulation {
+	w := newSimulation(seed)
 	w.unsafe = unsafe
 	w.addModel("m0", "", 10, 1)
 	return w
 }
 
-// TestIntentsAreNeeded: an owner that has been cut off from its group orders a
-// load from a server that the next owner does not reach.
+// TestIntentsAreNeeded covers an owner that is partitioned from its group and
+// orders a load on a server that the next owner cannot reach.
 func TestIntentsAreNeeded(t *testing.T) {
-	site := func(unsafe switches.Set) *world {
+	site := func(unsafe switches.Set) *simulation {
 		w := scenarioSite(3, unsafe)
 		w.addServer("s0", 23).leaving = true
 		w.addServer("s1", 23)
 		w.addNodes(3)
 		return w
 	}
-	isNeeded(t, site, runCutOffOwner,
+	expectNeeded(t, site, runCutOffOwner,
 		mechanism{"orders before intents are committed", switches.Set{NoIntents: true}},
 		mechanism{"intents committed without a majority", switches.Set{NoMajority: true}},
 	)
 }
 
-func runCutOffOwner(t *testing.T, w *world) {
+// runCutOffOwner cuts the owner off from the other nodes, which then load the
+// model elsewhere.
+func runCutOffOwner(t *testing.T, w *simulation) {
 	t.Helper()
-	w.mustReach(t, 20*time.Second, w.allKnowOwner, "the site does not come up")
+	w.mustReach(t, 20*time.Second, w.allKnowOwner, "the site did not come up")
 	w.run(5 * time.Second)
 	old := w.owner()
 	for _, n := range w.nodes {
 		if n != old {
 			w.cutFor(n.address(), old.address(), time.Minute)
 			w.cutFor(n.address(), w.servers[1].address, time.Minute)
-			w.keepWaiting(n, n.life)
+			w.keepWaiting(n, n.incarnation)
 		}
 	}
 	old.report("m0", 1, 0)
@@ -65,26 +67,26 @@
 	w.servers[0].leaving = false
 	w.run(10 * time.Second)
 	if w.failure == "" && !w.servers[0].holds("m0") {
-		t.Error("the next owner does not load the model")
+		t.Error("the next owner did not load the model")
 	}
 }
 
-// TestAdmissionIsNeeded: an owner uses a machine that is too new for the list
-// that the founder of the next epoch reads. With the machine in the record the
-// founder counts it; without, the model is loaded twice.
+// TestAdmissionIsNeeded covers an owner that uses a machine too new for the
+// machine list that the founder of the next epoch reads. If the machine is in the
+// record, the founder counts it; otherwise the model is loaded twice.
 func TestAdmissionIsNeeded(t *testing.T) {
-	site := func(unsafe switches.Set) *world {
+	site := func(unsafe switches.Set) *simulation {
 		w := scenarioSite(9, unsafe)
 		w.addServer("s0", 23).leaving = true
 		w.addNodes(3)
 		return w
 	}
-	isNeeded(t, site, runLateMachine, mechanism{"without admission", switches.Set{NoAdmission: true, NoVerify: true}})
+	expectNeeded(t, site, runLateMachine, mechanism{"without admission", switches.Set{NoAdmission: true, NoVerify: true}})
 }
 
-// runLateMachine loads the model on a late machine, loses the group, and gives
-// the next owner room elsewhere.
-func runLateMachine(t *testing.T, w *world) {
+// runLateMachine loads the model on a new machine, makes the cell lose its group,
+// and gives the next owner free capacity elsewhere.
+func runLateMachine(t *testing.T, w *simulation) {
 	t.Helper()
 	w.demandForAll()
 	w.run(15 * time.Second)
@@ -96,7 +98,7 @@
 	} else {
 		w.table.down = false
 	}
-	w.mustReach(t, 5*time.Second, func() bool { return w.servers[1].holds("m0") }, "the late machine is not used")
+	w.mustReach(t, 5*time.Second, func() bool { return w.servers[1].holds("m0") }, "the new machine was not used")
 	w.table.down = false
 	w.cutFor(owner.address(), "table", time.Minute)
 	w.listLag = 10 * time.Second
@@ -108,33 +110,35 @@
 		w.cutFor(n.address(), w.servers[1].address, time.Minute)
 		n.crash()
 		n.boot()
-		w.keepWaiting(n, n.life)
+		w.keepWaiting(n, n.incarnation)
 	}
 	w.servers[0].leaving = false
 	w.run(30 * time.Second)
 }
 
-// TestVerifyIsNeeded: while a region is split, the old owner's side still has a
-// majority but no platform, and the other side forms the next epoch. A machine
-// that both know is reclaimed and comes back on the old side, after the new side
-// has read in the list that it is gone.
+// TestVerifyIsNeeded covers a split region in which the old owner's side keeps a
+// majority but cannot reach the platform, while the other side forms the next
+// epoch. A machine known to both sides is reclaimed and comes back on the old
+// side, after the new side has read in the machine list that it is gone.
 func TestVerifyIsNeeded(t *testing.T) {
-	site := func(unsafe switches.Set) *world {
+	site := func(unsafe switches.Set) *simulation {
 		w := scenarioSite(4, unsafe)
 		w.addServer("s0", 23)
 		w.addServer("s1", 23).leaving = true
 		w.addNodes(4)
 		return w
 	}
-	isNeeded(t, site, runSplitReturn, mechanism{"without verification", switches.Set{NoVerify: true}})
+	expectNeeded(t, site, runSplitReturn, mechanism{"without verification", switches.Set{NoVerify: true}})
 }
 
-func runSplitReturn(t *testing.T, w *world) {
+// runSplitReturn splits the region, reclaims the server with the model and brings
+// it back.
+func runSplitReturn(t *testing.T, w *simulation) {
 	t.Helper()
 	for _, n := range w.nodes {
-		w.keepWaiting(n, n.life)
+		w.keepWaiting(n, n.incarnation)
 	}
-	w.mustReach(t, 20*time.Second, func() bool { return w.ready("m0") == 1 }, "the model is not loaded")
+	w.mustReach(t, 20*time.Second, func() bool { return w.ready("m0") == 1 }, "the model was not loaded")
 	w.run(2 * time.Second)
 	old := w.owner()
 	oldSide := map[*node]bool{old: true}
@@ -149,11 +153,13 @@
 	w.servers[1].leaving = false
 	w.run(time.Second)
 	w.reclaim(w.servers[0])
-	w.mustReach(t, 30*time.Second, func() bool { return w.servers[1].holds("m0") }, "the new side does not load the model")
-	w.giveBack(w.servers[0])
+	w.mustReach(t, 30*time.Second, func() bool { return w.servers[1].holds("m0") }, "the new side did not load the model")
+	w.bringBack(w.servers[0])
 	w.run(10 * time.Second)
 }
 
+// isMember reports whether the owner's view names the node as a member of the
+// group.
 func isMember(n, owner *node) bool {
 	for _, member := range owner.view.Members {
 		if member.ID == n.id {
@@ -163,9 +169,9 @@
 	return false
 }
 
-// splitOff cuts a node off from the other side, which alone has the platform
-// and the second server.
-func (w *world) splitOff(n *node, oldSide map[*node]bool) {
+// splitOff cuts a node off from the nodes and the server of the other side. Only
+// the new side reaches the platform and the second server.
+func (w *simulation) splitOff(n *node, oldSide map[*node]bool) {
 	const long = time.Hour
 	for _, other := range w.nodes {
 		if oldSide[n] != oldSide[other] {
@@ -181,41 +187,44 @@
 	}
 }
 
-// TestOldListIsNotBelieved: a machine is reclaimed, comes back and is loaded on
-// again, and only then a list from the time in between says that it is gone.
+// TestOldListIsNotBelieved covers a machine that is reclaimed, comes back and is
+// loaded on again. Only then does the owner read a machine list from the time in
+// between, which reports the machine gone.
 func TestOldListIsNotBelieved(t *testing.T) {
-	site := func(unsafe switches.Set) *world {
+	site := func(unsafe switches.Set) *simulation {
 		w := scenarioSite(8, unsafe)
 		w.addServer("s0", 23)
 		w.addServer("s1", 23).leaving = true
 		n := w.addNode("n0", "z1")
-		w.keepWaiting(n, n.life)
+		w.keepWaiting(n, n.incarnation)
 		return w
 	}
-	isNeeded(t, site, runOldList, mechanism{"old list believed", switches.Set{BelieveList: true}})
+	expectNeeded(t, site, runOldList, mechanism{"old list believed", switches.Set{TrustOldList: true}})
 }
 
-func runOldList(t *testing.T, w *world) {
+// runOldList lets the machine vanish and come back while the list is down, and
+// then makes the list lag.
+func runOldList(t *testing.T, w *simulation) {
 	t.Helper()
 	loaded := func() bool { return w.ready("m0") == 1 }
-	w.mustReach(t, 15*time.Second, loaded, "the model is not loaded")
+	w.mustReach(t, 15*time.Second, loaded, "the model was not loaded")
 	w.listDown = true
 	w.reclaim(w.servers[0])
 	w.run(30 * time.Second)
-	w.giveBack(w.servers[0])
-	w.mustReach(t, 15*time.Second, loaded, "the model is not loaded again")
+	w.bringBack(w.servers[0])
+	w.mustReach(t, 15*time.Second, loaded, "the model was not loaded again")
 	w.servers[1].leaving = false
 	w.run(2 * time.Second)
-	w.listLag = 2*w.now.Sub(w.listing[len(w.listing)-1].AsOf) + time.Second
+	w.listLag = 2*w.now.Sub(w.listHistory[len(w.listHistory)-1].AsOf) + time.Second
 	w.listDown = false
 	w.run(5 * time.Second)
 }
 
-// TestInstanceIsNeeded: an order of an owner that froze reaches an engine that
-// has restarted since, and so has seen no fence, before the next owner has read
-// the new instance's inventory.
+// TestInstanceIsNeeded covers an order of a frozen owner that reaches an engine
+// after the engine has restarted and so has no fence yet, before the next owner
+// has read the new instance's inventory.
 func TestInstanceIsNeeded(t *testing.T) {
-	site := func(unsafe switches.Set) *world {
+	site := func(unsafe switches.Set) *simulation {
 		w := smallSite(2)
 		w.unsafe = unsafe
 		for _, n := range w.nodes {
@@ -224,13 +233,12 @@
 		}
 		return w
 	}
-	isNeeded(t, site, runLateOrder, mechanism{"without the instance", switches.Set{NoInstance: true}})
+	expectNeeded(t, site, runLateOrder, mechanism{"without the instance", switches.Set{NoInstance: true}})
 }
 
-// runLateOrder keeps a copy of the order that loads m0, lets the model be
-// loaded on the other server after the first one has restarted, and delivers
-// the copy after another restart.
-func runLateOrder(t *testing.T, w *world) {
+// runLateOrder keeps a copy of the order that loads m0, moves the model to the
+// other server, restarts the first server and delivers the copy to it.
+func runLateOrder(t *testing.T, w *simulation) {
 	t.Helper()
 	w.servers[1].leaving = true
 	w.run(5 * time.Second)
@@ -240,10 +248,10 @@
 			late = &order
 		}
 	}
-	w.keepWaiting(w.nodes[0], w.nodes[0].life)
-	w.mustReach(t, 10*time.Second, func() bool { return w.servers[0].holds("m0") }, "the model is not loaded")
+	w.keepWaiting(w.nodes[0], w.nodes[0].incarnation)
+	w.mustReach(t, 10*time.Second, func() bool { return w.servers[0].holds("m0") }, "the model was not loaded")
 	w.servers[0].leaving, w.servers[1].leaving = true, false
-	w.mustReach(t, 30*time.Second, func() bool { return w.servers[1].holds("m0") }, "the model is not moved")
+	w.mustReach(t, 30*time.Second, func() bool { return w.servers[1].holds("m0") }, "the model was not moved")
 	w.servers[0].restart()
-	w.servers[0].order(late.Order, ordering{limit: 1})
+	w.servers[0].order(late.Order, orderContext{limit: 1})
 }
--- a/pkg/control/explore/schedule_faults_test.go
+++ b/pkg/control/explore/schedule_faults_test.go
@@ -8,7 +8,8 @@
 	"martenwheel.dev/pkg/platform"
 )
 
-// faults are the single faults of a schedule. They may overlap.
+// faults are the faults that a schedule injects at random, listed twice to occur
+// twice as often. They may overlap.
 var faults = []func(*schedule){
 	(*schedule).crashNode,
 	(*schedule).crashNode,
@@ -40,11 +41,11 @@
 	return s.nodes[s.random.IntN(len(s.nodes))]
 }
 
-func (s *schedule) anyServer() *modelEngine {
+func (s *schedule) anyServer() *simEngine {
 	return s.servers[s.random.IntN(len(s.servers))]
 }
 
-// ownerOrAny returns the owner if there is one.
+// ownerOrAny returns the owner, or a random node if there is none.
 func (s *schedule) ownerOrAny() *node {
 	if n := s.owner(); n != nil {
 		return n
@@ -60,7 +61,7 @@
 		return
 	}
 	n.crash()
-	s.after(s.between(100*time.Millisecond, 8*time.Second), func() { s.bootIfDown(n) })
+	s.after(s.randomDuration(100*time.Millisecond, 8*time.Second), func() { s.bootIfDown(n) })
 }
 
 func (s *schedule) freezeNode()  { s.freeze(s.anyNode()) }
@@ -68,42 +69,43 @@
 
 func (s *schedule) freeze(n *node) {
 	if n.machine != nil && !n.frozen {
-		n.freeze(s.between(300*time.Millisecond, 10*time.Second))
+		n.freeze(s.randomDuration(300*time.Millisecond, 10*time.Second))
 	}
 }
 
-// stopNode stops a node as planned and starts it again.
+// stopNode performs a planned stop of a node and then starts it again.
 func (s *schedule) stopNode() {
 	n := s.anyNode()
 	if n.machine == nil || n.frozen {
 		return
 	}
-	s.note("%s is asked to stop", n.id)
+	s.tracef("%s is asked to stop", n.id)
 	n.step(control.StopRequested{})
-	s.exitWhenStopped(n, n.life)
+	s.exitWhenStopped(n, n.incarnation)
 }
 
-func (s *schedule) exitWhenStopped(n *node, life uint64) {
+// exitWhenStopped ends the process once its planned stop is complete.
+func (s *schedule) exitWhenStopped(n *node, incarnation uint64) {
 	s.after(100*time.Millisecond, func() {
-		if n.machine == nil || n.life != life {
+		if n.machine == nil || n.incarnation != incarnation {
 			return
 		}
 		if n.machine.Stopped() {
 			s.crash(n)
 			return
 		}
-		s.exitWhenStopped(n, life)
+		s.exitWhenStopped(n, incarnation)
 	})
 }
 
-// presumeDead makes a live node look dead to the others.
+// presumeDead makes a live node look dead to the others for a while.
 func (s *schedule) presumeDead() {
 	n := s.anyNode()
-	n.presumed = s.now.Add(s.between(time.Second, 8*time.Second))
-	s.note("%s is presumed dead", n.id)
+	n.presumedDeadUntil = s.now.Add(s.randomDuration(time.Second, 8*time.Second))
+	s.tracef("%s is presumed dead", n.id)
 }
 
-// parties are the addresses that a node talks to.
+// parties returns the addresses that a node communicates with.
 func (s *schedule) parties() []string {
 	parties := []string{"table", "machines"}
 	for _, n := range s.nodes {
@@ -115,20 +117,23 @@
 	return parties
 }
 
+// cutPair cuts the link between a node and another party for a while.
 func (s *schedule) cutPair() {
 	parties := s.parties()
 	s.cutForAWhile(s.anyNode().address(), parties[s.random.IntN(len(parties))])
 }
 
 func (s *schedule) cutForAWhile(a, b string) {
-	s.cutFor(a, b, s.between(500*time.Millisecond, 12*time.Second))
+	s.cutFor(a, b, s.randomDuration(500*time.Millisecond, 12*time.Second))
 }
 
-// isolateNode cuts a node off from the other nodes, not from the engines.
+// isolateNode cuts a node off from the other nodes but not from the engines.
 func (s *schedule) isolateNode() { s.isolate(s.anyNode()) }
 
 func (s *schedule) isolateOwner() { s.isolate(s.ownerOrAny()) }
 
+// isolate cuts a node off from the other nodes and, in half of the cases, from
+// the table service.
 func (s *schedule) isolate(n *node) {
 	for _, other := range s.nodes {
 		s.cutForAWhile(n.address(), other.address())
@@ -138,14 +143,14 @@
 	}
 }
 
-// splitRegion cuts nodes and servers into two halves.
+// splitRegion divides nodes, servers and platform services into two partitions.
 func (s *schedule) splitRegion() {
 	parties := s.parties()
 	side := make(map[string]bool)
 	for _, party := range parties {
 		side[party] = s.chance(0.5)
 	}
-	duration := s.between(2*time.Second, 12*time.Second)
+	duration := s.randomDuration(2*time.Second, 12*time.Second)
 	for _, n := range s.nodes {
 		for _, party := range parties {
 			if side[n.address()] != side[party] {
@@ -155,8 +160,8 @@
 	}
 }
 
-// loseGroup kills or isolates most nodes at once, so that a group is formed
-// anew while the old owner may still be at work.
+// loseGroup crashes most of the other nodes at once and often isolates the owner,
+// so that a group is formed anew while the old owner may still be working.
 func (s *schedule) loseGroup() {
 	owner := s.ownerOrAny()
 	for _, n := range s.nodes {
@@ -170,20 +175,20 @@
 }
 
 func (s *schedule) tableDown() {
-	s.note("table service down")
+	s.tracef("table service down")
 	s.table.down, s.treeDown = true, true
-	s.after(s.between(time.Second, 15*time.Second), func() { s.table.down, s.treeDown = false, false })
+	s.after(s.randomDuration(time.Second, 15*time.Second), func() { s.table.down, s.treeDown = false, false })
 }
 
 func (s *schedule) listDownOrLagging() {
-	s.listLag = s.between(0, 8*time.Second)
+	s.listLag = s.randomDuration(0, 8*time.Second)
 	s.listDown = s.chance(0.5)
-	s.after(s.between(time.Second, 10*time.Second), func() { s.listDown = false })
+	s.after(s.randomDuration(time.Second, 10*time.Second), func() { s.listDown = false })
 }
 
 func (s *schedule) restartEngine() { s.anyServer().restart() }
 
-// addMachine adds a machine that the record of the cell does not name yet.
+// addMachine adds a machine that the cell's record does not name yet.
 func (s *schedule) addMachine() {
 	if len(s.servers) < 6 {
 		s.addServer(fmt.Sprint("s", len(s.servers)), uint64(14+s.random.IntN(12)))
@@ -192,20 +197,20 @@
 
 func (s *schedule) engineDown() {
 	e := s.anyServer()
-	s.note("engine %s unreachable", e.id)
+	s.tracef("engine %s unreachable", e.id)
 	e.down = true
-	s.after(s.between(300*time.Millisecond, 8*time.Second), func() { e.down = e.machine == platform.MachineGone })
+	s.after(s.randomDuration(300*time.Millisecond, 8*time.Second), func() { e.down = e.machine == platform.MachineGone })
 }
 
 func (s *schedule) engineLeaving() {
 	e := s.anyServer()
-	s.note("engine %s leaving", e.id)
+	s.tracef("engine %s leaving", e.id)
 	e.leaving = true
-	s.after(s.between(time.Second, 8*time.Second), func() { e.leaving = false })
+	s.after(s.randomDuration(time.Second, 8*time.Second), func() { e.leaving = false })
 }
 
-// reclaimMachine takes a machine away, with or without notice, and brings it
-// back under the same name and address with nothing loaded.
+// reclaimMachine takes a machine away, with or without notice, and later brings
+// it back with the same name and address and nothing loaded.
 func (s *schedule) reclaimMachine() {
 	e := s.anyServer()
 	if e.machine != platform.MachineLive {
@@ -213,18 +218,18 @@
 	}
 	notice := time.Duration(0)
 	if s.chance(0.5) {
-		notice = s.between(0, 3*time.Second)
+		notice = s.randomDuration(0, 3*time.Second)
 		e.machine = platform.MachineLeaving
 		s.listMachines()
 	}
 	s.after(notice, func() { s.reclaim(e) })
-	s.after(notice+s.between(200*time.Millisecond, 10*time.Second), func() { s.giveBack(e) })
+	s.after(notice+s.randomDuration(200*time.Millisecond, 10*time.Second), func() { s.bringBack(e) })
 }
 
-// editLimit lets an operator change a replica limit through a node, or through
-// none that any machine hears of.
+// editLimit changes a replica limit in a new tree revision and delivers the
+// newest revision to one node, unless that node is down or frozen.
 func (s *schedule) editLimit() {
 	s.edit(s.models[s.random.IntN(len(s.models))], s.random.IntN(3))
 	n := s.anyNode()
-	n.useTree(n.life, s.newest())
+	n.useTree(n.incarnation, s.newest())
 }
--- a/pkg/control/explore/schedule_test.go
+++ b/pkg/control/explore/schedule_test.go
@@ -9,30 +9,30 @@
 	"martenwheel.dev/pkg/policy"
 )
 
-// Lengths of a schedule in virtual time.
+// Phases of a schedule in virtual time.
 const (
 	faultyTime = 30 * time.Second
 	healedTime = 60 * time.Second
 )
 
-// options are what schedules of one run have in common.
+// options are common to all schedules of one run.
 type options struct {
 	unsafe        switches.Set
-	recovery      bool // a cell that does not work again afterwards is a violation
-	ownMembership bool // package membership instead of the oracle
+	recovery      bool // a cell that does not recover after the faults counts as a violation
+	ownMembership bool // use package membership instead of the oracle
 }
 
-// schedule is one random run: sizes, odds and the times of faults all follow
-// from the seed.
+// schedule is one random run. Sizes, odds and the times of faults all derive from
+// the seed.
 type schedule struct {
-	*world
+	*simulation
 	zones []string
 }
 
-// runSchedule runs the schedule of a seed and returns its world, whose failure
-// is empty if every promise held.
-func runSchedule(seed uint64, o options, tracing bool) *world {
-	s := &schedule{world: newWorld(seed), zones: []string{"z1", "z2", "z3"}}
+// runSchedule runs the schedule of a seed and returns its simulation, whose
+// failure is empty if all invariants held.
+func runSchedule(seed uint64, o options, tracing bool) *simulation {
+	s := &schedule{simulation: newSimulation(seed), zones: []string{"z1", "z2", "z3"}}
 	s.tracing = tracing
 	s.unsafe = o.unsafe
 	s.ownMembership = o.ownMembership
@@ -45,15 +45,15 @@
 	s.heal()
 	s.runUntil(healedTime, func() bool { return s.unrecovered() == "" })
 	if broken := s.unrecovered(); broken != "" {
-		s.stuck = fmt.Sprintf("%v after the faults ended: %s", healedTime, broken)
+		s.unrecoveredState = fmt.Sprintf("%v after the faults ended: %s", healedTime, broken)
 	}
-	return s.world
+	return s.simulation
 }
 
-// build sets up nodes, servers and models of random number and size.
+// build creates nodes, servers and models of random number and size.
 func (s *schedule) build() {
 	if s.chance(0.5) {
-		s.decider = func(string) policy.Decider { return recklessDecider{world: s.world} }
+		s.decider = func(string) policy.Decider { return randomDecider{sim: s.simulation} }
 	}
 	for index := range 3 + s.random.IntN(4) {
 		s.addModel(fmt.Sprint("m", index), "", uint64(4+s.random.IntN(8)), 1+s.random.IntN(2))
@@ -64,7 +64,7 @@
 	}
 	for index := range 3 + s.random.IntN(3) {
 		n := s.addNode(fmt.Sprint("n", index), s.zones[index%len(s.zones)])
-		n.skew = s.between(0, time.Second)
+		n.skew = s.randomDuration(0, time.Second)
 	}
 	s.odds = odds{
 		lost:       s.oneOf(0, 0, 0.01, 0.1),
@@ -73,24 +73,26 @@
 		late:       s.oneOf(0, 0, 0.02, 0.1),
 		loadFails:  s.oneOf(0, 0.1),
 	}
-	s.listLag = s.between(0, 4*time.Second)
+	s.listLag = s.randomDuration(0, 4*time.Second)
 }
 
+// oneOf returns one of the values at random.
 func (s *schedule) oneOf(values ...float64) float64 {
 	return values[s.random.IntN(len(values))]
 }
 
-// scheduleDemand lets requests for random models wait at random nodes.
+// scheduleDemand reports demand for random models at random nodes, at random
+// intervals.
 func (s *schedule) scheduleDemand() {
-	s.after(s.between(50*time.Millisecond, 700*time.Millisecond), func() {
+	s.after(s.randomDuration(50*time.Millisecond, 700*time.Millisecond), func() {
 		n := s.nodes[s.random.IntN(len(s.nodes))]
 		n.report(s.models[s.random.IntN(len(s.models))], uint32(s.random.IntN(3)), uint32(s.random.IntN(2)))
 		s.scheduleDemand()
 	})
 }
 
-// scheduleFaults causes a random fault, again and again until the end of the
-// faulty time.
+// scheduleFaults injects random faults at random intervals until the end of
+// faultyTime.
 func (s *schedule) scheduleFaults() {
 	end := s.now.Add(faultyTime)
 	var next func()
@@ -99,14 +101,15 @@
 			return
 		}
 		faults[s.random.IntN(len(faults))](s)
-		s.after(s.between(50*time.Millisecond, 2500*time.Millisecond), next)
+		s.after(s.randomDuration(50*time.Millisecond, 2500*time.Millisecond), next)
 	}
-	s.after(s.between(0, time.Second), next)
+	s.after(s.randomDuration(0, time.Second), next)
 }
 
-// heal ends all faults.
+// heal ends all faults, restarts the nodes that are down and brings back lost
+// machines.
 func (s *schedule) heal() {
-	s.note("all faults end")
+	s.tracef("all faults end")
 	s.odds = odds{}
 	s.cuts = make(map[string]bool)
 	s.table.down, s.treeDown, s.listDown, s.listLag = false, false, false, 0
@@ -119,7 +122,7 @@
 	}
 	s.listMachines()
 	for _, n := range s.nodes {
-		n.presumed = time.Time{}
+		n.presumedDeadUntil = time.Time{}
 		s.bootIfDown(n)
 		if n.frozen {
 			n.thaw()
@@ -127,8 +130,9 @@
 	}
 }
 
-// unrecovered tells what does not work again after all faults have ended: there
-// must be one owner that all nodes know, no unknown server and one revision.
+// unrecovered returns what does not work after all faults have ended, or "".
+// There must be one owner that all nodes know, no unknown or unreachable server,
+// and one tree revision.
 func (s *schedule) unrecovered() string {
 	owner := s.owner()
 	if owner == nil {
@@ -147,7 +151,7 @@
 			return fmt.Sprintf("%s knows no cell", n.id)
 		}
 		if cell := status.Cells[0]; cell.Term != term || cell.UnknownServer > 0 || cell.Unreachable > 0 {
-			return fmt.Sprintf("%s sees %+v", n.id, cell)
+			return fmt.Sprintf("%s has status %+v", n.id, cell)
 		}
 		if status.TreeRevision != s.newest().revision {
 			return fmt.Sprintf("%s has tree revision %d of %d", n.id, status.TreeRevision, s.newest().revision)
--- a/pkg/control/explore/settings_test.go
+++ b/pkg/control/explore/settings_test.go
@@ -7,7 +7,7 @@
 	"martenwheel.dev/pkg/tree"
 )
 
-// settings is a revision of a small tree.
+// settings is one revision of a small settings tree.
 type settings struct {
 	revision tree.Revision
 	models   []tree.Model
@@ -21,6 +21,7 @@
 	return tree.Settings{WeightFullSpeed: 8, WeightLoadRate: 4}
 }
 
+// model returns the model with the given name, or the zero value.
 func (s *settings) model(name api.ModelName) tree.Model {
 	for _, model := range s.models {
 		if model.Name == name {
@@ -30,8 +31,8 @@
 	return tree.Model{}
 }
 
-// addModel adds a model to the first revision.
-func (w *world) addModel(name, base string, gigabytes uint64, maxReplicas int) {
+// addModel adds a model to the first revision of the tree.
+func (w *simulation) addModel(name, base string, gigabytes uint64, maxReplicas int) {
 	if len(w.trees) == 0 {
 		w.trees = append(w.trees, &settings{revision: 1})
 	}
@@ -45,13 +46,14 @@
 	})
 }
 
-func (w *world) newest() *settings {
+// newest returns the newest revision.
+func (w *simulation) newest() *settings {
 	return w.trees[len(w.trees)-1]
 }
 
-// kvBytes is the KV cache of each replica, whatever the revision. An adapter
-// shares its base's.
-func (w *world) kvBytes(name api.ModelName) uint64 {
+// kvBytes returns the size of each replica's KV cache, which is the same in all
+// revisions. An adapter shares the cache of its base.
+func (w *simulation) kvBytes(name api.ModelName) uint64 {
 	model := w.trees[0].model(name)
 	if model.Base != "" {
 		return 0
@@ -59,8 +61,8 @@
 	return model.Settings.KVBytes
 }
 
-// edit accepts a change of max_replicas on top of the newest revision.
-func (w *world) edit(name api.ModelName, maxReplicas int) {
+// edit adds a revision that changes max_replicas of a model.
+func (w *simulation) edit(name api.ModelName, maxReplicas int) {
 	base := w.newest()
 	next := &settings{revision: base.revision + 1, models: append([]tree.Model(nil), base.models...)}
 	for index := range next.models {
@@ -69,5 +71,5 @@
 		}
 	}
 	w.trees = append(w.trees, next)
-	w.note("tree revision %d: at most %d of %s", next.revision, maxReplicas, name)
+	w.tracef("tree revision %d: max_replicas = %d for %s", next.revision, maxReplicas, name)
 }
--- a/pkg/control/explore/takeover_test.go
+++ b/pkg/control/explore/takeover_test.go
@@ -8,9 +8,9 @@
 	"martenwheel.dev/pkg/control"
 )
 
-// ownSite is a small site whose machines use package membership.
-func ownSite(seed uint64, nodes int) *world {
-	w := newWorld(seed)
+// ownSite returns a small site whose machines use package membership.
+func ownSite(seed uint64, nodes int) *simulation {
+	w := newSimulation(seed)
 	w.ownMembership = true
 	w.addModel("m0", "", 10, 1)
 	w.addModel("m1", "", 10, 2)
@@ -21,32 +21,35 @@
 	return w
 }
 
-// takeover kills the owner and returns the time until another node has loaded
-// an idle model for a request that waits since the kill.
-func takeover(t *testing.T, w *world, prepare func(w *world), place int) (owned, served time.Duration) {
+// takeover crashes the owner while a request for an unloaded model waits. It
+// returns the times until all nodes know the next owner and until that owner has
+// ordered the model's load.
+func takeover(t *testing.T, w *simulation, prepare func(w *simulation), place int) (owned, served time.Duration) {
 	t.Helper()
-	w.mustReach(t, 20*time.Second, w.allKnowOwner, "the site does not come up")
+	w.mustReach(t, 20*time.Second, w.allKnowOwner, "the site did not come up")
 	w.run(5 * time.Second)
 	prepare(w)
 	began := w.now
 	old := w.owner()
 	old.crash()
 	waiting := w.aliveNodes()[place]
-	w.keepWaiting(waiting, waiting.life)
-	w.mustReach(t, 30*time.Second, w.allKnowOwner, "nobody takes over")
+	w.keepWaiting(waiting, waiting.incarnation)
+	w.mustReach(t, 30*time.Second, w.allKnowOwner, "no node took over")
 	owned = w.now.Sub(began)
-	w.mustReach(t, 30*time.Second, func() bool { return w.holders("m0") > 0 }, "the new owner does not load the waiting model")
+	w.mustReach(t, 30*time.Second, func() bool { return w.holders("m0") > 0 }, "the new owner did not load the waiting model")
 	return owned, w.now.Sub(began)
 }
 
-func (w *world) keepWaiting(n *node, life uint64) {
-	if n.life == life && n.machine != nil {
+// keepWaiting reports a waiting request for m0 once per second while the given
+// incarnation of the node runs.
+func (w *simulation) keepWaiting(n *node, incarnation uint64) {
+	if n.incarnation == incarnation && n.machine != nil {
 		n.report("m0", 1, 0)
-		w.after(time.Second, func() { w.keepWaiting(n, life) })
+		w.after(time.Second, func() { w.keepWaiting(n, incarnation) })
 	}
 }
 
-func (w *world) aliveNodes() []*node {
+func (w *simulation) aliveNodes() []*node {
 	var alive []*node
 	for _, n := range w.nodes {
 		if n.machine != nil {
@@ -56,7 +59,8 @@
 	return alive
 }
 
-func (w *world) holders(model api.ModelName) int {
+// holders returns the number of engines that hold a model.
+func (w *simulation) holders(model api.ModelName) int {
 	count := 0
 	for _, e := range w.servers {
 		if e.holds(model) {
@@ -66,8 +70,8 @@
 	return count
 }
 
-// allKnowOwner tells whether the views of all live nodes name the owner.
-func (w *world) allKnowOwner() bool {
+// allKnowOwner reports whether the views of all live nodes name the owner.
+func (w *simulation) allKnowOwner() bool {
 	owner := w.owner()
 	for _, n := range w.nodes {
 		if n.machine != nil && (owner == nil || n.view.Leader.ID != owner.id) {
@@ -77,19 +81,20 @@
 	return owner != nil
 }
 
-// TestTakeover kills the owner with the platform up and down.
+// TestTakeover measures the takeover after the owner crashed, with the platform
+// up and down.
 func TestTakeover(t *testing.T) {
 	const limit = 2 * time.Second
 	cases := []struct {
 		name    string
-		prepare func(w *world)
-		place   int // of the node that the request waits at, among those that live
+		prepare func(w *simulation)
+		place   int // index of the node with the waiting request among the live nodes
 	}{
-		{"platform up", func(*world) {}, 0},
-		{"platform up, waiting at another node", func(*world) {}, 1},
-		{"platform up, waiting at a third node", func(*world) {}, 2},
-		{"table service down", func(w *world) { w.table.down, w.treeDown = true, true }, 0},
-		{"whole platform down for an hour", func(w *world) {
+		{"platform up", func(*simulation) {}, 0},
+		{"platform up, waiting at another node", func(*simulation) {}, 1},
+		{"platform up, waiting at a third node", func(*simulation) {}, 2},
+		{"table service down", func(w *simulation) { w.table.down, w.treeDown = true, true }, 0},
+		{"whole platform down for an hour", func(w *simulation) {
 			w.table.down, w.treeDown, w.listDown = true, true, true
 			w.run(time.Hour)
 		}, 0},
@@ -110,38 +115,38 @@
 	}
 }
 
-// TestOwnersFailOverRepeatedly kills owner after owner with the table service
-// down: each dead member is replaced by the group itself.
+// TestOwnersFailOverRepeatedly crashes one owner after the other while the table
+// service is down. The group itself must replace each dead member.
 func TestOwnersFailOverRepeatedly(t *testing.T) {
 	w := ownSite(5, 6)
-	w.mustReach(t, 20*time.Second, w.allKnowOwner, "the site does not come up")
+	w.mustReach(t, 20*time.Second, w.allKnowOwner, "the site did not come up")
 	w.run(3 * time.Second)
 	w.table.down, w.treeDown = true, true
 	for round := range 4 {
 		w.owner().crash()
 		if !w.runUntil(20*time.Second, w.allKnowOwner) {
-			t.Fatalf("nobody takes over in round %d", round)
+			t.Fatalf("no node took over in round %d", round)
 		}
 		w.run(8 * time.Second)
 	}
 	printTrace(t, w)
 }
 
-// TestPlannedStop stops the owner: it hands over before it exits, and faster
-// than a death would be noticed.
+// TestPlannedStop checks that a stopping owner hands over before it exits, which
+// is faster than the detection of a dead node.
 func TestPlannedStop(t *testing.T) {
 	w := ownSite(6, 4)
-	w.mustReach(t, 20*time.Second, w.allKnowOwner, "the site does not come up")
+	w.mustReach(t, 20*time.Second, w.allKnowOwner, "the site did not come up")
 	w.run(3 * time.Second)
 	old := w.owner()
 	began := w.now
 	old.step(control.StopRequested{})
 	if !w.runUntil(5*time.Second, old.machine.Stopped) {
-		t.Error("the node does not stop within 5s")
+		t.Error("the node did not stop within 5s")
 	}
 	t.Logf("stopped after %v", w.now.Sub(began))
 	if owner := w.owner(); owner == nil || owner == old {
-		t.Error("the cell is not handed over before the stop")
+		t.Error("the cell was not handed over before the stop")
 	}
 	old.crash()
 	w.run(time.Second)
@@ -151,19 +156,19 @@
 	printTrace(t, w)
 }
 
-// TestPlannedStopsInTurn stops the nodes of a small site one after the other, as an
-// operator does: no group takes in a node that is stopping, so that each stop is
-// fast but the last, which has nobody to hand over to.
+// TestPlannedStopsInTurn stops the nodes of a small site one after the other. No
+// group may add a node that is stopping, so that each stop is fast except the
+// last one, which has no node to hand over to.
 func TestPlannedStopsInTurn(t *testing.T) {
 	const seeds, atOnce = 60, 3 * time.Second
 	for seed := range uint64(seeds) {
 		w := ownSite(seed, 3)
-		w.mustReach(t, 20*time.Second, w.allKnowOwner, "the site does not come up")
+		w.mustReach(t, 20*time.Second, w.allKnowOwner, "the site did not come up")
 		w.run(3*time.Second + time.Duration(seed)*17*time.Millisecond)
 		for range 2 {
 			n := w.owner()
 			if n == nil {
-				t.Errorf("seed %d: nobody owns the cell", seed)
+				t.Errorf("seed %d: no node owns the cell", seed)
 				break
 			}
 			began := w.now
--- a/pkg/control/explore/traffic_test.go
+++ b/pkg/control/explore/traffic_test.go
@@ -12,8 +12,8 @@
 	"martenwheel.dev/pkg/policy"
 )
 
-// trafficMeter adds up the encoded sizes of messages, with one gob stream for
-// each pair of nodes as the transport has.
+// trafficMeter sums up the encoded sizes of messages. Like the transport it uses
+// one gob stream per pair of nodes.
 type trafficMeter struct {
 	streams  map[string]*gobStream
 	bytes    int
@@ -42,9 +42,9 @@
 	stream.buffer.Reset()
 }
 
-// BenchmarkControlTraffic reports what a node sends to other nodes at about
-// today's sizes: with nothing to do, and with a wake of an idle model every
-// eight seconds and its unload after the keep-alive.
+// BenchmarkControlTraffic reports what a node sends to other nodes in a site of
+// typical size: while idle, and with a load of an idle model every eight seconds
+// and its unload after the keep-alive.
 func BenchmarkControlTraffic(b *testing.B) {
 	for _, message := range append(control.Messages(), membership.Messages()...) {
 		gob.Register(message)
@@ -60,7 +60,7 @@
 
 func measureTraffic(b *testing.B, busy bool) {
 	const nodes, seconds = 12, 60
-	w := newWorld(1)
+	w := newSimulation(1)
 	w.tracing = false
 	w.ownMembership = true
 	w.decider = func(string) policy.Decider { return waitingDecider{} }
@@ -74,21 +74,21 @@
 	w.addNodes(nodes)
 	w.run(30 * time.Second)
 	if busy {
-		w.wakeInTurn(0)
+		w.wakeModelsInTurn(0)
 	}
 	meter := &trafficMeter{streams: make(map[string]*gobStream)}
 	w.onSend = func(from *node, e control.SendPeer) { meter.add(b, from, e) }
-	w.run(10 * time.Second) // type descriptions are sent once
+	w.run(10 * time.Second) // the streams' type descriptions, which are sent once, are not measured
 	meter.bytes, meter.messages = 0, 0
 	w.run(seconds * time.Second)
 	b.ReportMetric(float64(meter.bytes)/nodes/seconds, "B/s/node")
 	b.ReportMetric(float64(meter.messages)/nodes/seconds, "msg/s/node")
 }
 
-// wakeInTurn lets a request for one idle model after another wait. Each model
-// is unloaded after its keep-alive.
-func (w *world) wakeInTurn(index int) {
+// wakeModelsInTurn reports a waiting request for one idle model after another.
+// Each model is unloaded after its keep-alive.
+func (w *simulation) wakeModelsInTurn(index int) {
 	n := w.nodes[index%len(w.nodes)]
 	n.report(w.models[index%len(w.models)], 1, 0)
-	w.after(8*time.Second, func() { w.wakeInTurn(index + 1) })
+	w.after(8*time.Second, func() { w.wakeModelsInTurn(index + 1) })
 }
--- a/pkg/control/machine.go
+++ b/pkg/control/machine.go
@@ -12,38 +12,42 @@
 	"martenwheel.dev/pkg/tree"
 )
 
-// Machine is the control side of one node. It is owned by one goroutine.
+// Machine is the control plane of one node. It is owned by one goroutine.
 type Machine struct {
-	config     Config
-	timing     Timing
-	random     *rand.Rand
-	membership Membership
-	now        time.Time
-	live       []api.NodeRef // of liveNodes within one step; nil if not made yet
-
-	settings  Settings
-	treeSeen  tree.Revision // highest that anybody in reach has had
-	treeAsked time.Time     // when the tree was last fetched
-	treePoll  time.Time     // when the platform is asked next
+	config         Config
+	timing         Timing
+	random         *rand.Rand
+	membership     Membership
+	now            time.Time
+	liveNodesCache []api.NodeRef // cached result of liveNodes for the current step; nil if not computed
+
+	settings       Settings
+	treeSeen       tree.Revision // highest revision known from any node or from this one's own tree
+	treeFetchedAt  time.Time     // when the tree was last requested from a peer
+	nextTreePollAt time.Time     // when the platform is next asked for a tree
 
 	cells     map[api.CellName]*cellControl
 	cellOrder []api.CellName // sorted
 	modelCell map[api.ModelName]api.CellName
 
-	demand        demandBuffer
-	machinesAsked time.Time // zero: no list under way
-	machinesAt    time.Time // when the next list is due
+	demand          demandBuffer
+	listRequestedAt time.Time // when the pending machine list request was sent; zero if none is pending
+	nextListAt      time.Time // when the machine list is next read
+	// antiEntropyAt and claimsAt are when the digests are next compared and the
+	// claims next refreshed.
 	antiEntropyAt time.Time
 	claimsAt      time.Time
 
-	stopping  bool
-	stopBy    time.Time
-	announced bool // the others know that this node left
+	stopping bool
+	// stopDeadline is when a planned stop ends even if groups still depend on
+	// this node.
+	stopDeadline   time.Time
+	leaveAnnounced bool // the departure was announced to the other nodes
 
 	effects []Effect
 }
 
-// New returns the control side of a node that knows no settings yet.
+// New returns the control plane of a node that has no settings yet.
 func New(config Config) *Machine {
 	if config.Timing == (Timing{}) {
 		config.Timing = DefaultTiming()
@@ -63,9 +67,9 @@
 	return m
 }
 
-// Step handles an event at the time now, which never goes back, and returns what
-// the node is to do about it. Failures are events and effects too: there is no
-// error to return. It is for the goroutine that owns the machine.
+// Step handles one event at time now, which must never decrease, and returns the
+// effects to carry out. It returns no error: failures are reported as events and
+// effects too. It must be called from the goroutine that owns the machine.
 func (m *Machine) Step(now time.Time, event Event) []Effect {
 	m.begin(now)
 	switch e := event.(type) {
@@ -74,30 +78,30 @@
 	case PeerReceived:
 		m.receive(e.From, e.Message)
 	case DemandReported:
-		m.takeDemand(e.Demand)
+		m.handleDemand(e.Demand)
 	case OrderAnswered:
-		m.takeOrderAnswer(e)
+		m.handleOrderAnswered(e)
 	case InventoryAnswered:
-		m.takeInventory(e)
+		m.handleInventoryAnswered(e)
 	case MachinesListed:
-		m.takeMachines(e)
+		m.handleMachinesListed(e)
 	case RecordRead:
-		m.takeRecord(e)
+		m.handleRecordRead(e)
 	case RecordCommitted:
-		m.takeCommit(e)
+		m.handleRecordCommitted(e)
 	case StopRequested:
 		m.beginStop()
 	}
 	return m.finish()
 }
 
-// begin starts a step at the time now.
+// begin starts a step at time now.
 func (m *Machine) begin(now time.Time) {
 	m.now = now
-	m.live = nil
+	m.liveNodesCache = nil
 }
 
-// finish lets the owners act on what is new and returns the effects.
+// finish lets the owners act on the new state and returns the collected effects.
 func (m *Machine) finish() []Effect {
 	for _, name := range m.cellOrder {
 		m.cells[name].advance()
@@ -120,36 +124,37 @@
 	m.tickStop()
 }
 
-// receive hands a message to the part that it is for.
+// receive dispatches a message from another node. Messages of unknown type go to
+// the membership.
 func (m *Machine) receive(from api.NodeRef, message any) {
 	switch e := message.(type) {
 	case quorum.Prepare:
-		m.toGroup(e.Cell, from, e)
+		m.forwardToGroup(e.Cell, from, e)
 	case quorum.Promise:
-		m.toGroup(e.Cell, from, e)
+		m.forwardToGroup(e.Cell, from, e)
 	case quorum.Accept:
 		m.ensureCell(e.Cell)
-		m.toGroup(e.Cell, from, e)
+		m.forwardToGroup(e.Cell, from, e)
 	case quorum.Heartbeat:
-		m.toGroup(e.Cell, from, e)
+		m.forwardToGroup(e.Cell, from, e)
 	case quorum.Accepted:
-		m.toGroup(e.Cell, from, e)
+		m.forwardToGroup(e.Cell, from, e)
 	case quorum.TakeOver:
-		m.toGroup(e.Cell, from, e)
+		m.forwardToGroup(e.Cell, from, e)
 	case quorum.Leaving:
 		if c, known := m.cells[e.Cell]; known {
 			c.memberLeaving(from)
 		}
 	case ViewPush:
-		m.takeView(e.View)
+		m.handleView(e.View)
 	case ViewDelta:
-		m.takeDelta(from, e)
+		m.handleDelta(from, e)
 	case ViewRequest:
 		m.answerViewRequest(from, e)
 	case TreeNews:
-		m.hearRevision(from, e.Revision)
+		m.noticeRevision(from, e.Revision)
 	case api.DemandReport:
-		m.takeReport(from, e)
+		m.handleDemandReport(from, e)
 	case Estimates:
 		for _, estimate := range e.Estimates {
 			m.emit(PublishEstimate{Estimate: estimate})
@@ -159,7 +164,7 @@
 	}
 }
 
-func (m *Machine) toGroup(name api.CellName, from api.NodeRef, message any) {
+func (m *Machine) forwardToGroup(name api.CellName, from api.NodeRef, message any) {
 	if c, known := m.cells[name]; known {
 		c.sendGroup(c.group.Receive(m.now, from, message))
 	}
@@ -169,7 +174,7 @@
 	m.effects = append(m.effects, effect)
 }
 
-// send sends a message to another node.
+// send emits the effect that sends a message to another node.
 func (m *Machine) send(to api.NodeRef, message any) {
 	m.emit(SendPeer{To: to, Message: message})
 }
@@ -180,7 +185,7 @@
 	}
 }
 
-// ensureCell returns this node's part in a cell, which may be new.
+// ensureCell returns this node's state for a cell and creates it if needed.
 func (m *Machine) ensureCell(name api.CellName) *cellControl {
 	c, known := m.cells[name]
 	if known {
@@ -192,6 +197,7 @@
 	return c
 }
 
+// jitter returns a random duration up to limit.
 func (m *Machine) jitter(limit time.Duration) time.Duration {
 	return time.Duration(m.random.Int64N(int64(limit) + 1))
 }
--- a/pkg/control/machine_test.go
+++ b/pkg/control/machine_test.go
@@ -17,31 +17,33 @@
 
 var testStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// alone is the membership of a node without others.
-type alone struct{ self api.NodeRef }
-
-func (a alone) Tick(time.Time) []membership.Packet                      { return nil }
-func (a alone) Receive(time.Time, api.NodeRef, any) []membership.Packet { return nil }
-func (a alone) Leave(time.Time) []membership.Packet                     { return nil }
-func (a alone) Members() []membership.Member                            { return []membership.Member{{Ref: a.self}} }
-func (a alone) SetDigest(membership.Digest)                             {}
-func (a alone) Digest(api.NodeID) (membership.Digest, bool)             { return membership.Digest{}, false }
-
-// plainSettings is a tree with one service.
-type plainSettings struct {
+// singleNode is the membership of a node without peers.
+type singleNode struct{ self api.NodeRef }
+
+func (a singleNode) Tick(time.Time) []membership.Packet                      { return nil }
+func (a singleNode) Receive(time.Time, api.NodeRef, any) []membership.Packet { return nil }
+func (a singleNode) Leave(time.Time) []membership.Packet                     { return nil }
+func (a singleNode) Members() []membership.Member                            { return []membership.Member{{Ref: a.self}} }
+func (a singleNode) SetDigest(membership.Digest)                             {}
+func (a singleNode) Digest(api.NodeID) (membership.Digest, bool)             { return membership.Digest{}, false }
+
+// stubSettings is a tree with one service.
+type stubSettings struct {
 	revision tree.Revision
 	models   []tree.Model
 }
 
-func (s plainSettings) Revision() tree.Revision { return s.revision }
-func (s plainSettings) Models() []tree.Model    { return s.models }
-func (s plainSettings) Services() []string      { return []string{"assistant"} }
-func (s plainSettings) Root() tree.Settings {
+func (s stubSettings) Revision() tree.Revision { return s.revision }
+func (s stubSettings) Models() []tree.Model    { return s.models }
+func (s stubSettings) Services() []string      { return []string{"assistant"} }
+func (s stubSettings) Root() tree.Settings {
 	return tree.Settings{WeightFullSpeed: 8, WeightLoadRate: 1000}
 }
 
-func settingsOf(models int) plainSettings {
-	s := plainSettings{revision: 1}
+// settingsOf returns stubSettings with the given number of models, which stay
+// loaded.
+func settingsOf(models int) stubSettings {
+	s := stubSettings{revision: 1}
 	for index := range models {
 		s.models = append(s.models, tree.Model{
 			Name: api.ModelName(fmt.Sprintf("m%04d", index)), Service: "assistant",
@@ -54,8 +56,9 @@
 	return s
 }
 
-// standby runs one machine with engines and a table that answer at once.
-type standby struct {
+// harness runs one Machine with engines, a machine list and a table service that
+// answer immediately.
+type harness struct {
 	machine *Machine
 	now     time.Time
 	servers int
@@ -64,35 +67,37 @@
 	views   int
 }
 
-func newStandby(servers, models int) *standby {
+func newHarness(servers, models int) *harness {
 	self := api.NodeRef{ID: "n", Incarnation: 1, Region: "r", Zone: "z"}
-	s := &standby{now: testStart, servers: servers, items: make(map[api.ServerID][]engine.Item)}
+	s := &harness{now: testStart, servers: servers, items: make(map[api.ServerID][]engine.Item)}
 	s.machine = New(Config{
-		Self: self, Membership: alone{self: self},
+		Self: self, Membership: singleNode{self: self},
 		Decider: func(name string) policy.Decider {
 			decider, _ := policy.ByName(name)
 			return decider
 		},
 	})
-	s.carryOut(s.machine.SetTree(s.now, settingsOf(models)))
+	s.execute(s.machine.SetTree(s.now, settingsOf(models)))
 	return s
 }
 
-func (s *standby) run(duration time.Duration) {
+// run ticks the machine for the given time.
+func (s *harness) run(duration time.Duration) {
 	for end := s.now.Add(duration); s.now.Before(end); s.now = s.now.Add(TickInterval) {
-		s.carryOut(s.machine.Step(s.now, Tick{}))
+		s.execute(s.machine.Step(s.now, Tick{}))
 	}
 }
 
-func (s *standby) carryOut(effects []Effect) {
+// execute carries out effects and feeds their results back as events.
+func (s *harness) execute(effects []Effect) {
 	for _, effect := range effects {
 		if event := s.answer(effect); event != nil {
-			s.carryOut(s.machine.Step(s.now, event))
+			s.execute(s.machine.Step(s.now, event))
 		}
 	}
 }
 
-func (s *standby) answer(effect Effect) Event {
+func (s *harness) answer(effect Effect) Event {
 	switch e := effect.(type) {
 	case ListMachines:
 		return MachinesListed{List: s.list()}
@@ -121,7 +126,7 @@
 	return nil
 }
 
-func (s *standby) list() platform.MachineList {
+func (s *harness) list() platform.MachineList {
 	list := platform.MachineList{Version: 1, AsOf: s.now}
 	for index := range s.servers {
 		list.Machines = append(list.Machines, platform.Machine{
@@ -132,9 +137,9 @@
 	return list
 }
 
-// TestAllModelsAreLoaded lets one owner load many models on many servers.
+// TestAllModelsAreLoaded checks that one owner loads many models on many servers.
 func TestAllModelsAreLoaded(t *testing.T) {
-	s := newStandby(12, 60)
+	s := newHarness(12, 60)
 	s.run(30 * time.Second)
 	cell := s.machine.Status().Cells[0]
 	if cell.Role != RoleOwner || cell.Ready != 60 || cell.Servers != 12 {
@@ -142,26 +147,28 @@
 	}
 }
 
-// TestObsoleteViewDoesNotHoldUpANewGroup: the members in the newest view that a
-// node has are alive, but their group is of an earlier epoch than one whose
-// members are gone. Found by the explorer (seed 1024062 before this test).
+// TestObsoleteViewDoesNotHoldUpANewGroup covers a node whose newest view names
+// live members of an earlier epoch, while the members of the latest epoch are
+// gone. The live members of the superseded group must not keep the node from
+// forming a new one.
 func TestObsoleteViewDoesNotHoldUpANewGroup(t *testing.T) {
-	s := newStandby(1, 1)
+	s := newHarness(1, 1)
 	self := s.machine.config.Self
 	gone := api.NodeRef{ID: "gone", Incarnation: 1, Region: "r"}
 	view := api.CellView{Cell: "assistant@r", Term: quorum.MakeTerm(1, 1), Version: 1, Leader: self, Members: []api.NodeRef{self}}
-	s.carryOut(s.machine.Step(s.now, PeerReceived{From: self, Message: ViewPush{View: view}}))
+	s.execute(s.machine.Step(s.now, PeerReceived{From: self, Message: ViewPush{View: view}}))
 	state := quorum.State{Term: quorum.MakeTerm(2, 1), Version: 1, Members: []api.NodeRef{gone}}
-	s.carryOut(s.machine.Step(s.now, PeerReceived{From: gone, Message: quorum.Accept{Cell: view.Cell, State: state}}))
+	s.execute(s.machine.Step(s.now, PeerReceived{From: gone, Message: quorum.Accept{Cell: view.Cell, State: state}}))
 	s.run(time.Minute)
 	if cell := s.machine.Status().Cells[0]; cell.Role != RoleOwner || cell.Epoch != 3 {
 		t.Errorf("status = %+v, want the owner of epoch 3", cell)
 	}
 }
 
-// TestOlderTreeIsIgnored: the tree in force never goes back.
+// TestOlderTreeIsIgnored checks that the tree in force is never replaced by an
+// older one.
 func TestOlderTreeIsIgnored(t *testing.T) {
-	s := newStandby(1, 1)
+	s := newHarness(1, 1)
 	newer := settingsOf(2)
 	newer.revision = 7
 	s.machine.SetTree(s.now, newer)
@@ -171,9 +178,10 @@
 	}
 }
 
-// TestTreePollStaysConstantInTotal: the more nodes, the less often each asks.
+// TestTreePollStaysConstantInTotal checks the poll rate of a single node. The
+// interval grows with the number of nodes, so that the total rate stays constant.
 func TestTreePollStaysConstantInTotal(t *testing.T) {
-	s := newStandby(1, 1)
+	s := newHarness(1, 1)
 	polls := 0
 	for end := s.now.Add(time.Minute); s.now.Before(end); s.now = s.now.Add(TickInterval) {
 		for _, effect := range s.machine.Step(s.now, Tick{}) {
@@ -183,11 +191,11 @@
 		}
 	}
 	if polls < 20 || polls > 30 {
-		t.Errorf("%d polls a minute of a node alone, want one in 2s to 2.5s", polls)
+		t.Errorf("a single node polls %d times a minute, want one poll per 2s to 2.5s", polls)
 	}
 }
 
-// sizes are those of today's largest cell and of a large one of the target.
+// sizes are a typical cell and a large one.
 var sizes = []struct {
 	name            string
 	servers, models int
@@ -196,12 +204,12 @@
 	{"100 servers 500 models", 100, 500},
 }
 
-// BenchmarkOwnerTick is the cost of a tick of an owner whose models are loaded,
-// with the answers to what it asks: inventories and the list of machines.
+// BenchmarkOwnerTick measures a tick of an owner whose models are loaded,
+// including the handling of inventories and machine lists.
 func BenchmarkOwnerTick(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(size.name, func(b *testing.B) {
-			s := newStandby(size.servers, size.models)
+			s := newHarness(size.servers, size.models)
 			s.run(3 * time.Minute)
 			b.ReportAllocs()
 			for b.Loop() {
@@ -211,13 +219,13 @@
 	}
 }
 
-// BenchmarkDemand is the cost of one report of demand at the owner.
+// BenchmarkDemand measures how the owner handles one demand report.
 func BenchmarkDemand(b *testing.B) {
-	s := newStandby(12, 140)
+	s := newHarness(12, 140)
 	s.run(3 * time.Minute)
 	b.ReportAllocs()
 	for b.Loop() {
-		s.carryOut(s.machine.Step(s.now, PeerReceived{
+		s.execute(s.machine.Step(s.now, PeerReceived{
 			From: api.NodeRef{ID: "other"},
 			Message: api.DemandReport{Cell: "assistant@r", Models: []api.ModelDemand{
 				{Model: "m0001", Arrivals: 1, InFlight: 1, LastArrival: s.now},
@@ -227,12 +235,12 @@
 	}
 }
 
-// BenchmarkCellMemory reports the heap that an owner of a cell holds.
+// BenchmarkCellMemory reports the heap size of an owner's state for one cell.
 func BenchmarkCellMemory(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(size.name, func(b *testing.B) {
 			before := heapBytes()
-			s := newStandby(size.servers, size.models)
+			s := newHarness(size.servers, size.models)
 			s.run(3 * time.Minute)
 			held := heapBytes() - before
 			for b.Loop() {
@@ -243,6 +251,7 @@
 	}
 }
 
+// heapBytes returns the allocated heap after garbage collection.
 func heapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
--- a/pkg/control/machines.go
+++ b/pkg/control/machines.go
@@ -7,20 +7,21 @@
 	"martenwheel.dev/pkg/platform"
 )
 
-// pollMachines reads the list of machines while this node owns a cell or is
-// about to form a group.
+// pollMachines reads the machine list while this node owns a cell or is forming a
+// group.
 func (m *Machine) pollMachines() {
-	if !m.machinesAsked.IsZero() && m.now.Sub(m.machinesAsked) < m.timing.ListTimeout {
+	if !m.listRequestedAt.IsZero() && m.now.Sub(m.listRequestedAt) < m.timing.ListTimeout {
 		return
 	}
-	if m.now.Before(m.machinesAt) || !m.needsMachines() {
+	if m.now.Before(m.nextListAt) || !m.needsMachines() {
 		return
 	}
-	m.machinesAsked = m.now
-	m.machinesAt = m.now.Add(m.timing.MachinePoll)
+	m.listRequestedAt = m.now
+	m.nextListAt = m.now.Add(m.timing.MachinePoll)
 	m.emit(ListMachines{Region: m.config.Self.Region})
 }
 
+// needsMachines reports whether any cell needs the machine list.
 func (m *Machine) needsMachines() bool {
 	for _, name := range m.cellOrder {
 		c := m.cells[name]
@@ -31,11 +32,11 @@
 	return false
 }
 
-// takeMachines gives each cell its part of a list, or the failure to get one.
-func (m *Machine) takeMachines(e MachinesListed) {
-	m.machinesAsked = time.Time{}
+// handleMachinesListed passes each cell its machines of a list, or the error.
+func (m *Machine) handleMachinesListed(e MachinesListed) {
+	m.listRequestedAt = time.Time{}
 	if e.Err != nil {
-		m.machinesAt = m.now.Add(m.timing.MachinePoll + m.jitter(m.timing.MachinePoll))
+		m.nextListAt = m.now.Add(m.timing.MachinePoll + m.jitter(m.timing.MachinePoll))
 	}
 	for _, name := range m.cellOrder {
 		c := m.cells[name]
@@ -43,11 +44,11 @@
 		if c.owner != nil && e.Err == nil {
 			c.owner.Listed(m.now, list)
 		}
-		c.formationListed(list, e.Err)
+		c.continueFormationWithList(list, e.Err)
 	}
 }
 
-// machinesOf returns the machines of a list that belong to a cell.
+// machinesOf returns the list reduced to the machines of one cell.
 func machinesOf(list platform.MachineList, name api.CellName) platform.MachineList {
 	var own []platform.Machine
 	for _, machine := range list.Machines {
