--- a/pkg/control/members.go
+++ b/pkg/control/members.go
@@ -7,8 +7,8 @@
 	"martenwheel.dev/pkg/control/quorum"
 )
 
-// tickMembers lets the leader of a group replace members that are dead or about
-// to stop, add missing ones and spread them over the zones.
+// tickMembers lets the leader of a group replace members that are dead or
+// leaving, add missing ones and spread them over the zones.
 func (c *cellControl) tickMembers() {
 	m := c.machine
 	if c.owner == nil || m.now.Before(c.reconfigureAt) {
@@ -20,13 +20,14 @@
 	if sameMembers(current, wanted) {
 		return
 	}
-	c.Log("info", "members change", "from", names(current), "to", names(wanted))
+	c.Log("info", "group members change", "from", nodeIDs(current), "to", nodeIDs(wanted))
 	c.sendGroup(c.group.Reconfigure(m.now, wanted))
 }
 
-// wantedMembers keeps the members that live and stay, and fills up. A dead
-// member without a replacement stays, since a smaller group is no safer; one
-// that stops is let go if another member remains.
+// wantedMembers keeps the members that are alive and not leaving, and adds others
+// up to quorum.Size. A dead member without a replacement is kept, because a
+// smaller group would be no safer. A leaving member is removed as long as another
+// member remains.
 func (c *cellControl) wantedMembers(current []api.NodeRef) []api.NodeRef {
 	m := c.machine
 	live := quorum.Without(m.liveNodes(), c.leaving)
@@ -39,7 +40,7 @@
 			dead = append(dead, member)
 		}
 	}
-	wanted := c.chooseMembers(c.oneForEachZone(staying, live), live)
+	wanted := c.chooseMembers(c.dropDuplicateZone(staying, live), live)
 	for _, member := range dead {
 		if len(wanted) < quorum.Size && len(wanted) < len(current) {
 			wanted = append(wanted, member)
@@ -51,9 +52,10 @@
 	return wanted
 }
 
-// oneForEachZone leaves out a member that shares its zone with another one if a
-// node in a free zone could take its place. The leader stays.
-func (c *cellControl) oneForEachZone(staying, live []api.NodeRef) []api.NodeRef {
+// dropDuplicateZone removes one member that shares its zone with another member
+// if a live node in an unused zone could replace it. It never removes this node,
+// which leads the group.
+func (c *cellControl) dropDuplicateZone(staying, live []api.NodeRef) []api.NodeRef {
 	if len(staying) < quorum.Size {
 		return staying
 	}
@@ -73,8 +75,9 @@
 	return staying
 }
 
-// memberLeaving notes that a member asks to be replaced, also at a node that does
-// not lead: it may be the next one to, and is not to take the member in again.
+// memberLeaving records that a member asks to be replaced. Members that do not
+// lead record it too, since any of them may lead next and must not add the
+// leaving node again.
 func (c *cellControl) memberLeaving(node api.NodeRef) {
 	if quorum.Contains(c.leaving, node) {
 		return
@@ -83,7 +86,8 @@
 	c.reconfigureAt = c.machine.now
 }
 
-// stillLeaving returns the leaving nodes that membership has not dropped yet.
+// stillLeaving returns the leaving nodes that the membership still reports as
+// live.
 func (c *cellControl) stillLeaving() []api.NodeRef {
 	return slices.DeleteFunc(c.leaving, func(node api.NodeRef) bool {
 		return !quorum.Contains(c.machine.liveNodes(), node)
@@ -102,7 +106,7 @@
 	return true
 }
 
-func names(nodes []api.NodeRef) []api.NodeID {
+func nodeIDs(nodes []api.NodeRef) []api.NodeID {
 	ids := make([]api.NodeID, len(nodes))
 	for index, node := range nodes {
 		ids[index] = node.ID
--- a/pkg/control/membership.go
+++ b/pkg/control/membership.go
@@ -7,8 +7,8 @@
 	"martenwheel.dev/pkg/membership"
 )
 
-// Membership tells which nodes are alive and carries a small digest of each to
-// its neighbours. *membership.Machine provides it.
+// Membership reports which nodes are alive and exchanges a small digest with each
+// neighbour. *membership.Machine implements it.
 type Membership interface {
 	Tick(now time.Time) []membership.Packet
 	Receive(now time.Time, from api.NodeRef, message any) []membership.Packet
@@ -18,7 +18,7 @@
 	Digest(id api.NodeID) (membership.Digest, bool)
 }
 
-// newMembership returns the membership of production.
+// newMembership returns the membership used in production.
 func newMembership(config Config) Membership {
 	return membership.New(membership.Config{Self: config.Self, Seeds: config.Seeds, Seed: config.Seed})
 }
--- a/pkg/control/nodes.go
+++ b/pkg/control/nodes.go
@@ -6,21 +6,21 @@
 	"martenwheel.dev/pkg/membership"
 )
 
-// isSelf tells whether node is this life of this node.
+// isSelf reports whether node is this node with its current incarnation.
 func (m *Machine) isSelf(node api.NodeRef) bool {
 	return sameNode(node, m.config.Self)
 }
 
-// sameNode tells whether two references name the same life of a node.
+// sameNode reports whether two references have the same node ID and incarnation.
 func sameNode(a, b api.NodeRef) bool {
 	return quorum.MemberOf(a) == quorum.MemberOf(b)
 }
 
-// liveNodes returns the nodes of this region that are not known to be dead,
-// with this node among them unless it stops.
+// liveNodes returns the nodes of this region that are not known to be dead. It
+// includes this node unless it is stopping.
 func (m *Machine) liveNodes() []api.NodeRef {
-	if m.live != nil {
-		return m.live
+	if m.liveNodesCache != nil {
+		return m.liveNodesCache
 	}
 	live := []api.NodeRef{}
 	for _, member := range m.membership.Members() {
@@ -32,6 +32,6 @@
 		}
 		live = append(live, member.Ref)
 	}
-	m.live = live
+	m.liveNodesCache = live
 	return live
 }
--- a/pkg/control/quorum/doc.go
+++ b/pkg/control/quorum/doc.go
@@ -1,20 +1,20 @@
-// Package quorum keeps the small state of one cell on a group of nodes, so
-// that it survives the loss of a minority of them with no help of the
-// platform: a replicated register with a leader (Paxos over the whole state,
-// without a log).
+// Package quorum replicates the small state of one cell on a group of nodes, so
+// that it survives the loss of a minority of them without help from the platform.
+// It is a replicated register with a leader: Paxos over the whole state, without
+// a log.
 //
-// A member is one life of a process: a restarted process has another
-// incarnation and is not a member, so that a member never forgets a promise.
-// Members are replaced in two steps over a joint configuration, in which a
-// majority of the old and one of the new members must agree.
+// A member is one incarnation of a node. A restarted process has a new
+// incarnation and is not a member, because it would not remember the promises
+// made before. Members are replaced in two steps through a joint configuration,
+// in which a majority of the old members and a majority of the new ones must
+// agree.
 //
-// A Group holds no clock, socket or goroutine. Leases and time-outs decide only
-// when a member tries to lead; that two leaders do not both change the state
-// follows from the majorities alone.
+// A Group has no clock, socket or goroutine of its own. Leases and timeouts only
+// decide when a member tries to lead. That two leaders cannot both change the
+// state follows from the majorities alone.
 //
-// Begin with state.go, the register's value, and with group.go, the entry points
-// of a Group. What a member does in each role is in member.go (it follows),
-// candidate.go (it asks for promises) and leader.go (it proposes states).
-// messages.go holds what members send each other, members.go who they are and
-// when they are a majority, timing.go the time constants.
+// Start with state.go, the register's value, and group.go, the methods that
+// callers use. The behaviour of each role is in member.go (follower),
+// candidate.go (election) and leader.go (proposals). messages.go defines the peer
+// messages, members.go identities and majorities, timing.go the time constants.
 package quorum
--- a/pkg/control/quorum/group.go
+++ b/pkg/control/quorum/group.go
@@ -8,7 +8,7 @@
 	"martenwheel.dev/pkg/control/internal/switches"
 )
 
-// Config sets up a Group.
+// Config configures a Group.
 type Config struct {
 	Self   api.NodeRef
 	Cell   api.CellName
@@ -22,83 +22,84 @@
 
 const (
 	roleNone      role = iota // not a member, or superseded by a later epoch
-	roleFollower              // answers the leader
-	roleCandidate             // has asked for promises
+	roleFollower              // follows a leader or waits for one
+	roleCandidate             // has asked the members for promises
 	roleLeader                // proposes states
 )
 
-// Group is this node's part in the group of one cell. The zero value is not
-// usable; see NewGroup. It is owned by one goroutine.
+// Group is this node's member of the quorum group of one cell. Use NewGroup to
+// create one. It is owned by one goroutine.
 type Group struct {
 	config Config
 	role   role
 
-	// The member's memory: it must not be lost while the process lives.
-	promised   uint64
-	promisedTo Member
-	accepted   State
+	// Acceptor state: it must not be lost while the process runs.
+	promised   uint64 // highest term that this member has promised to follow
+	promisedTo Member // candidate or leader of the promised term
+	accepted   State  // newest accepted state
 
-	seenTerm   uint64 // highest term that anybody is known to follow
-	epochFloor uint64 // members of earlier epochs are silent
+	seenTerm   uint64 // highest term that any member or engine is known to follow
+	epochFloor uint64 // members ignore messages of earlier epochs
 
-	leader      api.NodeRef // of the promised term, if known
-	leaderHeard time.Time
-	standAt     time.Time // when this member stands, unless the leader is heard
-	resendAt    time.Time
+	leader        api.NodeRef // leader of the promised term, if known
+	leaderHeardAt time.Time
+	electionAt    time.Time // when this member starts an election unless it hears from the leader
+	resendAt      time.Time // when unanswered messages are sent again
 
-	// Of a candidate.
-	promises map[Member]State
-	handover bool
-	giveUpAt time.Time
+	// Candidate state.
+	promises         map[Member]State // states reported by the members that have promised
+	handover         bool             // the leader asked this member to take over
+	electionDeadline time.Time        // when the election is abandoned
 
-	// Of a leader.
-	acknowledged map[Member]uint64 // version accepted in this term
-	heardFrom    map[Member]time.Time
-	committed    State
-	established  bool // the first state of this term is committed
-	heartbeatAt  time.Time
-	wantData     *Data
-	wantNext     []api.NodeRef
-	departed     []api.NodeRef // replaced members that have not been told yet
+	// Leader state.
+	acknowledged   map[Member]uint64    // newest version that each member has accepted in this term
+	heardFrom      map[Member]time.Time // when each member last answered
+	committed      State
+	established    bool // the first state of this term is committed
+	heartbeatAt    time.Time
+	pendingData    *Data         // data to propose next, if any
+	pendingMembers []api.NodeRef // members to propose next, if any
+	departed       []api.NodeRef // replaced members that must still be notified
 
-	packets []Packet
+	packets []Packet // messages to send, returned by the next flush
 }
 
-// NewGroup returns this node's part in the group of a cell, as no member yet.
+// NewGroup returns this node's part in the group of a cell. It is not a member
+// until a state names it.
 func NewGroup(config Config) *Group {
 	return &Group{config: config}
 }
 
-// Found makes this node the leader of a new epoch with the given first members.
-// The caller has won the epoch by a conditional write in the table service.
+// Found makes this node the leader of a new epoch with the given members. The
+// caller must have won the epoch by a conditional write in the table service.
 func (g *Group) Found(now time.Time, epoch uint64, members []api.NodeRef, data Data) []Packet {
 	term := MakeTerm(epoch, 1)
 	if term <= g.promised {
 		return nil
 	}
-	g.promise(term, g.config.Self)
-	g.lead(now, State{Term: term, Members: members, Configuration: 1, Data: data})
+	g.recordPromise(term, g.config.Self)
+	g.becomeLeader(now, State{Term: term, Members: members, Configuration: 1, Data: data})
 	return g.flush()
 }
 
-// Member tells whether this node is a member of the newest state it knows.
+// Member reports whether this node is a member of the newest state that it knows.
 func (g *Group) Member() bool {
 	return g.role != roleNone && g.accepted.Has(g.config.Self)
 }
 
-// Leading returns the term in which this node leads and true, once a majority
-// has followed it.
+// Leading returns the term that this node leads, and true once a majority has
+// accepted the first state of that term.
 func (g *Group) Leading() (uint64, bool) {
 	return g.promised, g.role == roleLeader && g.established
 }
 
-// Leader returns the leader that this member follows, if it has heard it
-// lately.
+// Leader returns the leader that this member follows, and whether it heard from
+// that leader within LeaderTimeout.
 func (g *Group) Leader(now time.Time) (api.NodeRef, bool) {
 	if g.role == roleLeader {
 		return g.config.Self, true
 	}
-	heard := g.role == roleFollower && now.Sub(g.leaderHeard) < g.config.Timing.LeaderTimeout
+	heard := g.role == roleFollower && now.Sub(g.leaderHeardAt) < g.config.Timing.LeaderTimeout
 	return g.leader, heard
 }
 
@@ -112,13 +113,13 @@
 	return g.accepted
 }
 
-// Floor returns the highest epoch that this node knows of.
-func (g *Group) Floor() uint64 {
+// EpochFloor returns the highest epoch that this node knows of.
+func (g *Group) EpochFloor() uint64 {
 	return max(g.epochFloor, Epoch(g.promised))
 }
 
-// Supersede tells that a group of a later epoch exists. A member of an earlier
-// one falls silent: it neither stands nor leads any more.
+// Supersede records that a group of the given epoch exists. A member of an
+// earlier epoch becomes inactive: it no longer votes, starts elections or leads.
 func (g *Group) Supersede(epoch uint64) {
 	g.epochFloor = max(g.epochFloor, epoch)
 	if g.accepted.Term != 0 && epoch > Epoch(g.accepted.Term) {
@@ -126,34 +127,35 @@
 	}
 }
 
-// Propose asks for a new value of the register. Only the newest wish counts;
-// Committed tells when it was reached. It is for the leader only.
+// Propose asks for a new value of the register. A later call replaces a value
+// that was not proposed yet; Committed shows when a value is committed. It does
+// nothing unless this member leads.
 func (g *Group) Propose(now time.Time, data Data) []Packet {
 	if g.role != roleLeader {
 		return nil
 	}
-	g.wantData = &data
+	g.pendingData = &data
 	g.advance(now)
 	return g.flush()
 }
 
-// Reconfiguring tells whether a change of members is under way.
+// Reconfiguring reports whether a change of members is in progress.
 func (g *Group) Reconfiguring() bool {
-	return len(g.wantNext) > 0 || len(g.accepted.Next) > 0
+	return len(g.pendingMembers) > 0 || len(g.accepted.Next) > 0
 }
 
-// Reconfigure replaces the members, in two steps. It is for the leader only and
-// does nothing while a change is under way.
+// Reconfigure replaces the members in two steps. It does nothing unless this
+// member leads and no other change is in progress.
 func (g *Group) Reconfigure(now time.Time, next []api.NodeRef) []Packet {
 	if g.role != roleLeader || !g.established || g.Reconfiguring() || len(next) == 0 {
 		return nil
 	}
-	g.wantNext = next
+	g.pendingMembers = next
 	g.advance(now)
 	return g.flush()
 }
 
-// Resign makes a leader hand over to the first other member.
+// Resign makes a leader step down and hand over to the first other member.
 func (g *Group) Resign(now time.Time) []Packet {
 	if g.role != roleLeader {
 		return nil
@@ -168,12 +170,12 @@
 	return g.flush()
 }
 
-// Tick lets time pass.
+// Tick performs the role's time-driven actions.
 func (g *Group) Tick(now time.Time) []Packet {
 	switch g.role {
 	case roleFollower:
-		if g.accepted.Has(g.config.Self) && !now.Before(g.standAt) {
-			g.stand(now, false)
+		if g.accepted.Has(g.config.Self) && !now.Before(g.electionAt) {
+			g.startElection(now, false)
 		}
 	case roleCandidate:
 		g.tickCandidate(now)
@@ -183,13 +185,13 @@
 	return g.flush()
 }
 
-// Receive handles a message of another member.
+// Receive handles a message from another member.
 func (g *Group) Receive(now time.Time, from api.NodeRef, message any) []Packet {
 	switch m := message.(type) {
 	case Prepare:
 		g.receivePrepare(now, from, m)
 	case Promise:
-		if g.granted(now, m.Granted, m.Promised) {
+		if g.checkGranted(now, m.Granted, m.Promised) {
 			g.receivePromise(now, from, m)
 		}
 	case Accept:
@@ -197,17 +199,18 @@
 	case Heartbeat:
 		g.receiveHeartbeat(now, from, m)
 	case Accepted:
-		if g.granted(now, m.Granted, m.Promised) {
+		if g.checkGranted(now, m.Granted, m.Promised) {
 			g.receiveAccepted(now, from, m)
 		}
 	case TakeOver:
 		if g.role == roleFollower && m.Term == g.promised && g.accepted.Has(g.config.Self) {
-			g.stand(now, true)
+			g.startElection(now, true)
 		}
 	}
 	return g.flush()
 }
 
+// send queues a message unless it is addressed to this node.
 func (g *Group) send(to api.NodeRef, message any) {
 	if MemberOf(to) == MemberOf(g.config.Self) {
 		return
@@ -215,6 +218,7 @@
 	g.packets = append(g.packets, Packet{To: to, Message: message})
 }
 
+// flush returns and clears the queued messages.
 func (g *Group) flush() []Packet {
 	packets := g.packets
 	g.packets = nil
--- a/pkg/control/quorum/group_test.go
+++ b/pkg/control/quorum/group_test.go
@@ -16,15 +16,17 @@
 
 var testStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// network carries the packets of some groups, one at a time.
+// network delivers the packets between groups one at a time, in an order that the
+// test controls.
 type network struct {
 	now    time.Time
 	refs   []api.NodeRef
 	groups map[Member]*Group
-	queue  []flight
+	queue  []queuedPacket
 }
 
-type flight struct {
+// queuedPacket is a packet that was sent and not delivered yet.
+type queuedPacket struct {
 	from   api.NodeRef
 	packet Packet
 }
@@ -37,11 +39,12 @@
 	return n
 }
 
-func (n *network) start(id string, life uint64, unsafe switches.Set) api.NodeRef {
-	ref := api.NodeRef{ID: api.NodeID(id), Incarnation: life}
+// start adds a group for a node that is no member yet.
+func (n *network) start(id string, incarnation uint64, unsafe switches.Set) api.NodeRef {
+	ref := api.NodeRef{ID: api.NodeID(id), Incarnation: incarnation}
 	n.refs = append(n.refs, ref)
 	n.groups[MemberOf(ref)] = NewGroup(Config{
-		Self: ref, Cell: "c", Timing: DefaultTiming(), Random: rand.New(rand.NewPCG(life, 2)), Unsafe: unsafe,
+		Self: ref, Cell: "c", Timing: DefaultTiming(), Random: rand.New(rand.NewPCG(incarnation, 2)), Unsafe: unsafe,
 	})
 	return ref
 }
@@ -50,11 +53,11 @@
 
 func (n *network) add(from api.NodeRef, packets []Packet) {
 	for _, packet := range packets {
-		n.queue = append(n.queue, flight{from: from, packet: packet})
+		n.queue = append(n.queue, queuedPacket{from: from, packet: packet})
 	}
 }
 
-// deliver hands over the queued packet at index.
+// deliver delivers the queued packet at index.
 func (n *network) deliver(index int) {
 	f := n.queue[index]
 	n.queue = append(n.queue[:index:index], n.queue[index+1:]...)
@@ -73,6 +76,8 @@
 	n.add(n.refs[index], n.group(index).Tick(n.now))
 }
 
+// found lets the first of the members found a group of all of them, without
+// delivering any packet.
 func (n *network) found(members ...int) {
 	refs := make([]api.NodeRef, len(members))
 	for index, member := range members {
@@ -81,19 +86,20 @@
 	n.add(refs[0], n.group(members[0]).Found(n.now, 1, refs, Data{}))
 }
 
-// foundAll founds a group of the first three, and all of them hear of it.
+// foundAll founds a group of the first three nodes and delivers all packets.
 func (n *network) foundAll() {
 	n.found(0, 1, 2)
 	n.deliverAll()
 }
 
-// propose lets the first member propose an intent alone.
+// propose lets the first node propose data with one intent, without delivering
+// the packets.
 func (n *network) propose(name string) {
 	n.add(n.refs[0], n.group(0).Propose(n.now, intents(name)))
 }
 
 // takeQueue empties the queue and returns what was in it.
-func (n *network) takeQueue() []flight {
+func (n *network) takeQueue() []queuedPacket {
 	queue := n.queue
 	n.queue = nil
 	return queue
@@ -116,9 +122,9 @@
 	return false
 }
 
-// TestPromiseIsNeeded: a member that has promised to follow a candidate takes
-// nothing more from the old leader. Without the promise the old leader commits
-// an intent that the new one never learns of.
+// TestPromiseIsNeeded checks that a member that has promised to follow a
+// candidate accepts nothing more from the old leader. Without the promise the old
+// leader commits an intent that the new leader never learns of.
 func TestPromiseIsNeeded(t *testing.T) {
 	for _, unsafe := range []bool{false, true} {
 		n := newNetwork(3, switches.Set{NoPromise: unsafe})
@@ -126,7 +132,7 @@
 		n.propose("late")
 		accepts := n.takeQueue()
 		n.now = n.now.Add(10 * time.Second)
-		n.tick(2) // stands
+		n.tick(2) // starts an election
 		n.queue = n.packetsTo(1)
 		n.deliver(0) // member 1 promises
 		promises := n.takeQueue()
@@ -136,22 +142,23 @@
 			}
 		}
 		n.deliverAll()
-		lateCommitted := n.group(0).Committed().Data.has("late")
+		committedByOldLeader := n.group(0).Committed().Data.has("late")
 		n.queue = promises
 		n.deliverAll()
 		_, leads := n.group(2).Leading()
-		lost := lateCommitted && leads && !n.group(2).Committed().Data.has("late")
+		lost := committedByOldLeader && leads && !n.group(2).Committed().Data.has("late")
 		if lost != unsafe {
-			t.Errorf("promise switched off: %t, committed intent lost: %t", unsafe, lost)
+			t.Errorf("promise disabled: %t, committed intent lost: %t", unsafe, lost)
 		}
 		if !unsafe && !leads {
-			t.Error("the candidate does not lead")
+			t.Error("the candidate did not become leader")
 		}
 	}
 }
 
-func (n *network) packetsTo(index int) []flight {
-	var selected []flight
+// packetsTo returns the queued packets addressed to one node.
+func (n *network) packetsTo(index int) []queuedPacket {
+	var selected []queuedPacket
 	for _, f := range n.queue {
 		if f.packet.To.ID == n.refs[index].ID {
 			selected = append(selected, f)
@@ -160,8 +167,9 @@
 	return selected
 }
 
-// TestMembersAreReplaced goes through a joint configuration and lets the new
-// members lead after the old ones are gone.
+// TestMembersAreReplaced replaces all members through a joint configuration and
+// checks that the new members elect a leader with the committed state after the
+// old ones are gone.
 func TestMembersAreReplaced(t *testing.T) {
 	n := newNetwork(6, switches.Set{})
 	n.foundAll()
@@ -171,20 +179,21 @@
 	n.deliverAll()
 	for _, old := range []int{0, 1, 2} {
 		if n.group(old).Member() {
-			t.Errorf("replaced member %d still counts itself in", old)
+			t.Errorf("replaced member %d still considers itself a member", old)
 		}
 		delete(n.groups, MemberOf(n.refs[old]))
 	}
 	leader := n.electAmong(3, 4, 5)
 	if leader < 0 {
-		t.Fatal("the new members do not elect a leader")
+		t.Fatal("the new members did not elect a leader")
 	}
 	if !n.group(leader).Committed().Data.has("kept") {
-		t.Error("the new leader has lost the state")
+		t.Error("the new leader lost the committed state")
 	}
 }
 
-// electAmong lets time pass until one of the members leads.
+// electAmong advances time until one of the members leads and returns its index,
+// or -1.
 func (n *network) electAmong(members ...int) int {
 	for range 100 {
 		n.now = n.now.Add(100 * time.Millisecond)
@@ -201,8 +210,9 @@
 	return -1
 }
 
-// TestFreshMemberMayPromise: a founder that reached one of two others and died
-// leaves a group that still works.
+// TestFreshMemberMayPromise checks that a group stays usable if its founder
+// reached only one of two other members and died. The member that was not reached
+// has no state but may still promise.
 func TestFreshMemberMayPromise(t *testing.T) {
 	n := newNetwork(3, switches.Set{})
 	n.found(0, 1, 2)
@@ -214,8 +224,8 @@
 	}
 }
 
-// TestLaterEpochSilencesMembers: members of an earlier epoch do not lead again,
-// whatever their terms.
+// TestLaterEpochSilencesMembers checks that members of an earlier epoch do not
+// lead again, whatever their terms.
 func TestLaterEpochSilencesMembers(t *testing.T) {
 	n := newNetwork(4, switches.Set{})
 	n.foundAll()
@@ -223,13 +233,14 @@
 	n.deliverAll()
 	n.group(0).Supersede(2)
 	if leader := n.electAmong(0, 1); leader >= 0 {
-		t.Errorf("member %d leads in an earlier epoch", leader)
+		t.Errorf("member %d of an earlier epoch became leader", leader)
 	}
 }
 
-// TestCommittedStateIsNeverLost runs random schedules of delivery, loss,
-// duplication, ticks, restarts and replacements: once an intent is committed,
-// every later leader has it, and each term has one leader.
+// TestCommittedStateIsNeverLost runs random sequences of delivery, loss,
+// duplication, ticks, restarts and member changes. It checks that once an intent
+// is committed every later leader has it, and that each term has at most one
+// leader.
 func TestCommittedStateIsNeverLost(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(20260101)
 	parameters.MinSuccessfulTests = 400
@@ -241,8 +252,8 @@
 	properties.TestingRun(t)
 }
 
-// TestRandomGroupsNeedMechanisms: the same schedules lose committed states when
-// a mechanism is switched off.
+// TestRandomGroupsNeedMechanisms checks that the same random sequences violate
+// these properties when a safety mechanism is disabled.
 func TestRandomGroupsNeedMechanisms(t *testing.T) {
 	const limit = 3000
 	for name, unsafe := range map[string]switches.Set{
@@ -256,17 +267,17 @@
 					return
 				}
 			}
-			t.Errorf("nothing is lost in %d schedules", limit)
+			t.Errorf("no violation in %d schedules", limit)
 		})
 	}
 }
 
-// runRandomGroup returns what went wrong, or "".
+// runRandomGroup runs one random sequence and returns the violation found, or "".
 func runRandomGroup(seed uint64, unsafe switches.Set) string {
 	random := rand.New(rand.NewPCG(seed, 3))
 	n := newNetwork(5, unsafe)
 	n.found(0, 1, 2)
-	committed := make(map[string]uint64) // by intent, the term
+	committed := make(map[string]uint64) // term in which each intent was first seen as committed
 	leaders := make(map[uint64]Member)
 	for step := range 600 {
 		n.randomStep(random, step)
@@ -282,7 +293,7 @@
 			data := g.Committed().Data
 			for name, since := range committed {
 				if term > since && !data.has(name) {
-					return fmt.Sprintf("seed %d: term %x has lost %s of term %x", seed, term, name, since)
+					return fmt.Sprintf("seed %d: the leader of term %x lost intent %s of term %x", seed, term, name, since)
 				}
 			}
 			for _, intent := range data.Intents {
@@ -295,6 +306,8 @@
 	return ""
 }
 
+// randomStep delivers, duplicates or loses a packet, proposes data, changes the
+// members, restarts a node or ticks one.
 func (n *network) randomStep(random *rand.Rand, step int) {
 	n.now = n.now.Add(time.Duration(random.Int64N(int64(300 * time.Millisecond))))
 	index := random.IntN(len(n.refs))
@@ -303,14 +316,14 @@
 	case choice < 11 && len(n.queue) > 0:
 		at := random.IntN(len(n.queue))
 		if random.IntN(10) == 0 {
-			n.queue = append(n.queue, n.queue[at]) // twice
+			n.queue = append(n.queue, n.queue[at]) // delivered again later
 		}
 		n.deliver(at)
 	case choice == 11 && len(n.queue) > 0:
 		at := random.IntN(len(n.queue))
 		n.queue = append(n.queue[:at:at], n.queue[at+1:]...)
 	case choice == 12:
-		data := g.Accepted().Data // what is under way stays in
+		data := g.Accepted().Data // keeps the intents already proposed
 		data.Intents = append(append([]Intent(nil), data.Intents...), Intent{OrderID: fmt.Sprint("i", step)})
 		n.add(n.refs[index], g.Propose(n.now, data))
 	case choice == 13:
--- a/pkg/control/quorum/leader.go
+++ b/pkg/control/quorum/leader.go
@@ -6,6 +6,8 @@
 	"martenwheel.dev/pkg/api"
 )
 
+// tickLeader steps down without a majority, else resends unaccepted states and
+// sends heartbeats.
 func (g *Group) tickLeader(now time.Time) {
 	if !g.hasMajority(now) {
 		g.stepDown(now)
@@ -21,9 +23,10 @@
 	}
 }
 
-// hasMajority tells whether a majority has answered the leader lately.
+// hasMajority reports whether a majority has answered the leader within
+// LeaderTimeout.
 func (g *Group) hasMajority(now time.Time) bool {
-	return g.accepted.agreed(func(member Member) bool {
+	return g.accepted.hasQuorum(func(member Member) bool {
 		if member == MemberOf(g.config.Self) {
 			return true
 		}
@@ -31,7 +34,7 @@
 	})
 }
 
-// receiveAccepted counts the members that have the leader's newest state.
+// receiveAccepted records which version a member has accepted.
 func (g *Group) receiveAccepted(now time.Time, from api.NodeRef, m Accepted) {
 	if g.role != roleLeader || m.Term != g.promised {
 		return
@@ -44,20 +47,22 @@
 	g.advance(now)
 }
 
-// stepDown makes a leader or candidate a follower of nobody.
+// stepDown turns a leader or candidate into a follower without a leader, or into
+// a non-member.
 func (g *Group) stepDown(now time.Time) {
 	g.role = roleFollower
 	g.leader = api.NodeRef{}
-	g.leaderHeard = time.Time{}
+	g.leaderHeardAt = time.Time{}
 	g.established = false
 	if !g.accepted.Has(g.config.Self) {
 		g.role = roleNone
 	}
-	g.scheduleStand(now)
+	g.scheduleElection(now)
 }
 
-// lead proposes state as the first one of the promised term.
-func (g *Group) lead(now time.Time, state State) {
+// becomeLeader makes this member the leader and proposes state as the first one
+// of the promised term.
+func (g *Group) becomeLeader(now time.Time, state State) {
 	g.role = roleLeader
 	g.leader = g.config.Self
 	g.established = false
@@ -65,16 +70,16 @@
 	g.acknowledged = make(map[Member]uint64)
 	g.heardFrom = make(map[Member]time.Time)
 	for _, node := range state.All() {
-		g.heardFrom[MemberOf(node)] = now // a full time-out to answer
+		g.heardFrom[MemberOf(node)] = now // every member has a full timeout to answer
 	}
-	g.wantData = nil
-	g.wantNext = nil
+	g.pendingData = nil
+	g.pendingMembers = nil
 	g.departed = nil
 	g.heartbeatAt = now.Add(g.config.Timing.HeartbeatInterval)
 	g.proposeState(now, state)
 }
 
-// proposeState accepts the state itself and sends it to the other members.
+// proposeState accepts the state locally and sends it to the other members.
 func (g *Group) proposeState(now time.Time, state State) {
 	state.Term = g.promised
 	state.Version++
@@ -90,19 +95,19 @@
 	g.advance(now)
 }
 
-// advance commits the newest state when enough members have it, and then
+// advance commits the newest state once enough members have accepted it, and then
 // proposes the next one.
 func (g *Group) advance(now time.Time) {
 	if g.role != roleLeader {
 		return
 	}
 	if g.committed.Term != g.accepted.Term || g.committed.Version != g.accepted.Version {
-		if !g.accepted.agreed(g.hasNewest) && !g.config.Unsafe.NoMajority {
+		if !g.accepted.hasQuorum(g.hasNewest) && !g.config.Unsafe.NoMajority {
 			return
 		}
 		g.committed = g.accepted
 		g.established = true
-		g.dismiss()
+		g.notifyDeparted()
 	}
 	if !g.accepted.Has(g.config.Self) {
 		g.handOver(now)
@@ -111,11 +116,13 @@
 	g.proposeNext(now)
 }
 
+// hasNewest reports whether the member has accepted the leader's newest state.
 func (g *Group) hasNewest(member Member) bool {
 	return g.acknowledged[member] >= g.accepted.Version
 }
 
-// proposeNext proposes what has been asked for since the last proposal.
+// proposeNext proposes the pending data and the next step of a change of members,
+// if any.
 func (g *Group) proposeNext(now time.Time) {
 	next := g.accepted
 	switch {
@@ -124,21 +131,21 @@
 		next.Previous = next.Members
 		next.Members, next.Next = next.Next, nil
 		next.Configuration++
-	case len(g.wantNext) > 0:
-		next.Next = g.wantNext
-		g.wantNext = nil
-	case g.wantData == nil:
+	case len(g.pendingMembers) > 0:
+		next.Next = g.pendingMembers
+		g.pendingMembers = nil
+	case g.pendingData == nil:
 		return
 	}
-	if g.wantData != nil {
-		next.Data = *g.wantData
-		g.wantData = nil
+	if g.pendingData != nil {
+		next.Data = *g.pendingData
+		g.pendingData = nil
 	}
 	g.proposeState(now, next)
 }
 
-// dismiss tells the members that were replaced about it, once.
-func (g *Group) dismiss() {
+// notifyDeparted sends the committed state to the replaced members, once.
+func (g *Group) notifyDeparted() {
 	if len(g.accepted.Next) > 0 {
 		return
 	}
@@ -148,7 +155,8 @@
 	g.departed = nil
 }
 
-// handOver lets the first member take over from a leader that is none any more.
+// handOver asks the first member to take over from a leader that is no longer a
+// member.
 func (g *Group) handOver(now time.Time) {
 	if len(g.accepted.Members) > 0 {
 		g.send(g.accepted.Members[0], TakeOver{Cell: g.config.Cell, Term: g.promised})
@@ -156,6 +164,7 @@
 	g.stepDown(now)
 }
 
+// sendAccepts sends the newest state to the members that have not accepted it.
 func (g *Group) sendAccepts() {
 	for _, node := range g.accepted.All() {
 		if !g.hasNewest(MemberOf(node)) {
--- a/pkg/control/quorum/member.go
+++ b/pkg/control/quorum/member.go
@@ -7,10 +7,10 @@
 )
 
 // receivePrepare promises to follow the candidate unless this member follows a
-// higher term or has heard a live leader lately. The epoch must be that of the
-// state, if there is one: a later epoch begins by a write in the table service
-// only. A member that was never reached has no state, and may say so: as it is
-// one life of a process, it has not forgotten any.
+// higher term or has recently heard from the leader. The term must be in the
+// epoch of the accepted state, because a later epoch begins only by a write in
+// the table service. A member without any state may promise too: it is a single
+// incarnation of a process and cannot have forgotten one.
 func (g *Group) receivePrepare(now time.Time, from api.NodeRef, m Prepare) {
 	fresh := g.accepted.Term == 0
 	if Epoch(m.Term) < g.epochFloor || !fresh && Epoch(m.Term) > Epoch(g.accepted.Term) {
@@ -22,30 +22,31 @@
 			g.send(from, Promise{Cell: m.Cell, Term: m.Term, Promised: g.promised})
 			return
 		}
-		if !m.Handover && g.leaderLives(now) {
+		if !m.Handover && g.leaderIsAlive(now) {
 			return
 		}
-		g.follow(now, m.Term, from)
+		g.becomeFollower(now, m.Term, from)
 	}
 	g.send(from, Promise{Cell: m.Cell, Term: m.Term, Granted: true, Promised: g.promised, State: g.accepted})
 }
 
-// leaderLives tells whether a candidate should wait because the leader is heard.
-func (g *Group) leaderLives(now time.Time) bool {
+// leaderIsAlive reports whether a candidate must wait because the leader is
+// alive.
+func (g *Group) leaderIsAlive(now time.Time) bool {
 	if g.role == roleLeader {
 		return g.hasMajority(now)
 	}
-	return g.role == roleFollower && now.Sub(g.leaderHeard) < g.config.Timing.ElectionTimeout
+	return g.role == roleFollower && now.Sub(g.leaderHeardAt) < g.config.Timing.ElectionTimeout
 }
 
-// receiveAccept takes over a leader's state.
+// receiveAccept accepts a leader's state if it is newer.
 func (g *Group) receiveAccept(now time.Time, from api.NodeRef, m Accept) {
-	if !g.admits(m.State.Term, from) {
+	if !g.acceptsLeader(m.State.Term, from) {
 		g.send(from, Accepted{Cell: m.Cell, Term: m.State.Term, Promised: g.promised})
 		return
 	}
-	g.follow(now, m.State.Term, from)
-	g.leader, g.leaderHeard = from, now
+	g.becomeFollower(now, m.State.Term, from)
+	g.leader, g.leaderHeardAt = from, now
 	if m.State.newerThan(g.accepted) {
 		g.accepted = m.State
 	}
@@ -55,8 +56,9 @@
 	g.acknowledge(from, m.Cell, m.State.Term)
 }
 
-// admits tells whether a leader's message in term may be followed.
-func (g *Group) admits(term uint64, from api.NodeRef) bool {
+// acceptsLeader reports whether this member may follow a leader's message in
+// term.
+func (g *Group) acceptsLeader(term uint64, from api.NodeRef) bool {
 	if g.config.Unsafe.NoPromise {
 		return true
 	}
@@ -66,23 +68,24 @@
 	return term > g.promised || term == g.promised && MemberOf(from) == g.promisedTo
 }
 
-// receiveHeartbeat follows the leader and tells which state this member has.
+// receiveHeartbeat follows the leader and reports which version this member has.
 func (g *Group) receiveHeartbeat(now time.Time, from api.NodeRef, m Heartbeat) {
 	if g.accepted.Term == 0 {
-		return // not a member: the leader sends an Accept first
+		return // not a member until the leader's first Accept arrives
 	}
-	if !g.admits(m.Term, from) {
+	if !g.acceptsLeader(m.Term, from) {
 		g.send(from, Accepted{Cell: m.Cell, Term: m.Term, Promised: g.promised})
 		return
 	}
 	if Epoch(m.Term) != Epoch(g.accepted.Term) {
 		return
 	}
-	g.follow(now, m.Term, from)
-	g.leader, g.leaderHeard = from, now
+	g.becomeFollower(now, m.Term, from)
+	g.leader, g.leaderHeardAt = from, now
 	g.acknowledge(from, m.Cell, m.Term)
 }
 
+// acknowledge reports the version accepted in term.
 func (g *Group) acknowledge(to api.NodeRef, cell api.CellName, term uint64) {
 	version := uint64(0)
 	if g.accepted.Term == term {
@@ -91,17 +94,17 @@
 	g.send(to, Accepted{Cell: cell, Term: term, Version: version, Granted: true, Promised: g.promised})
 }
 
-// granted tells whether a request was granted, and otherwise takes notice of the
-// term for which it was refused.
-func (g *Group) granted(now time.Time, granted bool, promised uint64) bool {
-	if !granted {
+// checkGranted returns whether a request was granted. If it was refused, the
+// higher term that the member follows is noted.
+func (g *Group) checkGranted(now time.Time, checkGranted bool, promised uint64) bool {
+	if !checkGranted {
 		g.NoticeTerm(now, promised)
 	}
-	return granted
+	return checkGranted
 }
 
-// NoticeTerm tells that somebody, such as a member that refused or an engine,
-// follows term. A leader or candidate of a lower one steps down.
+// NoticeTerm records that some member or engine follows term. A leader or
+// candidate of a lower term steps down.
 func (g *Group) NoticeTerm(now time.Time, term uint64) {
 	if term <= g.promised || g.role == roleNone {
 		return
@@ -113,21 +116,23 @@
 	}
 }
 
-// promise records the highest term that this member follows.
-func (g *Group) promise(term uint64, to api.NodeRef) {
+// recordPromise records the term that this member has promised to follow, and its
+// candidate.
+func (g *Group) recordPromise(term uint64, to api.NodeRef) {
 	g.promised, g.promisedTo = term, MemberOf(to)
 }
 
-// follow makes this member a follower in term.
-func (g *Group) follow(now time.Time, term uint64, leader api.NodeRef) {
-	g.promise(term, leader)
+// becomeFollower makes this member a follower in term.
+func (g *Group) becomeFollower(now time.Time, term uint64, leader api.NodeRef) {
+	g.recordPromise(term, leader)
 	g.role = roleFollower
-	g.scheduleStand(now)
+	g.scheduleElection(now)
 }
 
-// scheduleStand sets the time at which this member stands if it does not hear
-// from a leader: later for each place in the succession.
-func (g *Group) scheduleStand(now time.Time) {
+// scheduleElection sets the time at which this member starts an election unless
+// it hears from a leader. The delay grows with the member's position, so that
+// members do not compete.
+func (g *Group) scheduleElection(now time.Time) {
 	rank := 0
 	for _, node := range g.accepted.All() {
 		if MemberOf(node) == MemberOf(g.config.Self) {
@@ -139,5 +144,5 @@
 	}
 	timing := g.config.Timing
 	jitter := time.Duration(g.config.Random.Int64N(int64(timing.ElectionStep)/4 + 1))
-	g.standAt = now.Add(timing.ElectionTimeout + time.Duration(rank)*timing.ElectionStep + jitter)
+	g.electionAt = now.Add(timing.ElectionTimeout + time.Duration(rank)*timing.ElectionStep + jitter)
 }
--- a/pkg/control/quorum/members.go
+++ b/pkg/control/quorum/members.go
@@ -4,18 +4,18 @@
 	"martenwheel.dev/pkg/api"
 )
 
-// Member identifies one life of a node.
+// Member identifies one incarnation of a node.
 type Member struct {
 	ID          api.NodeID
 	Incarnation uint64
 }
 
-// MemberOf returns the identity of a node's life.
+// MemberOf returns the member identity of a node reference.
 func MemberOf(node api.NodeRef) Member {
 	return Member{ID: node.ID, Incarnation: node.Incarnation}
 }
 
-// majority tells whether has is true for more than half of the members.
+// majority reports whether has is true for more than half of the members.
 func majority(members []api.NodeRef, has func(Member) bool) bool {
 	count := 0
 	for _, node := range members {
@@ -26,7 +26,8 @@
 	return 2*count > len(members)
 }
 
-// Contains tells whether the life of node is among nodes.
+// Contains reports whether nodes has an entry with the ID and incarnation of
+// node.
 func Contains(nodes []api.NodeRef, node api.NodeRef) bool {
 	for _, other := range nodes {
 		if MemberOf(other) == MemberOf(node) {
--- a/pkg/control/quorum/timing.go
+++ b/pkg/control/quorum/timing.go
@@ -4,13 +4,14 @@
 	"time"
 )
 
-// Timing holds the time constants of a group. None matters for safety.
+// Timing holds the time constants of a group. Safety does not depend on any of
+// them.
 type Timing struct {
-	HeartbeatInterval time.Duration // between heartbeats of the leader
-	ResendInterval    time.Duration // until an unanswered message is repeated
-	ElectionTimeout   time.Duration // silence of the leader until the first member stands
-	ElectionStep      time.Duration // longer for each further member in the succession
-	LeaderTimeout     time.Duration // silence of the majority until the leader steps down
+	HeartbeatInterval time.Duration // interval of the leader's heartbeats
+	ResendInterval    time.Duration // time until an unanswered message is sent again
+	ElectionTimeout   time.Duration // silence of the leader after which the first-ranked member starts an election
+	ElectionStep      time.Duration // additional delay per rank
+	LeaderTimeout     time.Duration // silence of the majority after which the leader steps down
 }
 
 // DefaultTiming returns the time constants for nodes a few milliseconds apart.
--- a/pkg/control/record.go
+++ b/pkg/control/record.go
@@ -12,37 +12,39 @@
 	"martenwheel.dev/pkg/platform"
 )
 
-// recordPrefix begins the keys of the cells' records in the table service.
+// recordPrefix is the key prefix of cell records in the table service.
 const recordPrefix = "cells/"
 
-// cellRecord is what the table service keeps of a cell. It is written when a
-// group is formed, before a server is used for the first time, and, with no
-// haste, when the members change. Its epoch and term never go back.
+// cellRecord is a cell's record in the table service. It is written when a group
+// is formed, before a server is used for the first time and, without urgency,
+// when the members change. Epoch and Term never decrease.
 type cellRecord struct {
+	// Epoch and Term are those of the owner that wrote the record. The epoch
+	// grows by one with each newly formed group.
 	Epoch   uint64          `json:"epoch"`
 	Term    uint64          `json:"term"`
-	Founder api.NodeRef     `json:"founder"` // of the epoch
-	Members []api.NodeRef   `json:"members"`
-	Servers []quorum.Server `json:"servers"` // that may hold models of the cell
-	Token   string          `json:"token"`   // of the last write
+	Founder api.NodeRef     `json:"founder"` // node that founded the epoch
+	Members []api.NodeRef   `json:"members"` // members of the cell's group
+	Servers []quorum.Server `json:"servers"` // servers that may hold models of the cell
+	Token   string          `json:"token"`   // unique token of the last write
 }
 
-// recordCalls is the one read or write of the record that is under way. A
-// write whose answer is lost is settled by reading the record. There is no
-// time-out here: each call has exactly one result, and a late result taken for
-// that of a later call would seem fresher than it is.
+// recordCalls tracks the single pending read or write of the record. A write with
+// unknown outcome is resolved by reading the record. There is no timeout here:
+// each call has exactly one result, and after a timeout a late result could be
+// taken for that of a later call and seem fresher than it is.
 type recordCalls struct {
 	reading bool
-	token   string // of the write under way, else empty
-	written *cellRecord
-	since   time.Time
+	token   string      // token of the pending write, or empty
+	written *cellRecord // content of the pending write
+	since   time.Time   // when the pending or last call began
 
-	version uint64      // of the record last read or written
-	known   *cellRecord // its content; nil if there is none
-	counter uint64
+	version uint64      // version of the record last read or written
+	known   *cellRecord // content of that version; nil if there is no record
+	counter uint64      // number of writes so far, which makes tokens unique
 }
 
-// busy tells whether a call is under way.
+// busy reports whether a call is pending.
 func (r *recordCalls) busy() bool {
 	return r.reading || r.token != ""
 }
@@ -51,6 +53,7 @@
 	return recordPrefix + string(c.name)
 }
 
+// readRecord starts a read of the cell's record unless a call is pending.
 func (c *cellControl) readRecord() {
 	if c.calls.busy() {
 		return
@@ -60,7 +63,8 @@
 	c.machine.emit(ReadRecord{Key: c.recordKey()})
 }
 
-// writeRecord writes the record if it is still the one last read.
+// writeRecord starts a write that succeeds only if the record is still the one
+// last read.
 func (c *cellControl) writeRecord(record cellRecord) {
 	if c.calls.busy() {
 		return
@@ -70,7 +74,7 @@
 	record.Token = fmt.Sprintf("%s/%s/%d/%d", c.name, self.ID, self.Incarnation, c.calls.counter)
 	value, err := json.Marshal(record)
 	if err != nil {
-		c.Log("error", "cell record not encoded", "error", err.Error())
+		c.Log("error", "cell record could not be encoded", "error", err.Error())
 		return
 	}
 	c.calls.token = record.Token
@@ -83,8 +87,8 @@
 	}})
 }
 
-// takeRecord takes over the answer to a read.
-func (c *cellControl) takeRecord(record platform.Record, err error) {
+// handleRecordRead handles the result of a read.
+func (c *cellControl) handleRecordRead(record platform.Record, err error) {
 	if !c.calls.reading {
 		return
 	}
@@ -96,22 +100,22 @@
 	case err == nil:
 		err = c.decodeRecord(record)
 	}
-	c.recordSettled(err)
+	c.recordCallDone(err)
 }
 
 func (c *cellControl) decodeRecord(record platform.Record) error {
 	var decoded cellRecord
 	if err := json.Unmarshal(record.Value, &decoded); err != nil {
-		c.Log("error", "cell record is not readable", "key", record.Key, "error", err.Error())
+		c.Log("error", "cell record could not be decoded", "key", record.Key, "error", err.Error())
 		return errors.Wrapf(err, "record %s", record.Key)
 	}
 	c.calls.version, c.calls.known = record.Version, &decoded
 	return nil
 }
 
-// takeCommit takes over the answer to a write. All answers but success lead to
-// reading the record: what it holds then decides.
-func (c *cellControl) takeCommit(err error) {
+// handleRecordCommitted handles the result of a write. After a conflict or an
+// unknown outcome the record is read again, and its content decides.
+func (c *cellControl) handleRecordCommitted(err error) {
 	written := c.calls.written
 	c.calls.token, c.calls.written = "", nil
 	if err != nil {
@@ -119,38 +123,40 @@
 			c.readRecord()
 			return
 		}
-		c.recordSettled(err)
+		c.recordCallDone(err)
 		return
 	}
 	c.calls.version++
 	c.calls.known = written
-	c.recordSettled(nil)
+	c.recordCallDone(nil)
 }
 
-// recordSettled passes the newest known record, or the failure to get it, to
-// the part that needs it.
-func (c *cellControl) recordSettled(err error) {
+// recordCallDone passes the newest record, or the error, to the formation and to
+// the record keeper.
+func (c *cellControl) recordCallDone(err error) {
 	if known := c.calls.known; err == nil && known != nil {
 		c.group.Supersede(known.Epoch)
 	}
-	c.formationRecord(err)
-	c.keeperRecord(err)
+	c.continueFormation(err)
+	c.continueRecordKeeping(err)
 }
 
 // recordKeeper keeps the record of a cell that this node owns up to date.
 type recordKeeper struct {
-	read      bool // since the ownership began
-	writtenAt time.Time
-	retryAt   time.Time
-	failures  int
+	read      bool      // the record was read in this ownership
+	writtenAt time.Time // when the last write was started
+	retryAt   time.Time // earliest time of the next call
+	failures  int       // failed calls in a row
 }
 
-// reset makes a new owner begin with a read of the record.
+// reset makes a new owner start with a read of the record.
 func (k *recordKeeper) reset(now time.Time) {
 	*k = recordKeeper{retryAt: now}
 }
 
-// tickRecord reads the record once and writes it when it must change.
+// tickRecord reads the record once per ownership and writes it when it is
+// outdated or due for a refresh. It reads it again when an engine instance must
+// be verified.
 func (c *cellControl) tickRecord() {
 	now := c.machine.now
 	if c.owner == nil || c.calls.busy() || now.Before(c.record.retryAt) {
@@ -171,10 +177,10 @@
 	}
 }
 
-// wantedRecord is what the record should be. It leaves a server out only after
-// the group has committed that it is gone, and keeps one whose admission is not
-// committed yet, so that whatever an owner of the epoch may use is always in the
-// record.
+// wantedRecord returns the intended record and whether it differs from the known
+// one. A server is left out only after the group has committed its removal, and a
+// server whose admission is not committed yet is included. The record thus always
+// lists every server that an owner of the epoch may use.
 func (c *cellControl) wantedRecord() (cellRecord, bool) {
 	state := c.group.Committed()
 	record := cellRecord{Epoch: quorum.Epoch(c.owner.Term()), Term: c.owner.Term(), Members: state.Members}
@@ -195,7 +201,7 @@
 	return record, record.differs(known)
 }
 
-// differs tells whether the record must be written again.
+// differs reports whether the record must be rewritten.
 func (r cellRecord) differs(known cellRecord) bool {
 	if r.Epoch != known.Epoch || r.Term != known.Term {
 		return true
@@ -220,8 +226,9 @@
 	return false
 }
 
-// keeperRecord goes on after a call of the owner's was settled.
-func (c *cellControl) keeperRecord(err error) {
+// continueRecordKeeping proceeds after one of the owner's calls, or schedules a
+// retry.
+func (c *cellControl) continueRecordKeeping(err error) {
 	if c.owner == nil {
 		return
 	}
--- a/pkg/control/sink.go
+++ b/pkg/control/sink.go
@@ -39,7 +39,8 @@
 	c.estimates[member].estimates = append(c.estimates[member].estimates, estimate)
 }
 
-// flushEstimates sends what Estimate has collected, one message a node.
+// flushEstimates sends the estimates collected by Estimate, in one message per
+// node.
 func (c *cellControl) flushEstimates() {
 	for _, member := range c.outboxes {
 		box := c.estimates[member]
--- a/pkg/control/status.go
+++ b/pkg/control/status.go
@@ -7,17 +7,17 @@
 	"martenwheel.dev/pkg/tree"
 )
 
-// Status is what operators see of a node's control side.
+// Status is the state of a node's control plane as shown to operators.
 type Status struct {
 	Node         api.NodeRef         `json:"node"`
-	TreeRevision tree.Revision       `json:"tree_revision"` // in force here; zero if none
-	TreeSeen     tree.Revision       `json:"tree_seen"`     // highest that a node in reach has told of
+	TreeRevision tree.Revision       `json:"tree_revision"` // revision in force on this node; zero if none
+	TreeSeen     tree.Revision       `json:"tree_seen"`     // highest revision known from any node
 	Members      []membership.Member `json:"members"`
 	Cells        []CellStatus        `json:"cells"`
 	Stopping     bool                `json:"stopping"`
 }
 
-// CellStatus is this node's part in a cell and what it knows of the cell.
+// CellStatus describes this node's role in a cell and its knowledge of the cell.
 type CellStatus struct {
 	Cell          api.CellName  `json:"cell"`
 	Role          string        `json:"role"` // "owner", "member" or "none"
@@ -27,17 +27,17 @@
 	Leader        api.NodeRef   `json:"leader"`
 	Members       []api.NodeRef `json:"members"`
 	Servers       int           `json:"servers"`
-	Unreachable   int           `json:"unreachable"`    // servers, as seen by the owner
-	Ready         int           `json:"ready"`          // replicas
-	Loading       int           `json:"loading"`        // replicas
-	InDoubt       int           `json:"in_doubt"`       // replicas
-	Reconfiguring bool          `json:"reconfiguring"`  // as seen by a member
-	RecordEpoch   uint64        `json:"record_epoch"`   // of the table service, as last read here
-	RecordFailed  int           `json:"record_failed"`  // calls of the owner in a row
-	UnknownServer int           `json:"unknown_server"` // servers that may hold anything, at the owner
+	Unreachable   int           `json:"unreachable"`    // unreachable servers, as seen by the owner
+	Ready         int           `json:"ready"`          // ready replicas
+	Loading       int           `json:"loading"`        // loading replicas
+	InDoubt       int           `json:"in_doubt"`       // replicas whose load order has an unknown outcome
+	Reconfiguring bool          `json:"reconfiguring"`  // a change of members is in progress, as seen by a member
+	RecordEpoch   uint64        `json:"record_epoch"`   // epoch in the table service, as last read by this node
+	RecordFailed  int           `json:"record_failed"`  // failed record calls of the owner in a row
+	UnknownServer int           `json:"unknown_server"` // servers that may hold any model, as known to the owner
 }
 
-// Roles of a node in a cell.
+// Roles of a node in a cell, as reported in CellStatus.
 const (
 	RoleOwner  = "owner"
 	RoleMember = "member"
@@ -52,7 +52,7 @@
 	return m.settings.Revision()
 }
 
-// Status returns a copy of what operators may want to know.
+// Status returns a copy of the control plane's state for operators.
 func (m *Machine) Status() Status {
 	status := Status{
 		Node:         m.config.Self,
@@ -108,6 +108,7 @@
 	}
 }
 
+// countUnknown returns the number of servers marked unknown.
 func countUnknown(servers []quorum.Server) int {
 	count := 0
 	for _, server := range servers {
--- a/pkg/control/stop.go
+++ b/pkg/control/stop.go
@@ -4,36 +4,38 @@
 	"martenwheel.dev/pkg/control/quorum"
 )
 
-// beginStop begins a planned stop: this node hands over what it leads and asks
-// to be replaced where it is a member.
+// beginStop starts a planned stop: this node hands over the groups that it leads
+// and asks to be replaced where it is a member.
 func (m *Machine) beginStop() {
 	if m.stopping {
 		return
 	}
 	m.stopping = true
-	m.live = nil
-	m.stopBy = m.now.Add(m.timing.StopTimeout)
+	m.liveNodesCache = nil
+	m.stopDeadline = m.now.Add(m.timing.StopTimeout)
 	for _, name := range m.cellOrder {
 		m.cells[name].reconfigureAt = m.now
 	}
 	m.tickStop()
 }
 
-// tickStop repeats the wish to be replaced until it is fulfilled.
+// tickStop repeats the requests to be replaced until all succeeded or the stop
+// deadline has passed, then announces the departure.
 func (m *Machine) tickStop() {
-	if !m.stopping || m.announced {
+	if !m.stopping || m.leaveAnnounced {
 		return
 	}
 	for _, name := range m.cellOrder {
 		m.cells[name].askToLeave()
 	}
-	if m.handedOver() || !m.now.Before(m.stopBy) {
-		m.announced = true
+	if m.handedOver() || !m.now.Before(m.stopDeadline) {
+		m.leaveAnnounced = true
 		m.sendPackets(m.membership.Leave(m.now))
 	}
 }
 
-// askToLeave tells all members of the group: any of them may lead it next.
+// askToLeave sends the request to be replaced to all members of the group,
+// because any of them may lead it next.
 func (c *cellControl) askToLeave() {
 	if !c.isMember() {
 		return
@@ -45,7 +47,8 @@
 	}
 }
 
-// isMember tells whether this node is a member of the cell's group.
+// isMember reports whether this node is a member of the cell's group, as far as
+// it knows from the group and the newest view.
 func (c *cellControl) isMember() bool {
 	if !c.group.Member() {
 		return false
@@ -54,8 +57,8 @@
 	return !replaced
 }
 
-// handedOver tells whether no group counts on this node, or nobody else is
-// there to take over.
+// handedOver reports whether no group depends on this node any more, or no other
+// live node is left to take over.
 func (m *Machine) handedOver() bool {
 	if len(m.liveNodes()) == 0 {
 		return true
@@ -68,8 +71,8 @@
 	return true
 }
 
-// Stopped tells that a planned stop has done what it can: the process may exit
-// after the effects returned so far.
+// Stopped reports that a planned stop is complete: the process may exit after
+// carrying out the effects returned so far.
 func (m *Machine) Stopped() bool {
-	return m.announced
+	return m.leaveAnnounced
 }
--- a/pkg/control/sync.go
+++ b/pkg/control/sync.go
@@ -6,8 +6,9 @@
 	"martenwheel.dev/pkg/tree"
 )
 
-// compareWithNeighbours asks for what neighbours have newer: views, the tree
-// and claims on the weight store.
+// compareWithNeighbours compares digests with the neighbours and requests newer
+// views and trees from them. Newer claims on the weight store are taken from the
+// digests directly.
 func (m *Machine) compareWithNeighbours() {
 	if m.now.Before(m.antiEntropyAt) {
 		return
@@ -21,7 +22,7 @@
 		if !known {
 			continue
 		}
-		m.hearRevision(member.Ref, tree.Revision(digest.TreeRevision))
+		m.noticeRevision(member.Ref, tree.Revision(digest.TreeRevision))
 		if member.Ref.Region == m.config.Self.Region {
 			m.compareCells(member.Ref, digest.Cells)
 		}
@@ -35,11 +36,11 @@
 		if (api.CellView{Term: theirs.Term, Version: theirs.Version}).NewerThan(c.view) {
 			m.send(from, ViewRequest{Cell: theirs.Cell})
 		}
-		c.hearClaim(m.now, theirs)
+		c.updateClaim(m.now, theirs)
 	}
 }
 
-// updateDigest renews what the neighbours are told.
+// updateDigest publishes this node's digest to the neighbours.
 func (m *Machine) updateDigest() {
 	digest := membership.Digest{}
 	if m.settings != nil {
--- a/pkg/control/trees.go
+++ b/pkg/control/trees.go
@@ -8,19 +8,21 @@
 	"martenwheel.dev/pkg/tree"
 )
 
-// treeNewsFanout is the number of nodes that each node tells of a new revision.
-// With four, news reaches 330 nodes in about five rounds.
+// treeNewsFanout is the number of nodes that each node notifies of a new
+// revision. With four, a revision reaches 330 nodes in about five rounds.
 const treeNewsFanout = 4
 
-// treeFetchPause is the shortest time between two fetches of the tree.
-const treeFetchPause = 200 * time.Millisecond
+// minTreeFetchInterval is the shortest time between two fetches of the tree from
+// peers.
+const minTreeFetchInterval = 200 * time.Millisecond
 
-// treePollMin is the shortest time between two questions to the platform.
-const treePollMin = 2 * time.Second
+// minTreePollInterval is the shortest time between two polls of the platform for
+// a tree.
+const minTreePollInterval = 2 * time.Second
 
-// SetTree takes over a tree at the time now, unless it is older than the one in
-// force or the same. Like Step it is for the goroutine that owns the machine,
-// which carries out the effects.
+// SetTree puts a tree in force at time now unless its revision is older than or
+// equal to the current one, and returns the effects to carry out. It must be
+// called from the goroutine that owns the machine.
 func (m *Machine) SetTree(now time.Time, settings Settings) []Effect {
 	m.begin(now)
 	outdated := m.settings != nil && settings.Revision() <= m.settings.Revision()
@@ -33,12 +35,12 @@
 	m.assignModels()
 	m.updateDigest()
 	if !first {
-		m.spreadRevision()
+		m.announceRevision()
 	}
 	return m.finish()
 }
 
-// assignModels gives each cell of this region its models.
+// assignModels assigns the tree's models to the cells of this region.
 func (m *Machine) assignModels() {
 	models := make(map[api.CellName][]tree.Model)
 	m.modelCell = make(map[api.ModelName]api.CellName)
@@ -59,8 +61,8 @@
 	}
 }
 
-// spreadRevision tells a few nodes that there is a new tree.
-func (m *Machine) spreadRevision() {
+// announceRevision notifies a few random nodes of the new tree.
+func (m *Machine) announceRevision() {
 	var others []api.NodeRef
 	for _, member := range m.membership.Members() {
 		if member.State <= membership.StateSuspect && !m.isSelf(member.Ref) {
@@ -73,29 +75,30 @@
 	}
 }
 
-// hearRevision fetches the tree from a node that has a newer one.
-func (m *Machine) hearRevision(from api.NodeRef, revision tree.Revision) {
+// noticeRevision fetches the tree from a node that has a newer one.
+func (m *Machine) noticeRevision(from api.NodeRef, revision tree.Revision) {
 	m.treeSeen = max(m.treeSeen, revision)
 	if m.settings != nil && revision <= m.settings.Revision() {
 		return
 	}
-	if m.now.Sub(m.treeAsked) < treeFetchPause {
+	if m.now.Sub(m.treeFetchedAt) < minTreeFetchInterval {
 		return
 	}
-	m.treeAsked = m.now
+	m.treeFetchedAt = m.now
 	m.emit(FetchTree{Peer: from.PeerAddress})
 }
 
-// pollTree asks the platform for a newer tree, the less often the more nodes
-// there are. A node without any tree asks at every chance.
+// pollTree asks the platform for a newer tree. The interval grows with the number
+// of nodes, to keep the total load constant; a node without any tree polls at the
+// shortest interval.
 func (m *Machine) pollTree() {
-	if m.now.Before(m.treePoll) {
+	if m.now.Before(m.nextTreePollAt) {
 		return
 	}
-	pause := treePollMin
+	pause := minTreePollInterval
 	if m.settings != nil {
 		pause = max(pause, time.Duration(len(m.membership.Members()))*m.timing.TreePollPerNode)
 	}
-	m.treePoll = m.now.Add(pause + m.jitter(pause/4))
+	m.nextTreePollAt = m.now.Add(pause + m.jitter(pause/4))
 	m.emit(FetchTree{})
 }
--- a/pkg/control/types.go
+++ b/pkg/control/types.go
@@ -8,15 +8,16 @@
 	"martenwheel.dev/pkg/platform"
 )
 
-// Event is something that happened to the node. Events are the types below.
+// Event is an input to a Machine. The event types are those below that implement
+// it.
 type Event interface{ isEvent() }
 
-// Effect is something that the node is to do. Effects are carried out in
-// order of return but finish in any order; their results come back as events,
-// exactly one for each effect that has a result.
+// Effect is an action that the node must carry out. Effects are started in the
+// order in which they are returned but may finish in any order. Each effect that
+// has a result produces exactly one event.
 type Effect interface{ isEffect() }
 
-// Tick is given about every TickInterval.
+// Tick is delivered about once per TickInterval.
 type Tick struct{}
 
 // PeerReceived is a message from another node.
@@ -35,7 +36,7 @@
 	Server api.ServerID
 	Order  engine.Order
 	Result engine.OrderResult
-	Err    error // wraps engine.ErrUnreachable or engine.ErrUnknownOutcome
+	Err    error // wraps engine.ErrUnreachable or engine.ErrUnknownOutcome; nil on success
 }
 
 // InventoryAnswered is the result of a ReadInventory effect.
@@ -56,7 +57,7 @@
 type RecordRead struct {
 	Key    string
 	Record platform.Record
-	Err    error // wraps platform.ErrNotFound if there is none
+	Err    error // wraps platform.ErrNotFound if there is no record
 }
 
 // RecordCommitted is the result of a CommitRecord effect.
@@ -65,7 +66,7 @@
 	Err         error
 }
 
-// StopRequested begins a planned stop of this node.
+// StopRequested starts a planned stop of this node.
 type StopRequested struct{}
 
 func (Tick) isEvent()              {}
@@ -91,7 +92,7 @@
 	Order   engine.Order
 }
 
-// ReadInventory fences an engine and reads its inventory.
+// ReadInventory raises the fence of an engine and reads its inventory.
 type ReadInventory struct {
 	Server  api.ServerID
 	Address string
@@ -103,37 +104,37 @@
 	Region string
 }
 
-// ReadRecord reads a record of the table service, with a consistent read.
+// ReadRecord performs a consistent read of a record in the table service.
 type ReadRecord struct {
 	Key string
 }
 
-// CommitRecord commits a transaction of the table service.
+// CommitRecord commits a transaction in the table service.
 type CommitRecord struct {
 	Transaction platform.Transaction
 }
 
-// PublishView hands a changed view of a cell to this node's routers.
+// PublishView passes a changed view of a cell to this node's routers.
 type PublishView struct {
 	View api.CellView
 }
 
-// PublishEstimate hands an owner's answer to this node's routers.
+// PublishEstimate passes an owner's load estimate to this node's routers.
 type PublishEstimate struct {
 	Estimate api.LoadEstimate
 }
 
-// FetchTree asks a peer or, if Peer is empty, the platform for a tree that is
-// newer than the one in force.
+// FetchTree requests a tree newer than the one in force from a peer or, if Peer
+// is empty, from the platform.
 type FetchTree struct {
-	Peer string // IP:port
+	Peer string // peer address (IP:port)
 }
 
 // Log writes a log line.
 type Log struct {
 	Level   string // "debug", "info", "warn" or "error"
 	Message string
-	Fields  []any // key, value, ...
+	Fields  []any // alternating keys and values
 }
 
 func (SendPeer) isEffect()        {}
@@ -147,5 +148,5 @@
 func (FetchTree) isEffect()       {}
 func (Log) isEffect()             {}
 
-// TickInterval is the time between two Tick events.
+// TickInterval is the interval of Tick events.
 const TickInterval = 100 * time.Millisecond
--- a/pkg/control/views.go
+++ b/pkg/control/views.go
@@ -7,11 +7,12 @@
 	"martenwheel.dev/pkg/control/quorum"
 )
 
-// publishPause is the shortest time between two views of an owner.
-const publishPause = 50 * time.Millisecond
+// minPublishInterval is the shortest time between two views published by an
+// owner.
+const minPublishInterval = 50 * time.Millisecond
 
-// publishView hands a changed view to this node's routers and to all nodes of
-// the region.
+// publishView passes a changed view to this node's routers and to all live nodes
+// of the region.
 func (c *cellControl) publishView() {
 	if c.machine.now.Before(c.publishAt) {
 		return
@@ -32,7 +33,7 @@
 		message = delta
 	}
 	c.view = view
-	c.publishAt = c.machine.now.Add(publishPause)
+	c.publishAt = c.machine.now.Add(minPublishInterval)
 	c.machine.emit(PublishView{View: view})
 	for _, node := range c.machine.liveNodes() {
 		if !c.machine.isSelf(node) {
@@ -41,8 +42,8 @@
 	}
 }
 
-// takeView takes over a newer view of a cell.
-func (m *Machine) takeView(view api.CellView) {
+// handleView replaces the view of a cell if the given one is newer.
+func (m *Machine) handleView(view api.CellView) {
 	c := m.ensureCell(view.Cell)
 	c.group.Supersede(quorum.Epoch(view.Term))
 	if !view.NewerThan(c.view) {
@@ -51,12 +52,13 @@
 	newLeader := !sameNode(view.Leader, c.view.Leader) || view.Term != c.view.Term
 	c.view = view
 	m.emit(PublishView{View: view})
-	m.updateDigest() // for nodes that the owner does not reach
+	m.updateDigest() // relays the version to nodes that the owner does not reach
 	if newLeader {
 		m.repeatDemand(c)
 	}
 }
 
+// answerViewRequest sends the newest view of the cell, if there is one.
 func (m *Machine) answerViewRequest(from api.NodeRef, request ViewRequest) {
 	if c, known := m.cells[request.Cell]; known && c.view.Term > 0 {
 		m.send(from, ViewPush{View: c.view})
--- a/pkg/control/weights/share.go
+++ b/pkg/control/weights/share.go
@@ -1,7 +1,8 @@
-// Package weights splits the weight store's slots among the cells that load
-// from it. Each owner computes the split by itself from what it last heard of
-// the others, so that no one has to be asked. Owners that know different things
-// may start a few loads too many for a moment, which only makes loads slower.
+// Package weights divides the load slots of the weight store, which holds the
+// models' weights, among the cells that load from it. Each owner computes the
+// division itself from the claims that it last received, so that no coordinator
+// is needed. Owners with different claims may briefly start a few loads too many,
+// which only makes loads slower.
 package weights
 
 import (
@@ -11,49 +12,50 @@
 	"martenwheel.dev/pkg/api"
 )
 
-// ClaimExpiry is how long the claim of a cell counts after it was last heard.
-// It bounds how long the share of a lost owner stays unused.
+// ClaimExpiry is how long a cell's claim counts after it was last received. It
+// bounds how long the share of a lost owner stays unused.
 const ClaimExpiry = 5 * time.Second
 
-// urgentWeight is how much more a load counts that callers wait for.
+// urgentWeight is the weight of a load that callers wait for, relative to other
+// loads.
 const urgentWeight = 4
 
 // Budget is what the weight store allows to all cells together.
 type Budget struct {
-	Slots int     // loads at once at full speed
-	Rate  float64 // loads started a second
+	Slots int     // concurrent loads at full speed
+	Rate  float64 // load starts per second
 }
 
-// Claim is what one cell has under way and wants.
+// Claim is one cell's current and wanted use of the weight store.
 type Claim struct {
-	Cell   api.CellName
-	Active int // loads under way
-	Wanted int // loads waiting for a slot
-	Urgent int // of these, ones that callers wait for
-	Heard  time.Time
+	Cell      api.CellName
+	Active    int       // loads in progress
+	Wanted    int       // loads waiting for a slot
+	Urgent    int       // loads among Wanted that callers wait for
+	UpdatedAt time.Time // when the claim was last received
 }
 
-// Allocation is the part of the budget that one cell may use.
+// Allocation is one cell's share of the budget.
 type Allocation struct {
-	Slots int // including the loads under way
-	Rate  float64
+	Slots int     // concurrent loads, including those in progress
+	Rate  float64 // load starts per second
 }
 
-// weight is the cell's part of a contended budget. A cell that wants nothing
-// keeps a small one, so that its next load can start at once.
+// weight is the cell's weight in dividing the budget. It is never zero, so that
+// an idle cell can start its next load immediately.
 func (c Claim) weight() float64 {
 	return 1 + float64(c.Active+c.Wanted) + (urgentWeight-1)*float64(c.Urgent)
 }
 
-// need is the number of slots that the cell can use.
+// need returns the number of slots that the cell can use.
 func (c Claim) need() int {
 	return c.Active + c.Wanted
 }
 
-// Share returns the part of the budget of the cell own. It is a function of its
-// arguments alone: the slots go one by one to the cell that is furthest below
-// its weighted part. A cell always gets one slot, and slots that no cell needs
-// are open to all.
+// Share returns the share of the cell in own. It depends only on its arguments:
+// the slots go one by one to the cell that is furthest below its weighted share.
+// A cell always gets at least one slot, and slots that no cell needs are
+// available to every cell.
 func Share(now time.Time, budget Budget, own Claim, others []Claim) Allocation {
 	claims := liveClaims(now, own, others)
 	slots := splitSlots(budget.Slots, claims)
@@ -74,12 +76,13 @@
 	return Allocation{Slots: 1, Rate: budget.Rate}
 }
 
-// liveClaims returns the claims that still count, sorted by cell.
+// liveClaims returns own and the claims that have not expired and need slots,
+// sorted by cell.
 func liveClaims(now time.Time, own Claim, others []Claim) []Claim {
 	claims := []Claim{own}
 	for _, claim := range others {
 		wants := claim.need() > 0
-		if claim.Cell != own.Cell && wants && now.Sub(claim.Heard) < ClaimExpiry {
+		if claim.Cell != own.Cell && wants && now.Sub(claim.UpdatedAt) < ClaimExpiry {
 			claims = append(claims, claim)
 		}
 	}
@@ -87,7 +90,8 @@
 	return claims
 }
 
-// splitSlots gives out slots one by one and returns how many each claim got.
+// splitSlots assigns the slots one by one and returns the number of slots of each
+// claim.
 func splitSlots(slots int, claims []Claim) []int {
 	given := make([]int, len(claims))
 	for ; slots > 0; slots-- {
@@ -108,7 +112,7 @@
 	return given
 }
 
-// isFurtherBelow compares (given+1)/weight of two claims.
+// isFurtherBelow reports whether (given+1)/weight is lower for a than for b.
 func isFurtherBelow(a Claim, givenA int, b Claim, givenB int) bool {
 	return float64(givenA+1)*b.weight() < float64(givenB+1)*a.weight()
 }
--- a/pkg/control/weights/share_test.go
+++ b/pkg/control/weights/share_test.go
@@ -13,6 +13,7 @@
 
 var testStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
+// TestShare checks the share of one cell for claims with known results.
 func TestShare(t *testing.T) {
 	budget := Budget{Slots: 8, Rate: 2}
 	heard := testStart.Add(-time.Second)
@@ -25,15 +26,15 @@
 	}{
 		{"alone", Claim{Cell: "a", Wanted: 20}, nil, 8, 2},
 		{"alone and idle", Claim{Cell: "a"}, nil, 8, 2},
-		{"equal claims", Claim{Cell: "a", Wanted: 9}, []Claim{{Cell: "b", Wanted: 9, Heard: heard}}, 4, 1},
+		{"equal claims", Claim{Cell: "a", Wanted: 9}, []Claim{{Cell: "b", Wanted: 9, UpdatedAt: heard}}, 4, 1},
 		{
 			"urgent loads weigh more",
 			Claim{Cell: "a", Wanted: 9, Urgent: 9},
-			[]Claim{{Cell: "b", Wanted: 9, Heard: heard}}, 7, 2 * 37.0 / 47,
+			[]Claim{{Cell: "b", Wanted: 9, UpdatedAt: heard}}, 7, 2 * 37.0 / 47,
 		},
-		{"what the other can't use is open", Claim{Cell: "a", Wanted: 9}, []Claim{{Cell: "b", Wanted: 1, Heard: heard}}, 7, 2 * 10.0 / 12},
-		{"a lost owner's claim expires", Claim{Cell: "a", Wanted: 9}, []Claim{{Cell: "b", Wanted: 9, Heard: heard.Add(-ClaimExpiry)}}, 8, 2},
-		{"one slot at least", Claim{Cell: "a"}, []Claim{{Cell: "b", Wanted: 50, Urgent: 50, Heard: heard}}, 1, 2 * 1.0 / 202},
+		{"what the other can't use is open", Claim{Cell: "a", Wanted: 9}, []Claim{{Cell: "b", Wanted: 1, UpdatedAt: heard}}, 7, 2 * 10.0 / 12},
+		{"a lost owner's claim expires", Claim{Cell: "a", Wanted: 9}, []Claim{{Cell: "b", Wanted: 9, UpdatedAt: heard.Add(-ClaimExpiry)}}, 8, 2},
+		{"one slot at least", Claim{Cell: "a"}, []Claim{{Cell: "b", Wanted: 50, Urgent: 50, UpdatedAt: heard}}, 1, 2 * 1.0 / 202},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -45,8 +46,8 @@
 	}
 }
 
-// TestSharesFitTheBudget: owners that know the same claims never take more
-// slots together than there are, but for the one that each may always use.
+// TestSharesFitTheBudget checks that owners with the same claims together use no
+// more slots than there are, apart from the one slot that each may always use.
 func TestSharesFitTheBudget(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(20260101)
 	properties := gopter.NewProperties(parameters)
@@ -59,14 +60,15 @@
 	properties.TestingRun(t)
 }
 
+// usedSlots returns the total number of slots that the cells use.
 func usedSlots(wanted []int, slots int) int {
 	var claims []Claim
 	for index, count := range wanted {
-		claims = append(claims, Claim{Cell: api.CellName(rune('a' + index)), Wanted: count, Urgent: count / 2, Heard: testStart})
+		claims = append(claims, Claim{Cell: api.CellName(rune('a' + index)), Wanted: count, Urgent: count / 2, UpdatedAt: testStart})
 	}
 	used := 0
-	for _, own := range claims {
-		used += min(own.need(), Share(testStart, Budget{Slots: slots, Rate: 1}, own, claims).Slots)
+	for _, claim := range claims {
+		used += min(claim.need(), Share(testStart, Budget{Slots: slots, Rate: 1}, claim, claims).Slots)
 	}
 	return used
 }
