--- a/pkg/peer/fault_test.go
+++ b/pkg/peer/fault_test.go
@@ -17,12 +17,12 @@
 	"martenwheel.dev/pkg/api"
 )
 
-// fakePeer is a listener whose connections are handled by a function.
+// fakePeer is a listener whose connections are handled by a function of the test.
 type fakePeer struct {
 	listener net.Listener
-	calls    atomic.Int32  // frames with a call that were read
-	called   chan struct{} // holds a token after the first
-	done     chan struct{} // closed when the caller has finished
+	calls    atomic.Int32  // number of calls read
+	called   chan struct{} // holds a token after a call was read
+	done     chan struct{} // closed by stop
 	workers  sync.WaitGroup
 }
 
@@ -49,8 +49,8 @@
 	return peer
 }
 
-// stop ends the listener and waits for the connections, which the caller has
-// closed. It may be called again.
+// stop closes the listener and waits for the handlers of its connections, which the
+// other end must have closed. It may be called more than once.
 func (p *fakePeer) stop() {
 	if p.listener.Close() == nil {
 		close(p.done)
@@ -62,21 +62,21 @@
 	return p.listener.Addr().String()
 }
 
-// greet exchanges hellos as a server.
-func greet(conn net.Conn) *bufio.Reader {
-	reader := greetReader(conn)
+// exchangeHellos exchanges hellos as a server does.
+func exchangeHellos(conn net.Conn) *bufio.Reader {
+	reader := readerAfterHello(conn)
 	conn.Write(encodeHello(api.NodeRef{ID: "fake"}))
 	return reader
 }
 
-// greetReader reads the other end's hello and returns what comes after it.
-func greetReader(conn net.Conn) *bufio.Reader {
+// readerAfterHello reads the other end's hello and returns a reader of what follows it.
+func readerAfterHello(conn net.Conn) *bufio.Reader {
 	reader := bufio.NewReader(conn)
-	_, _ = readHello(reader) // one that is none ends the connection
+	_, _ = readHello(reader) // an invalid hello ends the connection
 	return reader
 }
 
-// readCalls counts calls until the connection ends or limit is reached.
+// readCalls counts calls until the connection ends or limit calls were read.
 func (p *fakePeer) readCalls(reader *bufio.Reader, limit int) {
 	var decoder decoder
 	frames := newFrameReader(reader, MaxMessageBytes)
@@ -96,10 +96,10 @@
 	}
 }
 
-// answerWith reads one call and writes bytes.
+// answerWith returns a handler that reads one call and answers it with raw bytes.
 func answerWith(data []byte) func(*fakePeer, net.Conn) {
 	return func(peer *fakePeer, conn net.Conn) {
-		peer.readCalls(greet(conn), 1)
+		peer.readCalls(exchangeHellos(conn), 1)
 		conn.Write(data)
 	}
 }
@@ -126,13 +126,13 @@
 	return data
 }
 
-// peerFaults is the table of what may be wrong with a peer that is called.
+// peerFaults lists faults of a peer that is called.
 var peerFaults = []struct {
 	name  string
 	peer  func(peer *fakePeer, conn net.Conn)
 	want  error
-	calls int32    // that the peer gets: never more than one
-	waits Timeouts // of the client, where only they end the call
+	calls int32    // calls that the peer receives; never more than one
+	waits Timeouts // client timeouts, where only these end the call
 }{
 	{"closes at once", func(*fakePeer, net.Conn) {}, ErrUnreachable, 0, Timeouts{}},
 	{"never says hello", func(_ *fakePeer, conn net.Conn) { io.Copy(io.Discard, conn) }, ErrUnreachable, 0, Timeouts{Dial: 100 * time.Millisecond}},
@@ -149,8 +149,8 @@
 	{"unknown type", answerWith([]byte("\x06\x83\x01\x01\x02no")), ErrUnknownOutcome, 1, Timeouts{}},
 	{"second hello", answerWith(encodeHello(api.NodeRef{ID: "fake"})), ErrUnknownOutcome, 1, Timeouts{}},
 	{"answer to another call", answerWith(validAnswer(2)), ErrUnknownOutcome, 1, Timeouts{}},
-	{"half-open", func(peer *fakePeer, conn net.Conn) { peer.readCalls(greet(conn), 10) }, ErrUnknownOutcome, 1, Timeouts{Ping: 100 * time.Millisecond}},
-	{"reads nothing", func(peer *fakePeer, conn net.Conn) { greet(conn); <-peer.done }, ErrUnknownOutcome, 0, Timeouts{Ping: 100 * time.Millisecond}},
+	{"half-open", func(peer *fakePeer, conn net.Conn) { peer.readCalls(exchangeHellos(conn), 10) }, ErrUnknownOutcome, 1, Timeouts{Ping: 100 * time.Millisecond}},
+	{"reads nothing", func(peer *fakePeer, conn net.Conn) { exchangeHellos(conn); <-peer.done }, ErrUnknownOutcome, 0, Timeouts{Ping: 100 * time.Millisecond}},
 }
 
 func TestCallsToFaultyPeers(t *testing.T) {
@@ -183,7 +183,7 @@
 	}
 	listener.Close()
 	client := startTestClient(t, testConfig("client"))
-	for range 2 { // the second within the back-off
+	for range 2 { // the second call is made during the back-off
 		_, err = client.Call(t.Context(), listener.Addr().String(), testQuestion{Text: "x"})
 		if !errors.Is(err, ErrUnreachable) {
 			t.Errorf("got %v, want %v", err, ErrUnreachable)
@@ -192,7 +192,7 @@
 }
 
 func TestCallGivenUp(t *testing.T) {
-	peer := startFakePeer(t, func(peer *fakePeer, conn net.Conn) { peer.readCalls(greet(conn), 10) })
+	peer := startFakePeer(t, func(peer *fakePeer, conn net.Conn) { peer.readCalls(exchangeHellos(conn), 10) })
 	client := startTestClient(t, testConfig("client"))
 	ctx, cancel := context.WithCancel(t.Context())
 	var caller sync.WaitGroup
@@ -203,11 +203,11 @@
 	_, err := client.Call(ctx, peer.address(), testQuestion{Text: "x"})
 	caller.Wait()
 	if !errors.Is(err, ErrUnknownOutcome) {
-		t.Errorf("call that was written: got %v, want %v", err, ErrUnknownOutcome)
+		t.Errorf("call given up after it was written: got %v, want %v", err, ErrUnknownOutcome)
 	}
 	_, err = client.Call(ctx, peer.address(), testQuestion{Text: strings.Repeat("x", 100)})
 	if !errors.Is(err, ErrUnknownOutcome) && !errors.Is(err, ErrUnreachable) {
-		t.Errorf("call given up at once: got %v", err)
+		t.Errorf("call whose context has ended: got %v", err)
 	}
 }
 
@@ -219,10 +219,11 @@
 	}
 }
 
-// TestStalledReaderBlocksNobody fills the connection to a peer that reads
-// nothing: Send returns, and a call to another peer is answered.
+// TestStalledReaderBlocksNobody fills the connection to a peer that reads nothing.
+// Send must still return, the queue must stay bounded, and a call to another peer
+// must be answered.
 func TestStalledReaderBlocksNobody(t *testing.T) {
-	peer := startFakePeer(t, func(peer *fakePeer, conn net.Conn) { greet(conn); <-peer.done })
+	peer := startFakePeer(t, func(peer *fakePeer, conn net.Conn) { exchangeHellos(conn); <-peer.done })
 	config := testConfig("client")
 	config.Timeouts.Write = 200 * time.Millisecond
 	config.Limits.QueueLength = 4
@@ -240,12 +241,12 @@
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
 	if len(target.queue) > config.Limits.QueueLength {
-		t.Errorf("%d messages wait, allowed are %d", len(target.queue), config.Limits.QueueLength)
+		t.Errorf("%d messages are queued, the limit is %d", len(target.queue), config.Limits.QueueLength)
 	}
 }
 
-// TestReconnectAfterPeerRestart shows that a message after a restart arrives
-// once, and that the one before it is not repeated.
+// TestReconnectAfterPeerRestart checks that messages arrive again after a restart of
+// the peer, and that the message before the restart is not sent again.
 func TestReconnectAfterPeerRestart(t *testing.T) {
 	handler := newRecorder()
 	server, err := Listen(testConfig("server"))
@@ -255,7 +256,7 @@
 	server.Serve(handler)
 	address := server.Self().PeerAddress
 	client := startTestClient(t, testConfig("client"))
-	var hours atomic.Int64 // each look at the clock ends a back-off
+	var hours atomic.Int64 // advances by an hour on each call, so back-offs are always over
 	client.clock = func() time.Time { return time.Unix(hours.Add(1)*3600, 0) }
 	if _, err := client.Call(t.Context(), address, testQuestion{Text: "before"}); err != nil {
 		t.Fatal(err)
@@ -270,7 +271,7 @@
 			break
 		}
 		if attempt == 100 {
-			t.Fatalf("no connection after the restart: %v", err)
+			t.Fatalf("cannot connect after the restart: %v", err)
 		}
 	}
 	texts := handler.received()
@@ -279,12 +280,12 @@
 	}
 	for _, text := range texts[1:] {
 		if text == "before" {
-			t.Error("a message was repeated")
+			t.Error("a message was sent twice")
 		}
 	}
 }
 
-// clientFaults is the table of what may be wrong with a peer that connects.
+// clientFaults lists faults of a peer that connects.
 var clientFaults = []struct {
 	name string
 	data func() []byte
@@ -330,7 +331,7 @@
 			defer conn.Close()
 			conn.Write(fault.data())
 			conn.(*net.TCPConn).CloseWrite()
-			io.Copy(io.Discard, conn) // until the server closes it
+			io.Copy(io.Discard, conn) // wait until the server closes the connection
 		})
 	}
 	if texts := handler.received(); len(texts) != 0 {
@@ -338,12 +339,12 @@
 	}
 	client := startTestClient(t, testConfig("client"))
 	if _, err := client.Call(t.Context(), address, testQuestion{Text: "x"}); err != nil {
-		t.Errorf("after the faults: %v", err)
+		t.Errorf("call after the faulty clients: %v", err)
 	}
 }
 
-// TestSilentClientIsDropped checks that the server ends connections on which no
-// hello, or no frame after it, arrives in time.
+// TestSilentClientIsDropped checks that the server closes connections on which no
+// hello, or no frame after the hello, arrives in time.
 func TestSilentClientIsDropped(t *testing.T) {
 	config := testConfig("server")
 	config.Timeouts.Dial, config.Timeouts.Idle = 50*time.Millisecond, 50*time.Millisecond
--- a/pkg/peer/hello.go
+++ b/pkg/peer/hello.go
@@ -18,37 +18,39 @@
 	"martenwheel.dev/pkg/api"
 )
 
-// magic opens each connection, followed by the version as two bytes.
+// magic is the first bytes on each connection, followed by the version as two
+// bytes.
 const magic = "mwpr"
 
-// maxHelloBytes bounds the encoded hello.
+// maxHelloBytes is the largest size of an encoded hello.
 const maxHelloBytes = 4096
 
 var (
-	// ErrVersion means that the peer speaks another version of the protocol.
+	// ErrVersion means that the peer uses another version of the protocol.
 	ErrVersion = errors.New("peer: other protocol version")
-	// ErrIdentity means that the peer's certificate is not that of the node
-	// that it says it is.
+	// ErrIdentity means that the peer's certificate does not belong to the node
+	// that its hello names.
 	ErrIdentity = errors.New("peer: certificate of another node")
 )
 
-// hello tells who is at an end of a connection.
+// hello identifies one end of a connection.
 type hello struct {
 	Self api.NodeRef
-	// Kinds are the marks of the message types that this end knows, see markOf; earlier builds tell
-	// none. Another build may know fewer or more, while nodes are replaced one after the other.
+	// Kinds are the hashes (see typeHash) of the message types that this end knows. Earlier builds leave
+	// it empty. During a rolling update, another build may know fewer types or more.
 	Kinds []uint32
 }
 
-// connection is a connection after the exchange of hellos.
+// connection is a network connection whose hellos have been exchanged.
 type connection struct {
 	net.Conn
-	reader *bufio.Reader
-	peer   api.NodeRef
-	kinds  map[uint32]bool // that the peer knows; nil: not told
+	reader     *bufio.Reader
+	peer       api.NodeRef
+	knownTypes map[uint32]bool // hashes of the types that the peer knows; nil if its hello had none
 }
 
-// startClient does the TLS handshake, if any, and exchanges hellos.
+// startClient performs the TLS handshake, if TLS is configured, and exchanges
+// hellos.
 func startClient(ctx context.Context, raw net.Conn, config Config) (*connection, error) {
 	if err := raw.SetDeadline(time.Now().Add(config.Timeouts.Dial)); err != nil {
 		return nil, errors.WithStack(err)
@@ -63,8 +65,8 @@
 	return finishStart(started, certificates)
 }
 
-// startServer is startClient for the other end. The server's version is told
-// to a client of another version, so that both can log it.
+// startServer is the counterpart of startClient. It also sends its hello to a
+// client with another protocol version, so that both sides can log the mismatch.
 func startServer(ctx context.Context, raw net.Conn, config Config) (*connection, error) {
 	if err := raw.SetDeadline(time.Now().Add(config.Timeouts.Dial)); err != nil {
 		return nil, errors.WithStack(err)
@@ -82,8 +84,8 @@
 	return accepted, err
 }
 
-// secure does the TLS handshake if there is a configuration. The certificates
-// of both ends are checked before any byte is decoded.
+// secure performs the TLS handshake if TLS is configured. Both ends check the
+// other's certificate before any data is decoded.
 func secure(
 	ctx context.Context,
 	raw net.Conn,
@@ -100,16 +102,16 @@
 	return encrypted, encrypted.ConnectionState().PeerCertificates, nil
 }
 
-// clientTLS returns the configuration for outgoing connections. Peers are
-// known by IP, so the name in the certificate is compared with the hello's
-// instead; the chain is verified here.
+// clientTLS returns the TLS configuration for outgoing connections. Peers are
+// addressed by IP, so the name in the certificate is compared with the hello
+// instead. The certificate chain is verified here.
 func clientTLS(config *tls.Config) *tls.Config {
 	if config == nil {
 		return nil
 	}
 	client := config.Clone()
 	client.MinVersion = tls.VersionTLS13
-	client.InsecureSkipVerify = true // VerifyConnection below does it
+	client.InsecureSkipVerify = true // VerifyConnection below verifies the chain
 	client.VerifyConnection = func(state tls.ConnectionState) error {
 		intermediates := x509.NewCertPool()
 		for _, certificate := range state.PeerCertificates[1:] {
@@ -124,7 +126,7 @@
 	return client
 }
 
-// serverTLS returns the configuration for incoming connections.
+// serverTLS returns the TLS configuration for incoming connections.
 func serverTLS(config *tls.Config) *tls.Config {
 	if config == nil {
 		return nil
@@ -149,22 +151,22 @@
 	if err := started.SetDeadline(time.Time{}); err != nil {
 		return nil, errors.WithStack(err)
 	}
-	return &connection{Conn: started, reader: reader, peer: peer, kinds: received.kinds()}, nil
+	return &connection{Conn: started, reader: reader, peer: peer, knownTypes: received.knownTypes()}, nil
 }
 
-// kinds returns the marks of the message types that were told, nil if none were.
-func (h *hello) kinds() map[uint32]bool {
+// knownTypes returns the set of type hashes in the hello, or nil if there are none.
+func (h *hello) knownTypes() map[uint32]bool {
 	if len(h.Kinds) == 0 {
 		return nil
 	}
-	kinds := make(map[uint32]bool, len(h.Kinds))
+	known := make(map[uint32]bool, len(h.Kinds))
 	for _, mark := range h.Kinds {
-		kinds[mark] = true
+		known[mark] = true
 	}
-	return kinds
+	return known
 }
 
-// certifies tells whether a certificate is for a node, by a DNS name, a URI or
+// certifies reports whether a certificate names a node as a DNS name, a URI or
 // the common name.
 func certifies(certificate *x509.Certificate, id api.NodeID) bool {
 	name := string(id)
@@ -185,8 +187,8 @@
 // encodeHello returns the opening bytes of a connection.
 func encodeHello(self api.NodeRef) []byte {
 	var body bytes.Buffer
-	if err := gob.NewEncoder(&body).Encode(hello{Self: self, Kinds: registeredMarks()}); err != nil {
-		panic(errors.Wrap(err, "peer: encode hello")) // plain strings cannot fail
+	if err := gob.NewEncoder(&body).Encode(hello{Self: self, Kinds: registeredTypeHashes()}); err != nil {
+		panic(errors.Wrap(err, "peer: encode hello")) // cannot happen: all fields can be encoded
 	}
 	opening := []byte(magic)
 	opening = binary.BigEndian.AppendUint16(opening, Version)
@@ -194,15 +196,15 @@
 	return append(opening, body.Bytes()...)
 }
 
-// readHello reads the opening bytes of a connection. Nothing is decoded unless
-// magic and version are right.
+// readHello reads the opening bytes of a connection. It decodes the hello only if
+// magic and version match.
 func readHello(from byteReader) (hello, error) {
 	var opening [len(magic) + 2]byte
 	if _, err := io.ReadFull(from, opening[:]); err != nil {
 		return hello{}, errors.Wrap(err, "peer: hello")
 	}
 	if string(opening[:len(magic)]) != magic {
-		return hello{}, errors.New("peer: not this protocol")
+		return hello{}, errors.New("peer: connection does not start with the magic of this protocol")
 	}
 	if version := binary.BigEndian.Uint16(opening[len(magic):]); version != Version {
 		return hello{}, errors.Wrapf(ErrVersion, "peer has %d, this node %d", version, Version)
--- a/pkg/peer/link.go
+++ b/pkg/peer/link.go
@@ -16,24 +16,24 @@
 	"github.com/sourcegraph/conc"
 )
 
-// link is the client's connection to one address and the messages that wait
-// for it. Its goroutine runs while there is a connection or a message.
+// link is the client's connection to one address with its queue of messages. Its
+// goroutine runs while there is a connection or a queued message.
 type link struct {
 	client  *Client
 	address string
-	wake    chan struct{} // holds a token if the queue has a new message
-
-	mutex    sync.Mutex
-	queue    []*outgoing
-	running  bool
-	failures int
-	retryAt  time.Time // no connection is tried before
-	lacks    lacking
+	wake    chan struct{} // holds a token when a message was queued
+
+	mutex        sync.Mutex
+	queue        []*outgoing
+	running      bool
+	failures     int       // consecutive failures to connect
+	retryAt      time.Time // end of the back-off
+	unknownTypes unknownTypes
 }
 
-// add queues a message, dropping the oldest one without an answer if the queue
-// is full. It tells whether the message was accepted and whether run is to be
-// started.
+// add queues a message. If the queue is full, it drops the oldest message that
+// nobody waits for. It returns whether the message was accepted and whether the
+// caller must start run.
 func (l *link) add(item *outgoing, now time.Time) (accepted, start bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -53,7 +53,7 @@
 	return true, start
 }
 
-// dropOldest makes room by dropping the oldest message that nobody waits for.
+// dropOldest drops the oldest message that nobody waits for, if there is one.
 func (l *link) dropOldest() bool {
 	oldest := slices.IndexFunc(l.queue, func(item *outgoing) bool {
 		return item.reply == nil || item.state.Load() == itemWithdrawn
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// forgotten tells whether the link holds neither a connection nor a back-off.
-func (l *link) forgotten(now time.Time) bool {
+// inactive reports whether the link has neither a connection nor a back-off.
+func (l *link) inactive(now time.Time) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return !l.running && now.After(l.retryAt)
@@ -100,8 +100,8 @@
 	}
 }
 
-// run connects and writes the queued messages until there are none and the
-// connection has been idle.
+// run connects and sends the queued messages. It returns when connecting fails, or
+// when a connection has ended and the queue is empty.
 func (l *link) run() {
 	for {
 		connected, err := l.dial()
@@ -110,7 +110,7 @@
 			l.stopAfterFailure(errors.Wrapf(ErrUnreachable, "%v", err))
 			return
 		}
-		l.succeed()
+		l.resetFailures()
 		newExchange(l, connected).run(l.client.ctx)
 		if l.stopIfEmpty() {
 			return
@@ -118,7 +118,8 @@
 	}
 }
 
-// logFailure warns of the first failure in a row.
+// logFailure logs a failure to connect: the first in a row as a warning, further
+// ones at debug level.
 func (l *link) logFailure(err error) {
 	l.mutex.Lock()
 	first := l.failures == 0
@@ -155,7 +156,7 @@
 	return connected, nil
 }
 
-// stopAfterFailure fails the queue and sets the time of the next try.
+// stopAfterFailure fails all queued messages and starts a back-off.
 func (l *link) stopAfterFailure(err error) {
 	l.mutex.Lock()
 	queue := l.queue
@@ -171,14 +172,14 @@
 	}
 }
 
-// backoff returns the wait after a number of failures in a row.
+// backoff returns the wait after the given number of consecutive failures.
 func backoff(failures int) time.Duration {
 	const maxDoublings = 10
 	longest := min(longestBackoff, firstBackoff<<min(failures-1, maxDoublings))
 	return longest/2 + rand.N(longest/2)
 }
 
-func (l *link) succeed() {
+func (l *link) resetFailures() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.failures = 0
@@ -193,13 +194,13 @@
 
 // exchange is the traffic on one connection of a link.
 type exchange struct {
-	link       *link
-	connection *connection
-	encoder    encoder
-	writer     *bufio.Writer
-	ended      chan struct{} // closed when the reader has ended
-	received   atomic.Int64  // frames so far
-	unproved   unproved      // for the writer alone
+	link        *link
+	connection  *connection
+	encoder     encoder
+	writer      *bufio.Writer
+	ended       chan struct{} // closed when the reader has ended
+	received    atomic.Int64  // number of frames received
+	recentTypes recentTypes   // used by the writer and, once it has ended, by learn
 
 	mutex    sync.Mutex
 	lastCall uint64
@@ -216,8 +217,8 @@
 	}
 }
 
-// run carries messages until the connection ends. The calls that are then
-// without an answer have an unknown outcome.
+// run sends messages and receives answers until the connection ends. Calls that are
+// still unanswered then fail with ErrUnknownOutcome.
 func (e *exchange) run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { e.connection.Close() })
 	defer stop()
@@ -226,7 +227,7 @@
 	err := e.write()
 	e.connection.Close()
 	reader.Wait()
-	e.learn()
+	e.learnUnknownType()
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	for _, call := range e.pending {
@@ -234,8 +235,8 @@
 	}
 }
 
-// write sends queued messages and pings until an error, or nil when the
-// connection has been idle.
+// write sends queued messages and pings. It returns nil when the connection has
+// been idle for long enough to close it.
 func (e *exchange) write() error {
 	timeouts := e.link.client.config.Timeouts
 	ping := time.NewTicker(timeouts.Ping)
@@ -261,7 +262,7 @@
 		case <-e.ended:
 			return errors.New("closed by peer")
 		case <-ping.C:
-			e.forgetAbandoned()
+			e.removeAbandoned()
 			if time.Since(idleSince) > idleLimit(timeouts.Idle, sent) && !e.awaitsAnswer() {
 				return nil
 			}
@@ -275,7 +276,8 @@
 	}
 }
 
-// idleLimit returns how long a connection that carried some messages is kept.
+// idleLimit returns how long an idle connection is kept, by the number of messages
+// sent on it.
 func idleLimit(limit time.Duration, sent int) time.Duration {
 	if sent <= briefMessages {
 		return limit / BriefIdleFactor
@@ -283,7 +285,7 @@
 	return limit
 }
 
-// silence counts the ping intervals in which nothing was received.
+// silence counts the consecutive ping intervals in which nothing was received.
 type silence struct {
 	limit    int
 	seen     int64
@@ -299,21 +301,22 @@
 	return s.quietFor > s.limit
 }
 
-// writeItem writes a message. A message that cannot be encoded fails alone.
+// writeItem writes a message. A message that the peer does not know or that cannot
+// be encoded fails without ending the connection.
 func (e *exchange) writeItem(item *outgoing) error {
-	if !e.knows(item.typeName) {
+	if !e.peerKnows(item.typeName) {
 		item.finish(nil, errors.Wrap(ErrUnknownType, item.typeName))
 		return nil
 	}
-	e.note(item.typeName)
+	e.noteSent(item.typeName)
 	out := frame{kind: frameSend, message: item.message, typeName: item.typeName}
 	if item.reply != nil {
 		out.kind = frameCall
-		out.call = e.expect(item)
+		out.call = e.addPending(item)
 	}
 	data, err := e.encoder.encode(out)
 	if err != nil {
-		e.forget(out.call)
+		e.removePending(out.call)
 		e.link.client.config.Logger.Error("message dropped", "peer", e.link.address, "error", err)
 		item.finish(nil, err)
 		return nil
@@ -353,8 +356,8 @@
 	return errors.WithStack(e.writer.Flush())
 }
 
-// expect records a call and returns its number.
-func (e *exchange) expect(call *outgoing) uint64 {
+// addPending registers a pending call and returns its number.
+func (e *exchange) addPending(call *outgoing) uint64 {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.lastCall++
@@ -362,8 +365,9 @@
 	return e.lastCall
 }
 
-// forget returns the call with a number, if it is still without an answer.
-func (e *exchange) forget(number uint64) *outgoing {
+// removePending removes the pending call with a number and returns it, or nil if there is
+// none.
+func (e *exchange) removePending(number uint64) *outgoing {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	call := e.pending[number]
@@ -371,8 +375,8 @@
 	return call
 }
 
-// forgetAbandoned drops the calls whose callers gave up.
-func (e *exchange) forgetAbandoned() {
+// removeAbandoned removes the pending calls whose callers gave up.
+func (e *exchange) removeAbandoned() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	maps.DeleteFunc(e.pending, func(_ uint64, call *outgoing) bool {
@@ -386,7 +390,7 @@
 	return len(e.pending) > 0
 }
 
-// read takes answers until the connection ends.
+// read receives answers until the connection ends.
 func (e *exchange) read() {
 	defer close(e.ended)
 	var decoder decoder
@@ -403,15 +407,15 @@
 		}
 		e.received.Add(1)
 		e.link.client.config.Counters.received(e.link.address, answer.typeName, len(data))
-		e.takeAnswer(answer)
+		e.handleAnswer(answer)
 	}
 }
 
-func (e *exchange) takeAnswer(answer frame) {
+func (e *exchange) handleAnswer(answer frame) {
 	if answer.kind != frameAnswer && answer.kind != frameError {
 		return
 	}
-	call := e.forget(answer.call)
+	call := e.removePending(answer.call)
 	switch {
 	case call == nil:
 	case answer.unknown:
--- a/pkg/peer/peer_test.go
+++ b/pkg/peer/peer_test.go
@@ -28,14 +28,14 @@
 	Register(testQuestion{}, testAnswer{})
 }
 
-// recorder is a handler that records what it got.
+// recorder is a Handler that records the messages it receives.
 type recorder struct {
 	answer func(ctx context.Context, question testQuestion) (Message, error) // nil: echo
 
 	mutex sync.Mutex
 	from  []api.NodeRef
 	texts []string
-	heard chan string
+	heard chan string // gets the text of each message
 }
 
 func newRecorder() *recorder {
@@ -64,7 +64,8 @@
 	return append([]string(nil), r.texts...)
 }
 
-// testConfig has time-outs that no test reaches, however slow the machine is.
+// testConfig returns a configuration with timeouts that no test reaches, even on a
+// slow machine.
 func testConfig(id api.NodeID) Config {
 	return Config{
 		Timeouts: Timeouts{Dial: time.Minute, Write: time.Minute, Idle: time.Hour, Ping: time.Minute},
@@ -145,7 +146,7 @@
 	}
 }
 
-func TestHandlersOutcomes(t *testing.T) {
+func TestHandlerOutcomes(t *testing.T) {
 	handler := newRecorder()
 	handler.answer = func(_ context.Context, question testQuestion) (Message, error) {
 		switch question.Text {
@@ -169,7 +170,7 @@
 		{"panic", "handler failed"},
 		{"unregistered", "not registered"},
 		{"huge", "too large"},
-		{"nothing", ""}, // the connection serves on
+		{"nothing", ""}, // the connection still works
 	} {
 		answer, err := client.Call(t.Context(), server.Self().PeerAddress, testQuestion{Text: test.text})
 		var remote *RemoteError
@@ -196,7 +197,7 @@
 	}
 	client.Send(address, unregistered{Text: "x"})
 	if _, err := client.Call(t.Context(), address, testQuestion{Text: "fine"}); err != nil {
-		t.Errorf("message after them: %v", err)
+		t.Errorf("message after the failed ones: %v", err)
 	}
 	if texts := handler.received(); len(texts) != 1 {
 		t.Errorf("handler got %d messages, want 1", len(texts))
--- a/pkg/peer/registry.go
+++ b/pkg/peer/registry.go
@@ -9,29 +9,29 @@
 	"github.com/pkg/errors"
 )
 
-// registry holds the message types by their names.
+// registry holds the registered message types.
 var registry = struct {
 	sync.RWMutex
 	byName map[string]reflect.Type
 	byType map[reflect.Type]string
-	recent map[string]bool // by name, see RegisterRecent
+	recent map[string]bool // names of the types of RegisterRecent
 }{
 	recent: make(map[string]bool),
 	byName: make(map[string]reflect.Type),
 	byType: make(map[reflect.Type]string),
 }
 
-// Register makes message types known, each by a value of it. The name on the
+// Register registers message types, each given by a value of it. Its name on the
 // wire is the package path and the name of the type, which must be a struct.
-// Registering a type again changes nothing. Register is called before the
-// first connection, as in an init function.
+// Registering a type again has no effect. Register must be called before the
+// first connection, for example in an init function.
 func Register(messages ...Message) {
 	registry.Lock()
 	defer registry.Unlock()
 	for _, message := range messages {
 		kind := reflect.TypeOf(message)
 		if kind == nil || kind.Kind() != reflect.Struct || kind.Name() == "" {
-			panic(errors.Errorf("peer: %T is no named struct", message))
+			panic(errors.Errorf("peer: %T is not a named struct", message))
 		}
 		name := kind.PkgPath() + "." + kind.Name()
 		registry.byName[name] = kind
@@ -39,8 +39,8 @@
 	}
 }
 
-// RegisterRecent is Register for types that some builds lack which don't tell the types that they
-// know.
+// RegisterRecent is like Register, for types that are unknown to some builds which do not send
+// their known types in the hello.
 func RegisterRecent(messages ...Message) {
 	Register(messages...)
 	registry.Lock()
@@ -61,33 +61,33 @@
 	return name, nil
 }
 
-// typeOf returns the type registered under a name, nil if there is none.
+// typeOf returns the type registered under a name, or nil if there is none.
 func typeOf(name string) reflect.Type {
 	registry.RLock()
 	defer registry.RUnlock()
 	return registry.byName[name]
 }
 
-// markOf is the short form of a type's name that hellos tell.
-func markOf(name string) uint32 {
+// typeHash returns the hash of a type's name that hellos contain.
+func typeHash(name string) uint32 {
 	sum := fnv.New32a()
 	_, _ = sum.Write([]byte(name)) // never fails
 	return sum.Sum32()
 }
 
-// registeredMarks returns the marks of all types.
-func registeredMarks() []uint32 {
+// registeredTypeHashes returns the hashes of all registered types, sorted.
+func registeredTypeHashes() []uint32 {
 	registry.RLock()
 	defer registry.RUnlock()
-	marks := make([]uint32, 0, len(registry.byName))
+	hashes := make([]uint32, 0, len(registry.byName))
 	for name := range registry.byName {
-		marks = append(marks, markOf(name))
+		hashes = append(hashes, typeHash(name))
 	}
-	slices.Sort(marks)
-	return marks
+	slices.Sort(hashes)
+	return hashes
 }
 
-// isRecent tells whether builds that don't tell their types may lack one.
+// isRecent reports whether a type was registered by RegisterRecent.
 func isRecent(name string) bool {
 	registry.RLock()
 	defer registry.RUnlock()
--- a/pkg/peer/server.go
+++ b/pkg/peer/server.go
@@ -14,7 +14,7 @@
 	"martenwheel.dev/pkg/api"
 )
 
-// Server accepts connections of other nodes and answers their messages.
+// Server accepts connections from other nodes and answers their messages.
 type Server struct {
 	config   Config
 	listener net.Listener
@@ -27,7 +27,7 @@
 	open  map[net.Conn]struct{}
 }
 
-// Listen opens the listener. Connections wait until Serve.
+// Listen opens the listener. Connections are not accepted before Serve.
 func Listen(config Config) (*Server, error) {
 	config = config.withDefaults()
 	config.TLS = serverTLS(config.TLS)
@@ -48,19 +48,20 @@
 	}, nil
 }
 
-// Self returns the node's reference as told to peers. Its PeerAddress is that
-// of the listener if the configuration left it empty.
+// Self returns the node's identity as sent to peers. Its PeerAddress is that of the
+// listener if the configuration left it empty.
 func (s *Server) Self() api.NodeRef {
 	return s.config.Self
 }
 
-// Serve starts to accept connections. It returns at once and is called once.
+// Serve starts to accept connections and returns immediately. It must be called only
+// once.
 func (s *Server) Serve(handler Handler) {
 	s.handler = handler
 	s.workers.Go(s.accept)
 }
 
-// Close ends all connections and waits for the handlers to return.
+// Close closes all connections and waits for the handlers to return.
 func (s *Server) Close() error {
 	s.cancel()
 	err := s.listener.Close()
@@ -73,8 +74,8 @@
 	return errors.WithStack(err)
 }
 
-// acceptPause is the wait after a failed accept, as when no file descriptor is
-// free.
+// acceptPause is the wait after a failed accept, for example when no file
+// descriptor is available.
 const acceptPause = 50 * time.Millisecond
 
 func (s *Server) accept() {
@@ -107,7 +108,8 @@
 	}
 }
 
-// admit records a connection unless there are too many or the server closes.
+// admit registers a connection. It returns false if there are too many or the
+// server is closing.
 func (s *Server) admit(conn net.Conn) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -140,7 +142,7 @@
 		slots:      make(chan struct{}, maxCallsPerConnection),
 	}
 	err = session.read(ctx)
-	raw.Close() // ends the writes of calls that are still answered
+	raw.Close() // aborts writing the answers of pending calls
 	cancel()
 	session.calls.Wait()
 	if err != nil && !errors.Is(err, io.EOF) && s.ctx.Err() == nil {
@@ -148,19 +150,19 @@
 	}
 }
 
-// session is the server's end of a connection.
+// session is the server's side of a connection.
 type session struct {
 	*connection
 	server *Server
 	calls  conc.WaitGroup
-	slots  chan struct{}
+	slots  chan struct{} // holds a token per call that is being handled
 
-	mutex   sync.Mutex // of what follows
+	mutex   sync.Mutex // guards encoder and writing
 	encoder encoder
 }
 
-// read handles frames until the connection ends. Messages without an answer
-// are handled in order, calls at the same time.
+// read handles frames until the connection ends. Messages that expect no answer are
+// handled in order, calls concurrently.
 func (s *session) read(ctx context.Context) error {
 	var decoder decoder
 	frames := newFrameReader(s.reader, MaxMessageBytes)
@@ -179,7 +181,7 @@
 		}
 		s.server.config.Counters.received(s.peer.PeerAddress, received.typeName, len(data))
 		if received.unknown {
-			s.passOver(received)
+			s.rejectUnknown(received)
 			continue
 		}
 		switch received.kind {
@@ -196,9 +198,9 @@
 	}
 }
 
-// passOver tells the sender of a message whose type is of another build that it is not handled.
-func (s *session) passOver(received frame) {
-	s.server.config.Logger.Warn("message of an unknown type is passed over", "type", received.typeName, "peer", s.peer.ID)
+// rejectUnknown ignores a message whose type this build does not know, and answers a call with an error.
+func (s *session) rejectUnknown(received frame) {
+	s.server.config.Logger.Warn("message of unknown type ignored", "type", received.typeName, "peer", s.peer.ID)
 	if received.kind == frameCall {
 		s.write(frame{kind: frameError, call: received.call, text: ErrUnknownType.Error()})
 	}
@@ -220,8 +222,8 @@
 	}
 }
 
-// handle calls the handler. A panic of it is logged and becomes an error, so
-// that one message cannot end the node.
+// handle calls the handler. It logs a panic and converts it into an error, so that
+// one message cannot crash the node.
 func (s *session) handle(ctx context.Context, message Message) (answer Message, err error) {
 	recovered := panics.Try(func() {
 		answer, err = s.server.handler.HandleMessage(ctx, s.peer, message)
@@ -233,8 +235,8 @@
 	return answer, err
 }
 
-// write sends a frame. An error before the first byte is returned; after it
-// the connection is closed.
+// write sends a frame. It returns an error only if the frame cannot be encoded. If
+// sending fails, it closes the connection and returns nil.
 func (s *session) write(reply frame) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/pkg/peer/tls_test.go
+++ b/pkg/peer/tls_test.go
@@ -13,7 +13,8 @@
 	"martenwheel.dev/pkg/security/securitytest"
 )
 
-// issue returns the configuration of a node; change names its certificate.
+// issue returns the TLS configuration of a node. change modifies its certificate,
+// for example to set its name.
 func issue(a *securitytest.Authority, change ...func(*x509.Certificate)) *tls.Config {
 	return &tls.Config{
 		Certificates: []tls.Certificate{a.Issue(change...)},
--- a/pkg/security/certificates.go
+++ b/pkg/security/certificates.go
@@ -16,27 +16,28 @@
 
 // Files names the PEM files of one TLS identity.
 type Files struct {
-	Certificate string // the certificate and the ones between it and its authority
-	Key         string // its private key
-	Authorities string // who may issue the certificates of nodes; needed for PeerConfig
+	Certificate string // the certificate and its intermediate certificates
+	Key         string // private key of the certificate
+	Authorities string // authorities that may issue the certificates of nodes; required for PeerConfig
 }
 
-// Certificates is a TLS identity read from files. Safe for concurrent use.
+// Certificates is a TLS identity read from files. It is safe for concurrent use.
 type Certificates struct {
-	files Files
-	clock func() time.Time
-	mutex sync.Mutex // serialises reloads
-	seen  fileStamp
-	state atomic.Pointer[identity]
+	files     Files
+	clock     func() time.Time
+	mutex     sync.Mutex // serialises reloads
+	lastStamp fileStamp  // state of the files when they were last read
+	identity  atomic.Pointer[identity]
 }
 
+// identity is the content of the files.
 type identity struct {
 	certificate tls.Certificate
-	authorities *x509.CertPool // nil without Files.Authorities
+	authorities *x509.CertPool // nil if Files.Authorities is empty
 }
 
-// OpenCertificates reads the files. The error of missing, expired or
-// mismatched files is a *findings.Error with all faults.
+// OpenCertificates reads the files. The error for missing, expired or mismatched
+// files is a *findings.Error with all faults.
 func OpenCertificates(files Files, clock func() time.Time) (*Certificates, error) {
 	certificates := &Certificates{files: files, clock: clock}
 	if err := certificates.Reload(); err != nil {
@@ -45,19 +46,19 @@
 	return certificates, nil
 }
 
-// Reload reads the files again. After an error the identity is as before.
-// Connections that stand are not cut.
+// Reload reads the files again. After an error the previous identity stays in force.
+// Existing connections are not closed.
 func (c *Certificates) Reload() error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.reload()
 }
 
-// ReloadIfChanged reads the files again if one changed since the last time.
+// ReloadIfChanged reads the files again if one changed since they were last read.
 func (c *Certificates) ReloadIfChanged() (changed bool, err error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.stamp() == c.seen {
+	if c.stamp() == c.lastStamp {
 		return false, nil
 	}
 	return true, c.reload()
@@ -68,39 +69,39 @@
 }
 
 func (c *Certificates) reload() error {
-	c.seen = c.stamp()
+	c.lastStamp = c.stamp()
 	loaded, err := loadIdentity(c.files, c.clock())
 	if err != nil {
 		return err
 	}
-	c.state.Store(loaded)
+	c.identity.Store(loaded)
 	return nil
 }
 
-// ExpiresAt returns when the certificate in force ends.
+// ExpiresAt returns when the certificate in force expires.
 func (c *Certificates) ExpiresAt() time.Time {
-	return c.state.Load().certificate.Leaf.NotAfter
+	return c.identity.Load().certificate.Leaf.NotAfter
 }
 
-// ServerConfig returns the configuration of a listener for callers or
-// operators. It always uses the certificate in force.
+// ServerConfig returns the TLS configuration of a listener for callers or operators.
+// It always uses the certificate in force, also after a reload.
 func (c *Certificates) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		Time:       c.clock,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-			return &c.state.Load().certificate, nil
+			return &c.identity.Load().certificate, nil
 		},
 	}
 }
 
-// PeerConfig returns the configuration of both sides of the connections
-// between nodes: each side must present a certificate from one of the
-// authorities. That it names the node is checked by pkg/peer. The certificate
-// is always the one in force, but the authorities are those of the time of
-// this call. It fails without Files.Authorities.
+// PeerConfig returns the TLS configuration for both sides of connections between
+// nodes. Each side must present a certificate from one of the authorities; pkg/peer
+// checks that it names the node. The certificate is always the one in force, also
+// after a reload, but the authorities are those at the time of this call. It fails
+// if Files.Authorities is empty.
 func (c *Certificates) PeerConfig() (*tls.Config, error) {
-	authorities := c.state.Load().authorities
+	authorities := c.identity.Load().authorities
 	if authorities == nil {
 		return nil, errors.New("mutual TLS between nodes needs a file of authorities")
 	}
@@ -110,13 +111,13 @@
 		RootCAs:    authorities,
 		ClientCAs:  authorities,
 		ClientAuth: tls.RequireAndVerifyClientCert,
-		// A resumed session would prove an old certificate.
+		// A resumed session would rely on the certificate of an earlier connection.
 		SessionTicketsDisabled: true,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-			return &c.state.Load().certificate, nil
+			return &c.identity.Load().certificate, nil
 		},
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-			return &c.state.Load().certificate, nil
+			return &c.identity.Load().certificate, nil
 		},
 	}, nil
 }
@@ -177,7 +178,7 @@
 	}
 }
 
-// checkIssuer tells an operator of a certificate that no peer would accept.
+// checkIssuer reports a certificate that no peer would accept.
 func checkIssuer(faults *findings.List, files Files, loaded *identity, now time.Time) {
 	intermediates := x509.NewCertPool()
 	for _, der := range loaded.certificate.Certificate[1:] {
@@ -199,8 +200,8 @@
 	}
 }
 
-// loadAuthorities accepts an expired authority beside a valid one, since it is
-// replaced by adding the next one to the file.
+// loadAuthorities reads the authorities. It accepts an expired one if there is a
+// valid one too, because authorities are replaced by adding the next one to the file.
 func loadAuthorities(faults *findings.List, path string, now time.Time) *x509.CertPool {
 	content := readPEM(faults, path, "file of authorities")
 	if content == nil {
--- a/pkg/security/certificates_test.go
+++ b/pkg/security/certificates_test.go
@@ -19,7 +19,7 @@
 
 func testClock() time.Time { return testNow }
 
-// issue returns files with a certificate for a DNS name that ends after a time.
+// issue writes files with a certificate for a DNS name that expires after lifetime.
 func issue(t *testing.T, a *securitytest.Authority, name string, lifetime time.Duration) Files {
 	t.Helper()
 	end := securitytest.Until(testNow.Add(lifetime))
@@ -49,8 +49,8 @@
 	return config
 }
 
-// handshake connects both sides and returns each side's error. Under TLS 1.3
-// a client learns of its refusal with its first read.
+// handshake connects both sides and returns each side's error. Under TLS 1.3 a client
+// learns that it was refused only on its first read.
 func handshake(t *testing.T, server, client *tls.Config) (serverError, clientError error) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -116,7 +116,7 @@
 	}
 	overwrite(t, files.Key, "half written")
 	if changed, err := certificates.ReloadIfChanged(); !changed || err == nil {
-		t.Fatalf("a broken key: changed %v, error %v", changed, err)
+		t.Fatalf("invalid key file: changed %v, error %v; want an error", changed, err)
 	}
 	next := issue(t, authority, "node-b", 2*time.Minute)
 	overwrite(t, files.Certificate, readFile(t, next.Certificate))
@@ -127,7 +127,7 @@
 	client := peerConfig(t, next)
 	client.ServerName = "node-b"
 	if serverError, clientError := handshake(t, server, client); serverError != nil || clientError != nil {
-		t.Errorf("after the reload: server %v, client %v", serverError, clientError)
+		t.Errorf("handshake after the reload: server %v, client %v", serverError, clientError)
 	}
 	if got := certificates.ExpiresAt(); !got.Equal(testNow.Add(2 * time.Minute)) {
 		t.Errorf("expires at %v", got)
@@ -144,7 +144,7 @@
 		t.Errorf("server %v, client %v", serverError, clientError)
 	}
 	if _, err := certificates.PeerConfig(); err == nil {
-		t.Error("mutual TLS was set up without authorities")
+		t.Error("PeerConfig succeeded without authorities")
 	}
 }
 
--- a/pkg/security/doc.go
+++ b/pkg/security/doc.go
@@ -1,5 +1,5 @@
-// Package security holds what callers, operators and nodes prove themselves
-// with: API keys kept as digests in a file, and TLS configurations from
-// certificate files. Both are reloaded without a restart, and a faulty file
-// never replaces one that was good.
+// Package security authenticates callers, operators and nodes: by API keys, which a
+// file holds as digests, and by TLS configurations from certificate files. Both are
+// reloaded without a restart. An invalid file never replaces valid contents that were
+// read before.
 package security
--- a/pkg/security/keys.go
+++ b/pkg/security/keys.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	// MaxKeys bounds the number of keys in a file, which an operator keeps by hand.
+	// MaxKeys is the most keys in a file, which an operator maintains by hand.
 	MaxKeys = 1024
-	// MaxKeyBytes bounds a key that is presented; a longer one is refused
+	// MaxKeyBytes is the longest presented key. A longer one is refused
 	// without being hashed.
 	MaxKeyBytes = 512
 
@@ -30,24 +30,25 @@
 	generatedKeyPrefix = "mw_"
 )
 
-// Keys authenticates callers or operators by the API keys of one file. Safe
+// Keys authenticates callers or operators by the API keys of one file. It is safe
 // for concurrent use.
 type Keys struct {
-	path  string
-	mutex sync.Mutex // serialises reloads
-	seen  fileStamp
-	names atomic.Pointer[KeySet[string]]
+	path      string
+	mutex     sync.Mutex // serialises reloads
+	lastStamp fileStamp  // state of the file when it was last read
+	names     atomic.Pointer[KeySet[string]]
 }
 
+// keyEntry is one line of a key file.
 type keyEntry struct {
 	name   string
 	digest digest
 }
 
-// OpenKeys reads the key file at path: one "name: digest" a line, where digest
-// is the SHA-256 of the key in hexadecimal; empty lines and lines that begin
-// with "#" are skipped. The error of a faulty file is a *findings.Error with
-// all its faults.
+// OpenKeys reads the key file at path. Each line has the form "name: digest", where
+// digest is the SHA-256 of the key in hexadecimal. Empty lines and lines that begin
+// with "#" are skipped. The error for an invalid file is a *findings.Error with all
+// its faults.
 func OpenKeys(path string) (*Keys, error) {
 	keys := &Keys{path: path}
 	if err := keys.Reload(); err != nil {
@@ -56,7 +57,7 @@
 	return keys, nil
 }
 
-// Reload reads the file again. After an error the keys are as before.
+// Reload reads the file again. After an error the previous keys stay in force.
 func (k *Keys) Reload() error {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -67,14 +68,14 @@
 func (k *Keys) ReloadIfChanged() (changed bool, err error) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	if stampFiles(k.path) == k.seen {
+	if stampFiles(k.path) == k.lastStamp {
 		return false, nil
 	}
 	return true, k.reload()
 }
 
 func (k *Keys) reload() error {
-	k.seen = stampFiles(k.path)
+	k.lastStamp = stampFiles(k.path)
 	content, err := os.ReadFile(k.path)
 	if err != nil {
 		return keyFileError(k.path, err)
@@ -93,8 +94,8 @@
 	return faults.Err()
 }
 
-// Authenticate returns the name of the presented key. Its time does not depend
-// on how much of a key matches. It keeps no reference to key.
+// Authenticate returns the name of the presented key. Its running time does not
+// depend on how much of a key matches. It keeps no reference to key.
 func (k *Keys) Authenticate(key []byte) (name string, ok bool) {
 	return k.names.Load().Find(key)
 }
@@ -104,8 +105,8 @@
 	return k.names.Load().Len()
 }
 
-// GenerateKey returns a new random key, for its holder alone, and the line
-// that lets it in under name, for the key file.
+// GenerateKey returns a new random key, which only its owner should know, and the
+// line for the key file that admits the key under name.
 func GenerateKey(name string) (key, line string, err error) {
 	if fault := checkKeyName(name); fault != "" {
 		return "", "", errors.New(fault)
@@ -119,8 +120,8 @@
 	return key, name + ": " + hex.EncodeToString(digest[:]), nil
 }
 
-// parseKeys never puts the content of a line into a finding: an operator may
-// have pasted the key itself.
+// parseKeys parses the content of a key file. Its findings never contain the content
+// of a line other than its name, since an operator may have pasted the key itself.
 func parseKeys(path string, content []byte) (*KeySet[string], error) {
 	var faults findings.List
 	if len(content) > maxKeyFileBytes {
@@ -128,7 +129,7 @@
 		return nil, faults.Err()
 	}
 	set := NewKeySet[string](0)
-	lines := map[string]int{} // of the names
+	lines := map[string]int{} // line numbers by name
 	for i, line := range strings.Split(string(bytes.TrimPrefix(content, []byte("\ufeff"))), "\n") {
 		line = strings.TrimSpace(line)
 		if line == "" || strings.HasPrefix(line, "#") {
@@ -144,7 +145,7 @@
 		if first, exists := lines[entry.name]; exists {
 			faults.Addf(place, "name %q already stands in line %d", entry.name, first)
 		}
-		if other, doubled := set.addDigest(entry.digest, entry.name); doubled {
+		if other, duplicate := set.addDigest(entry.digest, entry.name); duplicate {
 			faults.Addf(place, "the same digest already stands in line %d", lines[other])
 		}
 		lines[entry.name] = number
@@ -161,6 +162,8 @@
 	return set, nil
 }
 
+// parseKeyLine parses one line of a key file. It returns the fault if the line is
+// invalid, and "" otherwise.
 func parseKeyLine(line string) (keyEntry, string) {
 	name, digestText, separated := strings.Cut(line, ":")
 	if !separated {
@@ -177,6 +180,7 @@
 	return keyEntry{name: name, digest: [sha256.Size]byte(sum)}, ""
 }
 
+// checkKeyName returns what is wrong with the name of a key, or "".
 func checkKeyName(name string) string {
 	if name == "" {
 		return "the name is empty"
--- a/pkg/security/keys_test.go
+++ b/pkg/security/keys_test.go
@@ -37,7 +37,7 @@
 	}
 	for _, wrong := range []string{"", "mw_", first + "x", first[:len(first)-1], firstLine, strings.Repeat("k", MaxKeyBytes+1)} {
 		if name, ok := keys.Authenticate([]byte(wrong)); ok || name != "" {
-			t.Errorf("a wrong key of %d bytes let %q in", len(wrong), name)
+			t.Errorf("a wrong key of %d bytes was accepted as %q", len(wrong), name)
 		}
 	}
 }
@@ -63,7 +63,7 @@
 		t.Errorf("got %d findings, want 6:\n%v", len(faults.Findings), err)
 	}
 	if strings.Contains(err.Error(), secret) {
-		t.Errorf("a finding shows a key:\n%v", err)
+		t.Errorf("a finding contains a key:\n%v", err)
 	}
 	for _, empty := range []string{"", "# nobody\n"} {
 		if _, err := OpenKeys(writeFile(t, "keys", empty)); err == nil {
@@ -71,7 +71,7 @@
 		}
 	}
 	if _, err := OpenKeys(filepath.Join(t.TempDir(), "absent")); !errors.As(err, &faults) {
-		t.Errorf("an absent file gave %v, want findings", err)
+		t.Errorf("missing file: got %v, want findings", err)
 	}
 }
 
@@ -91,17 +91,17 @@
 		t.Fatalf("broken file: changed %v, error %v", changed, err)
 	}
 	if _, ok := keys.Authenticate([]byte(oldKey)); !ok {
-		t.Error("a broken file took the old key away")
+		t.Error("the old key was refused after reading an invalid file")
 	}
 	overwrite(t, path, newLine)
 	if err := keys.Reload(); err != nil {
 		t.Fatal(err)
 	}
 	if _, ok := keys.Authenticate([]byte(oldKey)); ok {
-		t.Error("a removed key still lets in")
+		t.Error("a removed key is still accepted")
 	}
 	if name, ok := keys.Authenticate([]byte(newKey)); !ok || name != "new-holder" {
-		t.Errorf("the new key: %q, %v", name, ok)
+		t.Errorf("new key: %q, %v", name, ok)
 	}
 }
 
@@ -139,8 +139,8 @@
 	}
 }
 
-// BenchmarkAuthenticate looks a key up among 100: 209 ns on one processor; 1,155 ns while the
-// key was compared with each.
+// BenchmarkAuthenticate looks up a key among 100. A lookup takes 209 ns on one processor;
+// comparing the key with each of them takes 1,155 ns.
 func BenchmarkAuthenticate(b *testing.B) {
 	path := filepath.Join(b.TempDir(), "keys")
 	var lines strings.Builder
--- a/pkg/security/securitytest/authority.go
+++ b/pkg/security/securitytest/authority.go
@@ -14,10 +14,11 @@
 	"time"
 )
 
-// validity is how long certificates are valid before and after the present.
+// validity is how long before and after the authority's present time certificates
+// are valid.
 const validity = time.Hour
 
-// Authority issues certificates. It belongs to one test.
+// Authority issues certificates within one test.
 type Authority struct {
 	t           testing.TB
 	now         time.Time
@@ -42,20 +43,20 @@
 	return a
 }
 
-// Pool returns a pool with the authority alone.
+// Pool returns a pool that contains only the authority.
 func (a *Authority) Pool() *x509.CertPool {
 	pool := x509.NewCertPool()
 	pool.AddCert(a.certificate)
 	return pool
 }
 
-// PEM returns the authority's certificate.
+// PEM returns the authority's certificate in PEM form.
 func (a *Authority) PEM() string {
 	return encodePEM("CERTIFICATE", a.certificate.Raw)
 }
 
-// Issue returns a certificate for servers and clients, with its key, after each
-// of change has had its way with it.
+// Issue returns a certificate for servers and clients with its private key. Each
+// change is applied to the certificate before it is signed.
 func (a *Authority) Issue(change ...func(*x509.Certificate)) tls.Certificate {
 	a.t.Helper()
 	template := &x509.Certificate{
@@ -88,7 +89,7 @@
 	return func(c *x509.Certificate) { c.NotAfter = end }
 }
 
-// EncodePEM returns an issued certificate and its key.
+// EncodePEM returns an issued certificate and its private key in PEM form.
 func EncodePEM(t testing.TB, issued tls.Certificate) (certificate, key string) {
 	t.Helper()
 	der, err := x509.MarshalPKCS8PrivateKey(issued.PrivateKey)
--- a/pkg/security/watch.go
+++ b/pkg/security/watch.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// Reloader is something read from files, such as *Keys and *Certificates.
+// Reloader is state that is read from files, such as *Keys and *Certificates.
 type Reloader interface {
 	// ReloadIfChanged reads the files again if they changed. After an error
-	// what was read before stays in force.
+	// the previous state stays in force.
 	ReloadIfChanged() (changed bool, err error)
 }
 
-// Watch looks for changes of all reloaders each interval until the context
-// ends. It calls report after each change, with a nil error if it is in force.
+// Watch checks all reloaders for changes at the given interval until the context
+// ends. It calls report after each change, with a nil error if the reload succeeded.
 func Watch(ctx context.Context, interval time.Duration, report func(error), reloaders ...Reloader) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -34,7 +34,7 @@
 	}
 }
 
-// fileStamp tells states of files apart by their sizes and change times.
+// fileStamp identifies the state of files by their sizes and modification times.
 type fileStamp string
 
 func stampFiles(paths ...string) fileStamp {
