--- a/pkg/admission/model_test.go
+++ b/pkg/admission/model_test.go
@@ -436,7 +436,7 @@
 			in, out := tokens(random)
 			r := newRequest(id, 1, in, target, 10*time.Second)
 			r.Work.Out = out
-			s := &sent{r, &enginetest.Run{Prompt: prompt.Parse(prompt.Fields{Tokens: fmt.Sprintf("%d,%d", in, out)}), Out: out, Arrives: at},
+			s := &sent{r, &enginetest.Run{Prompt: prompt.Parse(prompt.Fields{Tokens: fmt.Sprintf("%d,%d", in, out)}), OutputTokens: out, ArrivesAt: at},
 				random.IntN(simNodes), random.IntN(len(engines))}
 			engines[s.to].Add(s.run)
 			open = append(open, s)
@@ -447,8 +447,8 @@
 		left := open[:0]
 		for _, s := range open {
 			if int(at/(10*time.Millisecond))%100 == s.node {
-				answered := max(s.run.First-s.run.Arrives, 0)
-				m.AddReports(testStart.Add(at), fmt.Sprint("n", s.node), []Report{report(s.r, fmt.Sprint("s", s.to), at-s.run.Arrives, answered, s.run.End > 0)}, false)
+				answered := max(s.run.FirstEvent-s.run.ArrivesAt, 0)
+				m.AddReports(testStart.Add(at), fmt.Sprint("n", s.node), []Report{report(s.r, fmt.Sprint("s", s.to), at-s.run.ArrivesAt, answered, s.run.End > 0)}, false)
 				if s.run.End > 0 {
 					if answered > target {
 						tooLate++
@@ -503,7 +503,7 @@
 	if first, part, _ := watchOverload(engines(), engine, 16, 20*time.Second, tokens, 800*time.Millisecond); first < 0 || first > 3*time.Second || part < 0.8 {
 		t.Errorf("overloaded after %v, for %.2f of the time", first, part)
 	}
-	fast := []*enginetest.Engine{{ReadsPerMS: 300}, {ReadsPerMS: 300}}
+	fast := []*enginetest.Engine{{PrefillTokensPerMS: 300}, {PrefillTokensPerMS: 300}}
 	if _, part, _ := watchOverload(fast, engine, 16, time.Minute, tokens, 800*time.Millisecond); part > 0.01 {
 		t.Errorf("servers that read eight times as fast are overloaded for %.2f of the time", part)
 	}
--- a/pkg/admission/sim_test.go
+++ b/pkg/admission/sim_test.go
@@ -127,11 +127,11 @@
 	own := int(k.own * math.Exp(0.8*p.random.NormFloat64()-0.32))
 	r := &request{kind: k, arrives: at, next: at, node: p.random.IntN(simNodes), server: -1}
 	parts := fmt.Sprintf("%sc%d:%d,%ss%d:%d,o%d:%d", k.name, session%3, k.common, k.name, session, k.session, id, own+1)
-	r.run = enginetest.Run{Rank: k.rank, Out: 6 * int(1+(k.events-1)*(0.4+0.6*p.random.ExpFloat64())), Prompt: prompt.Parse(prompt.Fields{
-		Tokens: fmt.Sprintf("%d,600", k.common+k.session+own+1), Parts: parts, Likely: fmt.Sprint(int(k.events) * 6)})}
+	r.run = enginetest.Run{Rank: k.rank, OutputTokens: 6 * int(1+(k.events-1)*(0.4+0.6*p.random.ExpFloat64())), Prompt: prompt.Parse(prompt.Fields{
+		Tokens: fmt.Sprintf("%d,600", k.common+k.session+own+1), Parts: parts, ExpectedOutput: fmt.Sprint(int(k.events) * 6)})}
 	r.Place = Place{fmt.Sprint("n", r.node), uint64(id)}
 	r.Key, r.Need, r.Rank = Key{"s", "m"}, "m", k.rank
-	r.Work = Work{r.run.Prompt.Tokens(), r.run.Prompt.Likely(), r.run.Prompt.Parts()}
+	r.Work = Work{r.run.Prompt.Tokens(), r.run.Prompt.ExpectedOutput(), r.run.Prompt.Parts()}
 	return r
 }
 
@@ -171,7 +171,7 @@
 		c.refused++
 	case r.gone:
 		c.left++
-	case r.run.First-r.arrives <= r.kind.target && r.run.Pause <= r.kind.gap:
+	case r.run.FirstEvent-r.arrives <= r.kind.target && r.run.LongestPause <= r.kind.gap:
 		c.inTime++
 	default:
 		c.late++
@@ -217,7 +217,7 @@
 		}
 	}
 	r.sent = at
-	r.run.Arrives = at
+	r.run.ArrivesAt = at
 	if p.ledgers != nil {
 		l, now := &p.ledgers[r.node], testStart.Add(at)
 		if l.Sent(now, p.report(r, at)) {
@@ -272,12 +272,12 @@
 
 // learnEventTime has a node learn from a finished stream.
 func (p *simulation) learnEventTime(r *request) {
-	events := r.run.Out / 6
+	events := r.run.OutputTokens / 6
 	if events < 8 {
 		return
 	}
 	pace := &p.eventTimes[r.node][r.server]
-	sample := float64(r.run.End-r.run.First) / float64(events)
+	sample := float64(r.run.End-r.run.FirstEvent) / float64(events)
 	if *pace == 0 {
 		*pace = sample
 	}
@@ -286,17 +286,17 @@
 
 // track records what became of a request that was sent.
 func (p *simulation) track(r *request, at time.Duration) {
-	if r.run.First == 0 && at-r.arrives > r.kind.left {
+	if r.run.FirstEvent == 0 && at-r.arrives > r.kind.left {
 		r.gone = true
-		p.engines[r.server].Leave(&r.run)
+		p.engines[r.server].Cancel(&r.run)
 		p.reportChange(r, at, true)
 		return
 	}
-	if r.run.First > 0 && !r.reported && at >= r.run.First+reportDelay {
+	if r.run.FirstEvent > 0 && !r.reported && at >= r.run.FirstEvent+reportDelay {
 		r.reported = true
 		p.reportChange(r, at, false)
 		if r.first > 0 {
-			p.predictionRatios = append(p.predictionRatios, float64(r.first)/float64(r.run.First-r.sent))
+			p.predictionRatios = append(p.predictionRatios, float64(r.first)/float64(r.run.FirstEvent-r.sent))
 		}
 	}
 	if r.run.End > 0 && at >= r.run.End+reportDelay {
@@ -315,15 +315,15 @@
 	}
 	report := p.report(r, at)
 	report.Ended = ended
-	if r.run.First > 0 {
-		report.First = r.run.First - r.sent
+	if r.run.FirstEvent > 0 {
+		report.First = r.run.FirstEvent - r.sent
 	}
 	now, list := testStart.Add(at), []Report{report}
 	if p.ledgers != nil {
 		l := &p.ledgers[r.node]
 		news := false
 		if report.First > 0 {
-			news = l.Answered(testStart.Add(r.run.First), r.Place.ID)
+			news = l.Answered(testStart.Add(r.run.FirstEvent), r.Place.ID)
 		}
 		if ended {
 			news = l.Ended(now, r.Place.ID, r.Key) || news
--- a/pkg/clock/clock.go
+++ b/pkg/clock/clock.go
@@ -1,21 +1,21 @@
-// Package clock tells the time by which beliefs age: leases, permits, keys, quotas, entries
-// of servers. The steady clock of time.Now stands still while a machine is suspended, so
-// that a node that wakes would take all it knew for as young as before. The clock of this
-// package counts that time.
+// Package clock is the clock for everything that expires: leases, permits, keys, quotas, server
+// entries. The monotonic clock of time.Now stops while the machine is suspended, so that a node
+// that resumes would consider expired data as fresh. The clock of this package includes the time
+// of suspension.
 //
-// Times of this package are for differences between each other only: what they show of the
-// time of day is off by the time slept, and so is a difference to a time of time.Now. Timers,
-// deadlines of contexts and of connections go by the steady clock: they take durations
-// (Until), and fire late by the time slept, so that what must not be done after a time is
-// checked when it is done.
+// Use times of this package only to compute differences between them. Their time of day is off by
+// the time of suspension, and so is a difference to a time from time.Now. Timers and the deadlines
+// of contexts and connections use the monotonic clock: give them durations (Until). They fire late
+// by the time of suspension, so code that must not act after a deadline checks the time itself.
 package clock
 
 import "time"
 
-// Clock tells the time; nil is that of this process. Tests give others.
+// Clock is a source of the current time. A nil Clock is the clock of this process; tests use
+// others.
 type Clock func() time.Time
 
-// Now returns the time.
+// Now returns the current time.
 func (c Clock) Now() time.Time {
 	if c == nil {
 		return Now()
@@ -23,33 +23,33 @@
 	return c()
 }
 
-// Since returns the time since t, which is of this clock.
+// Since returns the time since t, which must be a time of this clock.
 func (c Clock) Since(t time.Time) time.Duration { return c.Now().Sub(t) }
 
-// Until returns the time until t, which is of this clock.
+// Until returns the time until t, which must be a time of this clock.
 func (c Clock) Until(t time.Time) time.Duration { return t.Sub(c.Now()) }
 
-// Now returns the time of this process: the steady clock's and the time slept.
-func Now() time.Time { return process.now() }
+// Now returns the current time of this process: the monotonic clock plus the time of suspension.
+func Now() time.Time { return processClock.now() }
 
-// Since returns the time since t, which is of this process's clock.
+// Since returns the time since t, which must be a time of this process's clock.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Until returns the time until t, which is of this process's clock.
+// Until returns the time until t, which must be a time of this process's clock.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// Slept returns for how long the machine was suspended since the process started, as far as
-// it was noticed.
+// Slept returns for how long the machine is known to have been suspended since the process
+// started.
 func Slept() time.Duration {
-	process.now()
-	return time.Duration(process.slept.Load())
+	processClock.now()
+	return time.Duration(processClock.slept.Load())
 }
 
-// OnWake has f called, in a goroutine of its own, whenever the machine is found to have been
-// suspended, with for how long. It returns what ends that.
-func OnWake(f func(slept time.Duration)) (stop func()) { return process.onWake(f) }
+// OnWake registers f to be called in its own goroutine each time a suspension of the machine is
+// detected, with the length of the suspension. The returned function unregisters it.
+func OnWake(f func(slept time.Duration)) (stop func()) { return processClock.onWake(f) }
 
-// Err returns why the time slept can't be told; nil: it can.
-func Err() error { return process.err() }
+// Err returns the error of the last attempt to read the time of suspension, nil if it succeeded.
+func Err() error { return processClock.err() }
 
-var process = newReader(time.Now, readSlept)
+var processClock = newReader(time.Now, readSlept)
--- a/pkg/clock/clock_test.go
+++ b/pkg/clock/clock_test.go
@@ -11,19 +11,19 @@
 	"github.com/pkg/errors"
 )
 
-// machine is clocks that a test moves. The steady clock has no monotonic part here: the time
-// of day is kept apart in day, as steps of it.
+// machine simulates the clocks of a machine. The test sets its monotonic clock and its time of
+// suspension.
 type machine struct {
-	steady time.Duration
-	slept  time.Duration
-	err    error
+	monotonic time.Duration
+	slept     time.Duration
+	err       error
 }
 
-// reader returns a reader of the machine's clocks, whose time of day goes with the steady
-// clock: it learns of a suspension by its looks alone.
+// reader returns a reader of the machine's clocks. Its time of day always equals the monotonic
+// clock, so that it detects a suspension only by reading the count.
 func (m *machine) reader() *reader {
 	return newReader(
-		func() time.Time { return time.Unix(1000, 0).Add(m.steady) },
+		func() time.Time { return time.Unix(1000, 0).Add(m.monotonic) },
 		func() (time.Duration, error) { return m.slept, m.err })
 }
 
@@ -31,48 +31,49 @@
 	m := &machine{}
 	r := m.reader()
 	before := r.now()
-	m.steady += time.Second
+	m.monotonic += time.Second
 	if got := r.now().Sub(before); got != time.Second {
-		t.Errorf("a second awake is %v", got)
+		t.Errorf("a second without suspension counts as %v", got)
 	}
 	m.slept += 10 * time.Second
-	m.steady += lookAfter + 1
-	if got, want := r.now().Sub(before), 11*time.Second+lookAfter+1; got != want {
-		t.Errorf("with ten seconds of suspension %v passed, want %v", got, want)
+	m.monotonic += refreshInterval + 1
+	if got, want := r.now().Sub(before), 11*time.Second+refreshInterval+1; got != want {
+		t.Errorf("%v passed including ten seconds of suspension, want %v", got, want)
 	}
 }
 
-// TestASuspensionIsSeenAtOnce has the time of day, which goes on meanwhile, tell of it before
-// the next look is due.
+// TestASuspensionIsSeenAtOnce checks that a time of day ahead of the monotonic clock causes a
+// reading before the next one is due. Otherwise a node that resumes could use expired data.
 func TestASuspensionIsSeenAtOnce(t *testing.T) {
 	slept := time.Duration(0)
 	r := newReader(time.Now, func() (time.Duration, error) { return slept, nil })
 	before := r.now()
 	slept = time.Minute
-	r.seen.Store(&look{passed: r.seen.Load().passed, day: r.seen.Load().day - time.Minute}) // as if it had gone on for a minute
+	r.last.Store(&reading{elapsed: r.last.Load().elapsed, wallElapsed: r.last.Load().wallElapsed - time.Minute}) // as if the time of day had advanced by a minute
 	if got := r.now().Sub(before); got < time.Minute {
-		t.Errorf("%v passed, want a minute or more", got)
+		t.Errorf("%v passed including a minute of suspension, want a minute or more", got)
 	}
 }
 
-// TestStepsOfTheTimeOfDayAreNoSuspension has the time of day jump without one.
+// TestStepsOfTheTimeOfDayAreNoSuspension checks that a step of the time of day alone does not count
+// as a suspension.
 func TestStepsOfTheTimeOfDayAreNoSuspension(t *testing.T) {
 	r := newReader(time.Now, func() (time.Duration, error) { return 0, nil })
 	before := r.now()
 	for _, step := range []time.Duration{time.Hour, -time.Hour} {
-		r.seen.Store(&look{passed: r.seen.Load().passed, day: r.seen.Load().day + step})
+		r.last.Store(&reading{elapsed: r.last.Load().elapsed, wallElapsed: r.last.Load().wallElapsed + step})
 		if got := r.now().Sub(before); got > time.Minute {
-			t.Errorf("a step of %v of the time of day made %v pass", step, got)
+			t.Errorf("after a step of the time of day by %v, %v passed", step, got)
 		}
 	}
 }
 
-// TestBadClocks: one that goes back, stands or can't be read never makes anything younger, and
-// what was counted stays.
+// TestBadClocks checks that a count that goes back, stops or can't be read never reduces the time
+// that has passed or the time of suspension known before.
 func TestBadClocks(t *testing.T) {
 	m := &machine{}
 	r := m.reader()
-	m.slept, m.steady = time.Minute, time.Second
+	m.slept, m.monotonic = time.Minute, time.Second
 	before := r.now()
 	for name, harm := range map[string]func(){
 		"goes back":     func() { m.slept = 0 },
@@ -80,37 +81,38 @@
 		"can't be read": func() { m.err = errors.New("no such clock") },
 	} {
 		harm()
-		m.steady += time.Second
+		m.monotonic += time.Second
 		if got := r.now().Sub(before); got < time.Second {
-			t.Errorf("a clock that %s: %v passed in a second or more", name, got)
+			t.Errorf("a clock that %s: %v passed, want a second or more", name, got)
 		}
 		if got := time.Duration(r.slept.Load()); got < time.Minute {
-			t.Errorf("a clock that %s: %v were slept, a minute was counted before", name, got)
+			t.Errorf("a clock that %s: the time of suspension is %v, it was a minute before", name, got)
 		}
 	}
 	if r.err() == nil {
-		t.Error("a clock that can't be read is not told")
+		t.Error("no error is reported for a clock that can't be read")
 	}
 }
 
-// TestAClockThatIsReadLateCountsFromThen has the first reading fail.
+// TestAClockThatIsReadLateCountsFromThen checks that, if the first reading fails, suspension counts
+// from the first successful one.
 func TestAClockThatIsReadLateCountsFromThen(t *testing.T) {
 	m := &machine{slept: time.Hour, err: errors.New("not yet")}
 	r := m.reader()
 	before := r.now()
 	m.err = nil
-	m.steady += time.Second
+	m.monotonic += time.Second
 	if got := r.now().Sub(before); got != time.Second {
-		t.Errorf("%v passed in a second", got)
+		t.Errorf("%v passed, want a second", got)
 	}
 	m.slept += time.Minute
-	m.steady += time.Second
+	m.monotonic += time.Second
 	if got := r.now().Sub(before); got != time.Minute+2*time.Second {
-		t.Errorf("%v passed in a minute and two seconds", got)
+		t.Errorf("%v passed, want a minute and two seconds", got)
 	}
 }
 
-// TestTimeNeverGoesBack plays readings of any kind.
+// TestTimeNeverGoesBack uses random counts, some of which can't be read.
 func TestTimeNeverGoesBack(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(1)
 	properties := gopter.NewProperties(parameters)
@@ -120,7 +122,7 @@
 		last := r.now()
 		for i, step := range steps {
 			m.slept = time.Duration(step)
-			m.steady += time.Duration(i) * lookAfter / 3
+			m.monotonic += time.Duration(i) * refreshInterval / 3
 			if i%5 == 4 {
 				m.err = errors.New("failed")
 			} else {
@@ -137,7 +139,7 @@
 	properties.TestingRun(t)
 }
 
-// TestTheSystemsClock reads the real one.
+// TestTheSystemsClock reads the system's real clocks in parallel.
 func TestTheSystemsClock(t *testing.T) {
 	var group sync.WaitGroup
 	for range 8 {
@@ -155,47 +157,48 @@
 	}
 	group.Wait()
 	if err := Err(); err != nil {
-		t.Logf("the time slept can't be told here: %v", err)
+		t.Logf("the time of suspension can't be read on this system: %v", err)
 	}
 	if Slept() > time.Minute {
-		t.Errorf("the machine slept for %v during this test", Slept())
+		t.Errorf("%v of suspension were counted during this test", Slept())
 	}
 }
 
-// BenchmarkNow is the cost of a reading. time.Now alone took 62 ns on the machine that ran it,
-// the system's clock that counts suspension 147 ns; a reading of this package 69 ns.
+// BenchmarkNow measures Now, which should cost little more than time.Now: 69 ns against 62 ns. The
+// system's clock that includes suspension takes 147 ns.
 func BenchmarkNow(b *testing.B) {
 	for b.Loop() {
 		Now()
 	}
 }
 
-// TestASuspensionIsTold calls back once for each, with its length, and not after the end.
-func TestASuspensionIsTold(t *testing.T) {
+// TestOnWakeIsCalledForEachSuspension checks that a callback is called once for each suspension, with its length,
+// and not after it was unregistered.
+func TestOnWakeIsCalledForEachSuspension(t *testing.T) {
 	m := &machine{}
 	r := m.reader()
 	told := make(chan time.Duration, 10)
 	stop := r.onWake(func(d time.Duration) { told <- d })
 	sleep := func(d time.Duration) {
 		m.slept += d
-		m.steady += lookAfter + 1
+		m.monotonic += refreshInterval + 1
 		r.now()
 	}
 	sleep(3 * time.Second)
 	if d := <-told; d != 3*time.Second {
-		t.Errorf("told of %v, want 3 s", d)
+		t.Errorf("callback with %v, want 3 s", d)
 	}
-	sleep(leastWake / 2) // less than counts, until there is more
+	sleep(minSuspension / 2) // too short to count until there is more
 	if slept := time.Duration(r.slept.Load()); slept != 3*time.Second {
-		t.Errorf("%v were slept by readings that differ a little", slept)
+		t.Errorf("the time of suspension is %v after a small difference between readings, want 3 s", slept)
 	}
 	sleep(time.Minute)
-	if d := <-told; d != time.Minute+leastWake/2 {
-		t.Errorf("told of %v, want a minute and what was left over", d)
+	if d := <-told; d != time.Minute+minSuspension/2 {
+		t.Errorf("callback with %v, want a minute plus the difference not counted before", d)
 	}
 	stop()
 	sleep(time.Hour)
 	if len(told) != 0 {
-		t.Errorf("told of %v after the end", <-told)
+		t.Errorf("callback with %v after it was unregistered", <-told)
 	}
 }
--- a/pkg/clock/reader.go
+++ b/pkg/clock/reader.go
@@ -9,122 +9,124 @@
 )
 
 const (
-	// lookAfter is how long, by the steady clock, the time slept is believed without a look at
-	// the system's clocks. A look takes 0.3 microseconds, two system calls.
-	lookAfter = 20 * time.Millisecond
-	// dayTolerance is by how much the time of day may drift from the steady clock between two
-	// looks: more is a step of the time of day or a suspension, and is looked at at once.
-	// Adjustments of clocks are less than 500 parts in a million, 10 microseconds in lookAfter.
-	dayTolerance = time.Millisecond
+	// refreshInterval is how long, on the monotonic clock, the time of suspension is used before it
+	// is read from the system again. Reading it takes 0.3 microseconds for two system calls.
+	refreshInterval = 20 * time.Millisecond
+	// driftTolerance is how far the time of day may drift from the monotonic clock between two
+	// readings. A larger drift is a step of the time of day or a suspension and causes a reading at
+	// once. Clock adjustments are below 500 parts per million, 10 microseconds per refreshInterval.
+	driftTolerance = time.Millisecond
 )
 
-// reader adds the time slept to a steady clock. Safe for concurrent use.
+// reader is a clock that adds the time of suspension to the monotonic clock. It is safe for
+// concurrent use.
 //
-// A node that wakes is to notice before it does anything else. The time of day goes on during
-// a suspension and is read together with the steady clock, so that it tells at once; the
-// system's own count, which takes system calls, confirms it, and is looked at now and then for
-// a time of day that was set back meanwhile.
+// A node must notice a suspension before it does anything else. The time of day advances during a
+// suspension and is read together with the monotonic clock, so a difference between the two shows
+// it at once. The system's own count takes system calls. It is read to confirm a difference, and
+// at intervals in case the time of day was set back during the suspension.
 type reader struct {
-	steady func() time.Time              // with the time of day
-	count  func() (time.Duration, error) // the time slept since some moment
-
-	start time.Time    // of this process
-	slept atomic.Int64 // since then, nanoseconds
-	seen  atomic.Pointer[look]
-
-	mu      sync.Mutex     // guards looks
-	first   *time.Duration // the first count; nil: none was read yet
-	wakes   map[int]func(time.Duration)
-	woken   int   // of wakes, so that each has a key of its own
-	failure error // of the last look
+	monotonic func() time.Time              // monotonic clock and time of day
+	count     func() (time.Duration, error) // time of suspension since a fixed moment
+
+	start time.Time    // when the reader was created
+	slept atomic.Int64 // nanoseconds of suspension since start
+	last  atomic.Pointer[reading]
+
+	mu              sync.Mutex     // guards the fields below, and writes to slept and last
+	firstCount      *time.Duration // first count read; nil: none yet
+	wakeCallbacks   map[int]func(time.Duration)
+	lastCallbackKey int   // key of the callback that was added last
+	failure         error // error of the last refresh
 }
 
-// look is when the time slept was looked at.
-type look struct {
-	passed time.Duration // since the start by the steady clock
-	day    time.Duration // since the start by the time of day
+// reading records when the time of suspension was last read.
+type reading struct {
+	elapsed     time.Duration // time since the start on the monotonic clock
+	wallElapsed time.Duration // time since the start by the time of day
 }
 
-func newReader(steady func() time.Time, count func() (time.Duration, error)) *reader {
-	r := &reader{steady: steady, count: count, start: steady()}
-	r.look(0, 0)
+func newReader(monotonic func() time.Time, count func() (time.Duration, error)) *reader {
+	r := &reader{monotonic: monotonic, count: count, start: monotonic()}
+	r.refresh(0, 0)
 	return r
 }
 
-// now returns the steady clock's time and the time slept.
+// now returns the monotonic clock's time plus the time of suspension.
 func (r *reader) now() time.Time {
-	t := r.steady()
-	passed := t.Sub(r.start)
-	day := time.Duration(t.UnixNano() - r.start.UnixNano())
-	last := r.seen.Load()
-	if drift := day - passed - (last.day - last.passed); drift > dayTolerance || drift < -dayTolerance || passed-last.passed > lookAfter {
-		r.look(passed, day)
+	t := r.monotonic()
+	elapsed := t.Sub(r.start)
+	wallElapsed := time.Duration(t.UnixNano() - r.start.UnixNano())
+	last := r.last.Load()
+	if drift := wallElapsed - elapsed - (last.wallElapsed - last.elapsed); drift > driftTolerance || drift < -driftTolerance || elapsed-last.elapsed > refreshInterval {
+		r.refresh(elapsed, wallElapsed)
 	}
 	return t.Add(time.Duration(r.slept.Load()))
 }
 
-// look reads how long the machine slept. The time slept never falls: a count that goes back
-// or can't be read leaves what is known.
-func (r *reader) look(passed, day time.Duration) {
+// refresh reads the time of suspension. The known time never decreases: a count that goes back or
+// can't be read has no effect on it.
+func (r *reader) refresh(elapsed, wallElapsed time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var count time.Duration
 	count, r.failure = r.count()
-	if r.failure == nil && (count < 0 || count > mostCount) {
+	if r.failure == nil && (count < 0 || count > maxSlept) {
 		r.failure = errBadCount
 	}
 	switch {
 	case r.failure != nil:
-	case r.first == nil:
-		r.first = &count
+	case r.firstCount == nil:
+		r.firstCount = &count
 	default:
-		r.sleptFor(count - *r.first)
+		r.recordSlept(count - *r.firstCount)
 	}
-	r.seen.Store(&look{passed: passed, day: day})
+	r.last.Store(&reading{elapsed: elapsed, wallElapsed: wallElapsed})
 }
 
-// mostCount is the most that a machine may have been suspended; a count beyond it is a fault.
-const mostCount = 10 * 365 * 24 * time.Hour
+// maxSlept bounds the time of suspension. A larger count is an error.
+const maxSlept = 10 * 365 * 24 * time.Hour
 
-// errBadCount means that the system told of a suspension that can't have been.
-var errBadCount = errors.New("clock: the time slept is below zero or beyond all measure")
+// errBadCount means that the system reported an impossible time of suspension.
+var errBadCount = errors.New("clock: the reported time of suspension is negative or implausibly long")
 
-// leastWake is the least that counts as a suspension. The two readings of a count are some
-// hundred nanoseconds apart, by more and by less each time; what is compared with the time
-// slept before, as connections are, would change with each look.
-const leastWake = 10 * time.Millisecond
+// minSuspension is the shortest time that counts as a suspension. The two clocks behind a count are
+// read some hundred nanoseconds apart, and that gap varies. Without this threshold the time of
+// suspension would change with each reading. Code that compares it with an earlier value, as the
+// pools of connections do, would then detect a suspension each time.
+const minSuspension = 10 * time.Millisecond
 
-// sleptFor takes in the time slept since the start and tells of a suspension. The caller holds
-// mu.
-func (r *reader) sleptFor(total time.Duration) {
+// recordSlept records the time of suspension since the start and calls the callbacks if it grew.
+// The caller holds mu.
+func (r *reader) recordSlept(total time.Duration) {
 	before := time.Duration(r.slept.Load())
-	if total-before < leastWake {
+	if total-before < minSuspension {
 		return
 	}
 	r.slept.Store(int64(total))
-	for _, f := range r.wakes {
+	for _, f := range r.wakeCallbacks {
 		go f(total - before)
 	}
 }
 
-// onWake is OnWake.
+// onWake implements OnWake.
 func (r *reader) onWake(f func(time.Duration)) func() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.wakes == nil {
-		r.wakes = make(map[int]func(time.Duration))
+	if r.wakeCallbacks == nil {
+		r.wakeCallbacks = make(map[int]func(time.Duration))
 	}
-	r.woken++
-	key := r.woken
-	r.wakes[key] = f
+	r.lastCallbackKey++
+	key := r.lastCallbackKey
+	r.wakeCallbacks[key] = f
 	return func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		delete(r.wakes, key)
+		delete(r.wakeCallbacks, key)
 	}
 }
 
-// err returns why the last look failed.
+// err returns the error of the last refresh.
 func (r *reader) err() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/engine/client.go
+++ b/pkg/engine/client.go
@@ -15,40 +15,40 @@
 
 // Bounds of the HTTP client.
 const (
-	DefaultTimeout          = 10 * time.Second // of a call whose context has no deadline
+	DefaultTimeout          = 10 * time.Second // for calls whose context has no deadline
 	DefaultDialTimeout      = time.Second
-	DefaultMaxResponseBytes = 64 << 20 // an exported KV cache is the largest answer
+	DefaultMaxResponseBytes = 64 << 20 // the largest answer is an exported KV cache
 	maxIdleConnection       = 5 * time.Second
 	maxErrorDetailBytes     = 512
 )
 
-// StatusError is an answer of an engine with another status than 200 OK. It is
-// wrapped by ErrUnknownOutcome when the status is 500 or above.
+// StatusError is an answer of an engine with a status other than 200 OK. With a
+// status of 500 or above the error also matches ErrUnknownOutcome.
 type StatusError struct {
 	Code   int
-	Detail string // the beginning of the body
+	Detail string // the first maxErrorDetailBytes of the body
 }
 
-// Error describes the answer.
+// Error implements error.
 func (e *StatusError) Error() string {
 	return fmt.Sprintf("engine: status %d: %s", e.Code, e.Detail)
 }
 
-// HTTPClientConfig configures an HTTPClient. Zero values take the defaults.
+// HTTPClientConfig configures an HTTPClient. Zero values mean the defaults.
 type HTTPClientConfig struct {
 	DialTimeout      time.Duration
 	MaxResponseBytes int
 	Dial             func(address string) (net.Conn, error) // nil: TCP
 }
 
-// HTTPClient is a Client over HTTP and JSON. It never repeats a request.
+// HTTPClient is a Client that speaks JSON over HTTP. It never retries a request.
 type HTTPClient struct {
 	http fasthttp.Client
 }
 
 var _ Client = (*HTTPClient)(nil)
 
-// dialError marks an error from before the connection stood.
+// dialError marks an error that occurred before a connection was established.
 type dialError struct{ cause error }
 
 func (e *dialError) Error() string { return "dial: " + e.cause.Error() }
@@ -90,31 +90,31 @@
 	return false, false
 }
 
-// Order gives an order. The error is ErrUnreachable, ErrUnknownOutcome or a
-// *StatusError below 500, which means that the engine refused it.
+// Order sends an order. The error is ErrUnreachable, ErrUnknownOutcome or a
+// *StatusError below 500, which means that the engine refused the order.
 func (c *HTTPClient) Order(ctx context.Context, address string, order Order) (OrderResult, error) {
 	var result OrderResult
 	err := c.call(ctx, http.MethodPost, address, PathOrders, order, &result)
 	return result, err
 }
 
-// Inventory returns the engine's inventory after its fence is raised to the
-// request's. Errors as of Order.
+// Inventory raises the engine's fence to the request's and returns the engine's
+// inventory. It returns the same errors as Order.
 func (c *HTTPClient) Inventory(ctx context.Context, address string, request InventoryRequest) (Inventory, error) {
 	var inventory Inventory
 	err := c.call(ctx, http.MethodPost, address, PathInventory, request, &inventory)
 	return inventory, err
 }
 
-// Load returns the engine's load report. Errors as of Order.
+// Load returns the engine's load report. It returns the same errors as Order.
 func (c *HTTPClient) Load(ctx context.Context, address string) (LoadReport, error) {
 	var report LoadReport
 	err := c.call(ctx, http.MethodGet, address, PathLoad, nil, &report)
 	return report, err
 }
 
-// CacheEvents returns the events with a sequence greater than after. Errors as
-// of Order.
+// CacheEvents returns the events with a sequence number greater than after. It
+// returns the same errors as Order.
 func (c *HTTPClient) CacheEvents(ctx context.Context, address string, after uint64) (CacheEvents, error) {
 	var events CacheEvents
 	path := PathCacheEvents + "?after=" + strconv.FormatUint(after, 10)
@@ -122,25 +122,26 @@
 	return events, err
 }
 
-// Cancel stops a running request. Errors as of Order.
+// Cancel stops a running request. It returns the same errors as Order.
 func (c *HTTPClient) Cancel(ctx context.Context, address string, request CancelRequest) error {
 	return c.call(ctx, http.MethodPost, address, PathCancel, request, nil)
 }
 
-// ExportKV returns the KV cache of a request. Errors as of Order.
+// ExportKV returns the KV cache of a request. It returns the same errors as Order.
 func (c *HTTPClient) ExportKV(ctx context.Context, address string, request KVExportRequest) (KVExport, error) {
 	var export KVExport
 	err := c.call(ctx, http.MethodPost, address, PathKVExport, request, &export)
 	return export, err
 }
 
-// ImportKV hands an exported KV cache to the engine. Errors as of Order.
+// ImportKV transfers an exported KV cache to the engine. It returns the same
+// errors as Order.
 func (c *HTTPClient) ImportKV(ctx context.Context, address string, export KVExport) error {
 	return c.call(ctx, http.MethodPost, address, PathKVImport, export, nil)
 }
 
-// call sends one request and decodes the answer into answer unless it is nil.
-// It returns when ctx ends, also if the exchange is still under way.
+// call sends one request and decodes the response into answer unless answer is
+// nil. It returns when ctx ends, even if the exchange is still in progress.
 func (c *HTTPClient) call(ctx context.Context, method, address, path string, body, answer any) error {
 	if err := ctx.Err(); err != nil {
 		return errors.Wrap(ErrUnreachable, err.Error())
@@ -156,8 +157,8 @@
 	if !ok {
 		deadline = time.Now().Add(DefaultTimeout)
 	}
-	// The request and response are not pooled: after an early return the
-	// exchange still uses them.
+	// The request and response are not pooled because the exchange still uses
+	// them after an early return.
 	response := &fasthttp.Response{}
 	done := make(chan error, 1)
 	go func() { done <- c.http.DoDeadline(request, response, deadline) }()
@@ -188,7 +189,8 @@
 	return request, nil
 }
 
-// classify tells whether a failed exchange surely did not send its request.
+// classify returns ErrUnreachable if the failed exchange certainly sent nothing,
+// else ErrUnknownOutcome.
 func classify(err error) error {
 	var dial *dialError
 	if errors.As(err, &dial) || errors.Is(err, fasthttp.ErrNoFreeConns) {
@@ -215,12 +217,12 @@
 	return nil
 }
 
-// unknownOutcomeError is ErrUnknownOutcome with the answer that caused it.
+// unknownOutcomeError combines ErrUnknownOutcome with the answer that caused it.
 type unknownOutcomeError struct{ cause *StatusError }
 
 func (e *unknownOutcomeError) Error() string {
 	return ErrUnknownOutcome.Error() + ": " + e.cause.Error()
 }
 
-// Unwrap returns both, for errors.Is and errors.As.
+// Unwrap returns both errors for errors.Is and errors.As.
 func (e *unknownOutcomeError) Unwrap() []error { return []error{ErrUnknownOutcome, e.cause} }
--- a/pkg/engine/client_test.go
+++ b/pkg/engine/client_test.go
@@ -18,7 +18,8 @@
 	"martenwheel.dev/pkg/engine"
 )
 
-// rawServer answers each request on a connection by what answer writes.
+// rawServer answers each HTTP request with the bytes that a function writes to
+// the connection.
 type rawServer struct {
 	address  string
 	requests atomic.Int32
@@ -131,18 +132,18 @@
 	listener.Close() // refuses connections from here on
 	client := engine.NewHTTPClient(engine.HTTPClientConfig{})
 	if _, err := client.Order(t.Context(), address, testOrder()); !errors.Is(err, engine.ErrUnreachable) {
-		t.Errorf("refused connection: %v", err)
+		t.Errorf("refused connection: error %v, want ErrUnreachable", err)
 	}
 	for _, wrong := range []string{"", "127.0.0.1", "127.0.0.1:1:2"} {
 		if _, err := client.Order(t.Context(), wrong, testOrder()); !errors.Is(err, engine.ErrUnreachable) {
-			t.Errorf("address %q: %v", wrong, err)
+			t.Errorf("address %q: error %v, want ErrUnreachable", wrong, err)
 		}
 	}
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
 	server := newRawServer(t, writeAnswer("200 OK", accepted))
 	if _, err := client.Order(ended, server.address, testOrder()); !errors.Is(err, engine.ErrUnreachable) {
-		t.Errorf("ended context: %v", err)
+		t.Errorf("ended context: error %v, want ErrUnreachable", err)
 	}
 	if server.requests.Load() != 0 {
 		t.Error("a request was sent after the context ended")
@@ -170,7 +171,7 @@
 		t.Errorf("error %v", err)
 	}
 	if count := server.requests.Load(); count > 2 || err != nil && count > 1 {
-		t.Errorf("%d requests arrived, error %v", count, err)
+		t.Errorf("%d requests arrived, error %v: a request was repeated", count, err)
 	}
 }
 
@@ -202,16 +203,16 @@
 	text := strings.Repeat("abcd", 5)
 	hashes := engine.PrefixHashes(text, 8)
 	if len(hashes) != 2 {
-		t.Fatalf("%d hashes of 20 bytes in blocks of 8", len(hashes))
+		t.Fatalf("%d hashes of 20 bytes in blocks of 8, want 2", len(hashes))
 	}
 	if longer := engine.PrefixHashes(text+"abcd", 8); len(longer) != 3 || longer[0] != hashes[0] || longer[1] != hashes[1] {
-		t.Errorf("hashes %v do not begin with %v", longer, hashes)
+		t.Errorf("hashes %v of the longer text do not begin with %v", longer, hashes)
 	}
 	if other := engine.PrefixHashes("x"+text[1:], 8); other[0] == hashes[0] || other[1] == hashes[1] {
 		t.Error("texts that differ in the first block share a hash")
 	}
 	if none := engine.PrefixHashes(text, 0); none != nil {
-		t.Errorf("hashes %v of no blocks", none)
+		t.Errorf("hashes %v with a block size of 0, want none", none)
 	}
 }
 
@@ -231,7 +232,7 @@
 	}
 	for _, broken := range []string{`{}`, `"x"`, `[1]`, `[`, ``} {
 		if got, ok := engine.ParseChat([]byte(broken)); ok {
-			t.Errorf("%s: %q", broken, got)
+			t.Errorf("%s: parsed as %q, want a failure", broken, got)
 		}
 	}
 }
--- a/pkg/engine/prefix.go
+++ b/pkg/engine/prefix.go
@@ -9,10 +9,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// PrefixBlockBytes is the length of the blocks in which engines cache prompts.
+// PrefixBlockBytes is the size of the blocks in which engines cache prompts.
 const PrefixBlockBytes = 256
 
-// Headers of an engine's refusal.
+// Headers of a response in which an engine refuses a request.
 const (
 	// HeaderLeaving is "true" when the engine takes no new work.
 	HeaderLeaving = "X-Engine-Leaving"
@@ -20,18 +20,18 @@
 	HeaderNotRun = "X-Engine-Not-Run"
 )
 
-// ChatMessage is one message of a chat completion request, as far as its text
-// counts.
+// ChatMessage is one message of a chat completion request, reduced to the parts
+// that belong to its text.
 type ChatMessage struct {
 	Role    string   `json:"role"`
 	Content ChatText `json:"content"`
 }
 
-// ChatText is the text of a message: one text, or parts of which some are
-// texts. Content of another form has no text.
+// ChatText is the text of a message. The content is a string, or a list of
+// parts of which some are text. Content of any other form has an empty text.
 type ChatText string
 
-// UnmarshalJSON reads the text of valid JSON.
+// UnmarshalJSON implements json.Unmarshaler. The value must be valid JSON.
 func (t *ChatText) UnmarshalJSON(value []byte) error {
 	if isPlainText(value) {
 		*t = ChatText(value[1 : len(value)-1])
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// ChatPrompt returns the text whose prefixes an engine caches for a chat.
+// ChatPrompt returns the prompt text of a chat, whose prefixes an engine caches.
 func ChatPrompt(messages []ChatMessage) string {
 	length := 0
 	for _, message := range messages {
@@ -58,8 +58,8 @@
 	return prompt.String()
 }
 
-// ParseChat returns ChatPrompt of the JSON array of a chat's messages, and
-// false if it is none.
+// ParseChat parses the JSON array of a chat's messages and returns its
+// ChatPrompt. It returns false if messages is not such an array.
 func ParseChat(messages []byte) (prompt string, ok bool) {
 	var parsed []ChatMessage
 	if json.Unmarshal(messages, &parsed) != nil {
@@ -68,13 +68,12 @@
 	return ChatPrompt(parsed), true
 }
 
-// isPlainText tells whether a valid JSON value is a string that stands for
-// itself, without escapes.
+// isPlainText reports whether a valid JSON value is a string without escapes.
 func isPlainText(value []byte) bool {
 	return value[0] == '"' && bytes.IndexByte(value, '\\') < 0 && utf8.Valid(value)
 }
 
-// decodedText returns the text of a string with escapes or of parts.
+// decodedText returns the text of a JSON string, or of a list of text parts.
 func decodedText(value []byte) string {
 	var text string
 	if json.Unmarshal(value, &text) == nil {
@@ -92,9 +91,8 @@
 	return text
 }
 
-// PrefixHashes returns the hashes of the prefixes of text that are whole
-// blocks of blockBytes long, shortest first. A rest shorter than a block has
-// no hash.
+// PrefixHashes returns the hashes of all prefixes of text that consist of whole
+// blocks of blockBytes, shortest first. A partial block at the end has no hash.
 func PrefixHashes(text string, blockBytes int) []uint64 {
 	if blockBytes <= 0 {
 		return nil
--- a/pkg/engine/types.go
+++ b/pkg/engine/types.go
@@ -1,6 +1,6 @@
-// Package engine is the client side of the model engines: fenced orders,
-// inventories, load reports and cache events. Requests of callers go to the
-// engine's OpenAI-style API on the same address (see package gateway).
+// Package engine is a client of the model engines. It sends fenced orders and
+// reads inventories, load reports and cache events. Requests of callers go to
+// the engine's OpenAI-style API on the same address (see package gateway).
 package engine
 
 import (
@@ -27,19 +27,20 @@
 const (
 	HeaderRequestID  = "X-Request-Id"
 	HeaderPriority   = "X-Priority"    // integer, larger is more urgent
-	HeaderDeadline   = "X-Deadline"    // RFC 3339 with fractions; not started after it
+	HeaderDeadline   = "X-Deadline"    // RFC 3339 with fractions; the request is not started after it
 	HeaderResumeFrom = "X-Resume-From" // number of events received so far
 )
 
 // Errors that a Client returns, possibly wrapped.
 var (
-	// ErrUnreachable means that the order was not sent.
+	// ErrUnreachable means that the request was not sent.
 	ErrUnreachable = errors.New("engine: unreachable")
-	// ErrUnknownOutcome means that the order was sent but not answered.
+	// ErrUnknownOutcome means that the request was sent but not answered, so that
+	// it may or may not have taken effect.
 	ErrUnknownOutcome = errors.New("engine: outcome unknown")
 )
 
-// OrderKind is what an order asks of an engine.
+// OrderKind is the action that an order requests.
 type OrderKind string
 
 // The kinds of orders.
@@ -51,12 +52,12 @@
 	OrderSetRole       OrderKind = "set_role"
 )
 
-// Order is a fenced order. It returns when it is accepted or refused; the
-// progress of a load shows in the inventory.
+// Order is a fenced order. The engine answers as soon as it has accepted or
+// refused the order; the progress of a load is reported in the inventory.
 type Order struct {
 	ID          string        `json:"id"`
 	Fence       api.Fence     `json:"fence"`
-	Instance    string        `json:"instance,omitempty"` // of the engine that it is for; empty: any
+	Instance    string        `json:"instance,omitempty"` // instance of the engine that the order is for; empty: any
 	Kind        OrderKind     `json:"kind"`
 	Model       api.ModelName `json:"model"`
 	Base        api.ModelName `json:"base,omitempty"`
@@ -64,23 +65,23 @@
 	Checkpoint  string        `json:"checkpoint,omitempty"`
 	MemoryBytes uint64        `json:"memory_bytes,omitempty"`
 	Role        string        `json:"role,omitempty"`
-	Urgent      bool          `json:"urgent,omitempty"` // fetch before loads that are not
+	Urgent      bool          `json:"urgent,omitempty"` // fetch before loads that are not urgent
 }
 
-// OrderStatus is the engine's verdict on an order.
+// OrderStatus is the engine's answer to an order.
 type OrderStatus string
 
-// The verdicts. Only OrderAccepted has an effect.
+// The statuses of an order. Only accepted orders have an effect.
 const (
 	OrderAccepted     OrderStatus = "accepted"
-	OrderStaleFence   OrderStatus = "stale_fence"   // a higher fence was seen
-	OrderNoMemory     OrderStatus = "no_memory"     // would overcommit the memory
+	OrderStaleFence   OrderStatus = "stale_fence"   // the engine has seen the same or a higher fence
+	OrderNoMemory     OrderStatus = "no_memory"     // the load would overcommit the memory
 	OrderUnknownModel OrderStatus = "unknown_model" // nothing to unload, or no base for the adapter
 	OrderLeaving      OrderStatus = "leaving"       // the engine takes no new work
 	OrderInvalid      OrderStatus = "invalid"
-	// OrderWrongInstance means that the order is for an earlier life of the
-	// engine. A restarted engine has seen no fence, so this alone keeps an
-	// order that was under way during the restart from taking effect.
+	// OrderWrongInstance means that the order is for an earlier incarnation of
+	// the engine. A restarted engine has seen no fence, so only this check keeps
+	// an order that was in transit during the restart from taking effect.
 	OrderWrongInstance OrderStatus = "wrong_instance"
 )
 
@@ -92,8 +93,9 @@
 	Detail   string      `json:"detail,omitempty"`
 }
 
-// InventoryRequest asks for the inventory. A Fence above zero is first raised
-// to, so that no order with a lower fence takes effect after the answer.
+// InventoryRequest asks for the inventory. The engine first raises its fence to
+// Fence, so that no order with a lower fence takes effect after the answer. A
+// Fence of zero raises nothing.
 type InventoryRequest struct {
 	Fence api.Fence `json:"fence"`
 }
@@ -117,32 +119,34 @@
 	MemoryBytes uint64        `json:"memory_bytes"`
 	OrderID     string        `json:"order_id"`
 	Fence       api.Fence     `json:"fence"`
-	Progress    float64       `json:"progress"` // of a load, 0 to 1
+	Progress    float64       `json:"progress"` // progress of a load, from 0 to 1
 }
 
-// CacheTier says where a checkpoint is cached on a server.
+// CacheTier is the place where a checkpoint is cached on a server.
 type CacheTier string
 
-// The tiers, from fast to slow; what is in none is in the weight store only.
+// The tiers, from fast to slow. A checkpoint in neither of them must come from
+// the weight store.
 const (
 	TierMemory CacheTier = "memory"
 	TierDisk   CacheTier = "disk"
 )
 
-// CachedCheckpoint is a checkpoint near an engine.
+// CachedCheckpoint is a checkpoint that is cached on the engine's server.
 type CachedCheckpoint struct {
 	Checkpoint string    `json:"checkpoint"`
 	Tier       CacheTier `json:"tier"`
 }
 
-// Inventory is the engine's own state. Instance changes when the engine
-// restarts; a restarted engine holds nothing and has seen no fence.
+// Inventory is the state that an engine reports about itself. Instance changes
+// when the engine restarts. A restarted engine holds no models and has seen no
+// fence.
 type Inventory struct {
 	Instance      string             `json:"instance"`
 	Fence         api.Fence          `json:"fence"`
 	CapacityBytes uint64             `json:"capacity_bytes"`
 	UsedBytes     uint64             `json:"used_bytes"` // weights, adapters and KV cache
-	KVBytes       uint64             `json:"kv_bytes"`   // of UsedBytes; shrinks when room is needed
+	KVBytes       uint64             `json:"kv_bytes"`   // part of UsedBytes; shrinks when memory is needed
 	Leaving       bool               `json:"leaving"`
 	Role          string             `json:"role"`
 	Items         []Item             `json:"items"`
@@ -157,7 +161,7 @@
 	TokensPerSecond float64       `json:"tokens_per_second"`
 }
 
-// LoadReport is the engine's load at AsOf, which lags behind.
+// LoadReport is the engine's load at AsOf, which lies somewhat in the past.
 type LoadReport struct {
 	Instance string      `json:"instance"`
 	AsOf     time.Time   `json:"as_of"`
@@ -165,7 +169,7 @@
 	Models   []ModelLoad `json:"models"`
 }
 
-// CacheEvent tells that a prompt prefix entered or left the prefix cache.
+// CacheEvent reports that a prompt prefix entered or left the prefix cache.
 // Prefix is the hash of the prompt's leading blocks (see PrefixHashes).
 type CacheEvent struct {
 	Sequence uint64        `json:"sequence"`
@@ -174,9 +178,9 @@
 	Stored   bool          `json:"stored"`
 }
 
-// CacheEvents is a page of events. Sequences may have gaps; events before
-// Oldest are gone. A reader that missed some asks for nothing again and lets
-// its knowledge age.
+// CacheEvents is a page of events. Sequence numbers may have gaps, and events
+// before Oldest are no longer available. A reader that missed some can't ask for
+// them again; it lets its entries expire.
 type CacheEvents struct {
 	Instance string       `json:"instance"`
 	Oldest   uint64       `json:"oldest"`
@@ -191,7 +195,7 @@
 // KVExportRequest asks for the KV cache of a running or finished request.
 type KVExportRequest struct {
 	RequestID string `json:"request_id"`
-	Cancel    bool   `json:"cancel"` // stop the request after the export
+	Cancel    bool   `json:"cancel"` // also stop the request
 }
 
 // KVExport is an exported KV cache, opaque to martenwheel.
@@ -202,8 +206,8 @@
 	Data      []byte        `json:"data"`
 }
 
-// Client gives orders to engines by their address. Safe for concurrent use.
-// No method repeats a request.
+// Client sends requests to the engines at the given addresses. It is safe for
+// concurrent use. No method retries a request.
 type Client interface {
 	Order(ctx context.Context, address string, order Order) (OrderResult, error)
 	Inventory(ctx context.Context, address string, request InventoryRequest) (Inventory, error)
--- a/pkg/findings/findings.go
+++ b/pkg/findings/findings.go
@@ -1,5 +1,5 @@
-// Package findings collects faults together with the place where each was
-// found, so that a user sees all of them at once.
+// Package findings collects errors together with the place of each, so that a
+// user sees all of them at once.
 package findings
 
 import (
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Finding is one fault and its place, such as "settings.yaml:12 listen.callers".
+// Finding is an error and its place, such as "settings.yaml:12 listen.callers".
 type Finding struct {
 	Place   string `json:"place"`
 	Message string `json:"message"`
@@ -19,7 +19,7 @@
 }
 
 // List collects findings. The zero value is ready to use. It is not safe for
-// use by several goroutines at once.
+// concurrent use.
 type List struct {
 	found []Finding
 }
@@ -29,8 +29,8 @@
 	l.found = append(l.found, Finding{Place: place, Message: fmt.Sprintf(format, arguments...)})
 }
 
-// Merge takes over the findings that err carries. An error of another kind is
-// recorded as one finding at place; nil adds nothing.
+// Merge adds the findings of err if it is an *Error. Any other error is added as
+// one finding at place; nil adds nothing.
 func (l *List) Merge(place string, err error) {
 	if err == nil {
 		return
@@ -47,7 +47,7 @@
 	return len(l.found)
 }
 
-// Err returns nil when nothing was found, or an *Error with a copy of all
+// Err returns nil if there are no findings, else an *Error with a copy of all
 // findings in the order in which they were added.
 func (l *List) Err() error {
 	if len(l.found) == 0 {
@@ -56,12 +56,12 @@
 	return &Error{Findings: append([]Finding(nil), l.found...)}
 }
 
-// Error reports one or more findings.
+// Error is an error with one or more findings.
 type Error struct {
 	Findings []Finding `json:"findings"`
 }
 
-// Error lists the findings, one a line.
+// Error lists the findings, one per line.
 func (e *Error) Error() string {
 	lines := make([]string, len(e.Findings))
 	for i, finding := range e.Findings {
--- a/pkg/findings/findingstest/findingstest.go
+++ b/pkg/findings/findingstest/findingstest.go
@@ -1,4 +1,4 @@
-// Package findingstest checks findings in tests.
+// Package findingstest provides checks of findings for tests.
 package findingstest
 
 import (
@@ -9,8 +9,8 @@
 	"martenwheel.dev/pkg/findings"
 )
 
-// Want checks that err carries exactly the wanted findings in their order, each
-// given by how it begins.
+// Want checks that err contains exactly the wanted findings in the given order.
+// Each is given by its prefix.
 func Want(t testing.TB, err error, want ...string) {
 	t.Helper()
 	var reported *findings.Error
--- a/pkg/indexedheap/heap.go
+++ b/pkg/indexedheap/heap.go
@@ -1,16 +1,16 @@
-// Package indexedheap is a heap whose entries know their positions, so that any
-// of them can be moved or removed.
+// Package indexedheap provides a heap whose entries know their positions, so that
+// any of them can be moved or removed.
 package indexedheap
 
-// NoPosition is the position of an entry that is in no heap.
+// NoPosition is the position of an entry that is not in a heap.
 const NoPosition = -1
 
-// Entry is what a Heap holds.
+// Entry is the interface of the entries of a Heap.
 type Entry[E any] interface {
-	// Before tells whether the entry comes out before other.
+	// Before reports whether the entry is popped before other.
 	Before(other E) bool
-	// SetPosition notes the entry's position for heap.Fix and heap.Remove, or
-	// NoPosition when it leaves the heap.
+	// SetPosition stores the entry's position for heap.Fix and heap.Remove. It
+	// is called with NoPosition when the entry leaves the heap.
 	SetPosition(position int)
 }
 
--- a/pkg/migration/handover.go
+++ b/pkg/migration/handover.go
@@ -1,124 +1,125 @@
 package migration
 
-// Step is what is done next with a stream that its server, the source, broke off.
+// Step is the next action for a stream whose server, the source, broke it off.
 type Step uint8
 
-// Steps. After Anew, GiveUp and Over the handover has ended.
+// The steps. RunAgain, GiveUp and Completed end the handover.
 const (
-	GoOnThere Step = iota // send the request to the target, which goes on from its copy
-	GoBack                // send the request to the source, which stopped and keeps the run's memory
-	Stop                  // have the source stop the run, if it still works on it, and copy the rest
-	Anew                  // run it again elsewhere, from the last event
-	GiveUp                // end the answer as broken
-	Over                  // it was served
+	ResumeAtTarget Step = iota // send the request to the target, which continues from its copy
+	ResumeAtSource             // send the request to the source, which stopped and still holds the run's memory
+	Stop                       // ask the source to stop the run, if it still executes it, and to copy the rest
+	RunAgain                   // run the request again on another server and continue after the last event sent
+	GiveUp                     // end the caller's answer as incomplete
+	Completed                  // the stream was served to its end
 )
 
-// Outcome is what became of a step.
+// Outcome is the result of a step.
 type Outcome uint8
 
-// Outcomes.
+// The outcomes.
 const (
-	Done     Outcome = iota // of Stop: the source stopped and copied the rest; else: the stream came to its end
-	Kept                    // of Stop: the source stopped and keeps the run's memory, but could not copy the rest
-	NoRun                   // of Stop: the source does not run it (any more)
-	Refused                 // surely nothing was done
-	NotSent                 // no byte left: the server can't be reached
-	NoAnswer                // it may have been done, or may be done later
-	Broke                   // events came, then the stream broke
+	Done        Outcome = iota // Stop: the source stopped and copied the rest; other steps: the stream was served to its end
+	Kept                       // Stop: the source stopped and holds the run's memory, but could not copy the rest
+	NoRun                      // Stop: the source does not run the request, or no longer does
+	Refused                    // the server refused and did nothing
+	NotSent                    // nothing was sent: the server can't be reached
+	NoAnswer                   // outcome unknown: the server may have acted or may still act
+	StreamBroke                // the stream broke after some events
 )
 
-// Handover is a stream on its way from its source to a target. A run that goes on from a copy
-// is the same run: a copy serves once, at either end, and servers refuse it otherwise without
-// running the request. What must not happen is that the source works on while the target goes on,
-// or that a request that may run once is sent without a copy. Set the exported fields; the zero
-// value has nothing but the request itself.
+// Handover is the state machine that moves a stream from its source to a target. Continuing from
+// a copy counts as the same run: a copy can be used once, at either end, and servers refuse a
+// second use without running the request. Two things must never happen: the source executes the
+// run while the target continues it, or a request that may run only once is sent without a copy.
+// Set the exported fields before the first call. In the zero value there is no copy, and the request
+// may not run again.
 type Handover struct {
-	Copied  bool // the target has a copy, whole or in part
-	Kept    bool // the source keeps the run's memory under the copy's handle
-	Stopped bool // the source surely works on it no more
-	MayStop bool // the source can be asked to stop
-	MayBack bool // the source may still be sent requests
-	MayAnew bool // the request may run again
+	Copied      bool // the target has a complete or partial copy
+	Kept        bool // the source holds the run's memory under the copy's handle
+	Stopped     bool // the source is known to have stopped the run
+	MayStop     bool // the source can be asked to stop
+	MayReturn   bool // the source still accepts requests
+	MayRunAgain bool // the request may run more than once
 
-	used     bool // the copy is used up
-	served   bool // to its end
-	stops    int  // calls to stop that were made
-	wentBack bool // the source was sent the request again
-	tried    bool // the target was sent the request
+	used        bool // the copy was used
+	served      bool // the stream was served to its end
+	stopCalls   int  // number of Stop calls made
+	triedSource bool // the request was sent to the source again
+	triedTarget bool // the request was sent to the target
 }
 
-// maxStops bounds the calls that a source does not answer: two while the stream flows, one after it
-// broke.
-const maxStops = 3
+// maxStopCalls bounds the Stop calls to a source that does not answer: two while the stream is
+// running, one after it broke.
+const maxStopCalls = 3
 
-// Next returns the next step. Its outcome is to be told before the next call.
+// Next returns the next step. Call RecordOutcome with its outcome before the next call.
 func (h *Handover) Next() Step {
 	switch {
 	case h.served:
-		return Over
+		return Completed
 	case h.used || !h.Copied && !h.Kept:
-		return h.last()
-	case !h.Stopped && h.MayStop && h.stops < maxStops:
+		return h.fallback()
+	case !h.Stopped && h.MayStop && h.stopCalls < maxStopCalls:
 		return Stop
-	case !h.Stopped: // it may work on: whatever goes on elsewhere would run beside it
-		return h.last()
-	case h.Copied && !h.tried:
-		return GoOnThere
-	case h.Kept && h.MayBack && !h.wentBack:
-		return GoBack
+	case !h.Stopped: // the source may still execute the run, so the copy must not be used
+		return h.fallback()
+	case h.Copied && !h.triedTarget:
+		return ResumeAtTarget
+	case h.Kept && h.MayReturn && !h.triedSource:
+		return ResumeAtSource
 	}
-	return h.last()
+	return h.fallback()
 }
 
-// last is the step when no copy helps.
-func (h *Handover) last() Step {
-	if h.MayAnew {
-		return Anew
+// fallback returns the step to take when no copy can be used.
+func (h *Handover) fallback() Step {
+	if h.MayRunAgain {
+		return RunAgain
 	}
 	return GiveUp
 }
 
-// Told notes what became of a step.
-func (h *Handover) Told(s Step, o Outcome) {
+// RecordOutcome records the outcome of a step.
+func (h *Handover) RecordOutcome(s Step, o Outcome) {
 	switch s {
 	case Stop:
-		h.toldStop(o)
-	case GoOnThere:
-		h.tried = true
-		h.toldRun(o)
-	case GoBack:
-		h.wentBack = true
-		h.toldRun(o)
+		h.recordStop(o)
+	case ResumeAtTarget:
+		h.triedTarget = true
+		h.recordResume(o)
+	case ResumeAtSource:
+		h.triedSource = true
+		h.recordResume(o)
 	}
 }
 
-// toldStop notes what became of a call to stop.
-func (h *Handover) toldStop(o Outcome) {
-	h.stops++
+// recordStop records the outcome of a Stop call.
+func (h *Handover) recordStop(o Outcome) {
+	h.stopCalls++
 	switch o {
 	case Done:
 		h.Stopped, h.Copied, h.Kept = true, true, true
 	case Kept:
 		h.Stopped, h.Kept = true, true
-	case NoRun, NotSent: // it broke off and has stopped, or can't be reached by anybody here
+	case NoRun, NotSent: // the run ended, or the source can't be reached from here at all
 		h.Stopped = true
 	}
 }
 
-// toldRun notes what became of a request that was to go on from the copy.
-func (h *Handover) toldRun(o Outcome) {
+// recordResume records the outcome of a request that was to continue from the copy.
+func (h *Handover) recordResume(o Outcome) {
 	switch o {
 	case Done:
 		h.served, h.used = true, true
-	case Broke:
+	case StreamBroke:
 		h.used = true
 	}
 }
 
-// Unused tells whether the copy may still take up memory though nobody uses it.
-func (h *Handover) Unused() bool { return (h.Copied || h.Kept) && !h.used }
+// HasUnusedCopy reports whether a copy that was never used may still occupy memory.
+func (h *Handover) HasUnusedCopy() bool { return (h.Copied || h.Kept) && !h.used }
 
-// String names the outcome of a step in logs.
+// String returns the name of the outcome for logs.
 func (o Outcome) String() string {
 	names := [...]string{"done", "kept at the source", "no run", "refused", "not sent", "no answer", "broke off"}
 	if int(o) < len(names) {
@@ -127,7 +128,7 @@
 	return "unknown"
 }
 
-// String names the step in logs.
+// String returns the name of the step for logs.
 func (s Step) String() string {
 	names := [...]string{"go on there", "go back", "stop", "run anew", "give up", "over"}
 	if int(s) < len(names) {
--- a/pkg/migration/plan.go
+++ b/pkg/migration/plan.go
@@ -1,7 +1,7 @@
-// Package migration decides about running streams whose server leaves or may be lost: which of
-// them move, in which order, when and where to (plan.go); what to do once the server broke one
-// off, so that no request runs twice and no event is lost (handover.go); and which are worth a
-// copy at another server beforehand (insurance.go). It knows no network.
+// Package migration decides what to do with running streams whose server is leaving or may crash:
+// which of them move, in which order, when and where (plan.go); how to continue a stream that the
+// server broke off, so that no request runs twice and no event is lost (handover.go); and which
+// streams to copy to another server in advance (backup.go). It does no network I/O.
 package migration
 
 import (
@@ -10,47 +10,48 @@
 	"time"
 )
 
-// Stream is a stream that runs at a server, as the node that carries it knows it.
+// Stream is a stream running at a server, as seen by the node that relays it.
 type Stream struct {
-	ID     string
-	Rank   int           // 0 is the most urgent
-	Tokens int           // of its prompt and of its answer so far, which the server has in memory
-	Events int           // that came so far
-	Rest   time.Duration // until its end, at most; Endless: not known
-	Anew   bool          // it may be run anew elsewhere: only the reading is lost, not the answer
+	ID          string
+	Rank        int           // 0 is the most urgent
+	Tokens      int           // tokens of the prompt and of the answer so far, which the server holds in memory
+	Events      int           // events received so far
+	Remaining   time.Duration // longest time until the stream ends; UnknownRemaining if not known
+	Restartable bool          // may run again elsewhere: a crash loses only the prefill, not the answer
 }
 
-// Endless is the rest of a stream that tells no bound of its answer.
-const Endless = time.Duration(1<<63 - 1)
+// UnknownRemaining is the remaining time of a stream whose answer has no known bound.
+const UnknownRemaining = time.Duration(1<<63 - 1)
 
-// Rest returns how long a stream still takes at its pace so far: took is the time from its first
-// event to its last one, events how many came, eventTokens how many tokens each has, and most how
-// many the answer has at most. It is Endless if most is not told or the pace not known yet.
-func Rest(took time.Duration, events, eventTokens, most int) time.Duration {
-	if most <= 0 || events < leastPaced || eventTokens <= 0 {
-		return Endless
+// RemainingTime estimates how long a stream still takes at its speed so far. took is the time from
+// its first event to its last one, events the number of events, eventTokens the tokens per event
+// and maxTokens the largest number of tokens of the answer. The result is UnknownRemaining if
+// maxTokens is not given or there are too few events to tell the speed.
+func RemainingTime(took time.Duration, events, eventTokens, maxTokens int) time.Duration {
+	if maxTokens <= 0 || events < minEventsForRate || eventTokens <= 0 {
+		return UnknownRemaining
 	}
-	left := (most+eventTokens-1)/eventTokens - events
-	return time.Duration(float64(took) / float64(events-1) * float64(max(left, 0)) * restCaution)
+	left := (maxTokens+eventTokens-1)/eventTokens - events
+	return time.Duration(float64(took) / float64(events-1) * float64(max(left, 0)) * remainingMargin)
 }
 
 const (
-	leastPaced  = 3   // events from which on a pace is known
-	restCaution = 1.5 // a server that leaves runs slower while it copies, and its link is shared
+	minEventsForRate = 3   // events needed to estimate the speed
+	remainingMargin  = 1.5 // safety factor: a leaving server runs slower while it copies, and its link is shared
 )
 
-// Link is what copies go over.
+// Link describes the connection over which a server sends copies.
 type Link struct {
-	BytesPerToken float64 // of a run's memory; zero: not told
-	BytesPerS     float64 // zero: not told
+	BytesPerToken float64 // memory of a run per token; zero: unknown
+	BytesPerS     float64 // zero: unknown
 }
 
-// copySetup is what a copy takes besides sending its bytes: the call, its answer and the set-up at
-// both ends, some milliseconds each.
+// copySetup is the fixed time of a copy besides sending its bytes: the call, its answer and the
+// set-up at both ends, some milliseconds each.
 const copySetup = 25 * time.Millisecond
 
-// CopyTime returns how long a copy of so many tokens takes on a link that is free; if the link is
-// not told, what a copy takes besides its bytes.
+// CopyTime returns how long copying that many tokens takes on an idle link. For an unknown link
+// it returns copySetup.
 func (l Link) CopyTime(tokens int) time.Duration {
 	if l.BytesPerS <= 0 || l.BytesPerToken <= 0 {
 		return copySetup
@@ -58,27 +59,28 @@
 	return copySetup + time.Duration(float64(tokens)*l.BytesPerToken/l.BytesPerS*float64(time.Second))
 }
 
-// Leave is a server that leaves.
-type Leave struct {
-	In      time.Duration // until it may be gone
-	Running int           // a bound of the requests that all nodes have there
-	Link    Link
+// Departure describes a server that is leaving.
+type Departure struct {
+	TimeLeft time.Duration // time until the server may be gone
+	Running  int           // upper bound of the requests of all nodes at the server
+	Link     Link
 }
 
-// reserve is how long before a server is gone the last move is to be through, for what may go
-// wrong: a target that does not answer, then the way back or another target. Callers leave after
-// two seconds without an event, and count an answer late after a pause of a few tenths.
-const reserve = 1500 * time.Millisecond
+// moveReserve is how long before the server is gone the last move must be complete. It leaves time
+// for a target that does not answer and then a return to the source or another target. Callers
+// disconnect after two seconds without an event, and consider an answer late after a pause of a
+// few tenths of a second.
+const moveReserve = 1500 * time.Millisecond
 
-// Plan answers the load of a server that leaves with streams that would not end in time. It
-// returns those, the greatest loss first, and in how long the first is to move: as late as all of
-// them surely get through, since what ends before then need not be copied. Other nodes' streams
-// move over the same link: it reckons with as many as the server may run, each as large as the
+// Plan returns the streams of a leaving server that would not end in time, the greatest loss
+// first, and the delay until the first of them must move. The delay is as long as it can be for
+// all of them to complete, because a stream that ends earlier need not be copied. Streams of other
+// nodes move over the same link: Plan assumes as many as the server may run, each as large as the
 // mean of the known ones.
-func Plan(l Leave, streams []Stream) (moves []Stream, begin time.Duration) {
+func Plan(l Departure, streams []Stream) (moves []Stream, begin time.Duration) {
 	var copies time.Duration
 	for _, s := range streams {
-		if s.Rest+l.Link.CopyTime(s.Tokens) > l.In-settle || s.Rest == Endless {
+		if s.Remaining+l.Link.CopyTime(s.Tokens) > l.TimeLeft-stayMargin || s.Remaining == UnknownRemaining {
 			moves = append(moves, s)
 			copies += l.Link.CopyTime(s.Tokens)
 		}
@@ -90,20 +92,20 @@
 	if others := l.Running - len(streams); others > 0 {
 		copies += copies / time.Duration(len(moves)) * time.Duration(others)
 	}
-	return moves, max(l.In-reserve-copies, 0)
+	return moves, max(l.TimeLeft-moveReserve-copies, 0)
 }
 
-// settle is how long before a server is gone a stream must end to stay there: when a node learns
-// of the time at which it is gone, that word is some tenths of a second old.
-const settle = 300 * time.Millisecond
+// stayMargin is how long before the server is gone a stream must end for it to stay there. The
+// announcement of that time is some tenths of a second old when a node receives it.
+const stayMargin = 300 * time.Millisecond
 
-// compareLoss orders streams by what is lost without a move, the greatest loss first: the more
-// urgent; of these the ones that can't be run anew; then what was read and made so far, which is what
-// the server spent on them.
+// compareLoss orders streams by what is lost if they do not move, the greatest loss first: the
+// more urgent; among these the ones that can't run again; then by the tokens prefilled and
+// generated so far, which is the work the server spent on them.
 func compareLoss(a, b Stream) int {
 	return cmp.Or(
 		cmp.Compare(a.Rank, b.Rank),
-		compareBool(a.Anew, b.Anew),
+		compareBool(a.Restartable, b.Restartable),
 		cmp.Compare(b.Tokens, a.Tokens),
 		cmp.Compare(b.Events, a.Events),
 		cmp.Compare(a.ID, b.ID),
@@ -121,28 +123,30 @@
 	return 1
 }
 
-// Target is a server that a stream may move to: one that serves what the stream needs.
+// Target is a server that serves the stream's model, so that the stream may move to it.
 type Target struct {
-	Busy  int  // requests there, as far as known
-	Slots int  // requests that it runs at once; zero: not told
-	Near  bool // in the zone of the source
-	Shaky bool // it failed a moment ago
+	Busy           int  // known requests at the server
+	Slots          int  // requests that it runs at once; zero: unknown
+	SameZone       bool // the target is in the source's zone
+	RecentlyFailed bool // it failed a short time ago
 }
 
-// assumedSlots stands for the slots of a server that does not tell.
+// assumedSlots is used for a server that does not report its slots.
 const assumedSlots = 16
 
-// farLoad is the part of its slots by which a server in another zone counts as fuller: a copy
-// takes twice as long there, and the bytes between zones are scarce, but a full server would make
-// the stream late.
-const farLoad = 0.4
+// otherZonePenalty is added to the load, as a fraction of its slots, of a server in another zone.
+// A copy there takes twice as long and bandwidth between zones is scarce, but a full server would
+// delay the stream.
+const otherZonePenalty = 0.4
 
-// shakyLoad is what a target that failed a moment ago counts as fuller: more than any other.
-const shakyLoad = 2
+// recentFailurePenalty is added to the load of a target that failed recently. It ranks such a target
+// behind all others.
+const recentFailurePenalty = 2
 
-// Best returns the index of the target with the least load, those of other zones counting as
-// fuller, -1 if none has room. One that failed a moment ago is taken only if there is no other.
-func Best(targets []Target) int {
+// BestTarget returns the index of the target with the lowest load, where targets in other zones
+// count as more loaded, or -1 if none has free capacity. A target that failed recently is chosen
+// only if there is no other.
+func BestTarget(targets []Target) int {
 	best, bestCost := -1, 0.0
 	for i, t := range targets {
 		slots := cmp.Or(max(t.Slots, 0), assumedSlots)
@@ -150,11 +154,11 @@
 			continue
 		}
 		cost := float64(t.Busy) / float64(slots)
-		if !t.Near {
-			cost += farLoad
+		if !t.SameZone {
+			cost += otherZonePenalty
 		}
-		if t.Shaky {
-			cost += shakyLoad
+		if t.RecentlyFailed {
+			cost += recentFailurePenalty
 		}
 		if best < 0 || cost < bestCost {
 			best, bestCost = i, cost
--- a/pkg/platform/dynamotable/errors.go
+++ b/pkg/platform/dynamotable/errors.go
@@ -11,22 +11,22 @@
 	"martenwheel.dev/pkg/platform"
 )
 
-// Codes of the reasons why a transaction was cancelled.
+// Codes of the reasons for which a transaction is cancelled.
 const (
 	reasonCondition = "ConditionalCheckFailed"
 	reasonThrottled = "ThrottlingError"
 	reasonCapacity  = "ProvisionedThroughputExceeded"
 )
 
-// throttled are the error codes of the rate limits.
+// throttled contains the error codes of rate limits.
 var throttled = map[string]bool{
 	"ThrottlingException":                    true,
 	"ProvisionedThroughputExceededException": true,
 	"RequestLimitExceeded":                   true,
 }
 
-// classifyRead returns the platform's error for a read that failed. Reads have
-// no effect, so that none of them is of unknown outcome.
+// classifyRead maps the error of a failed read to one of package platform. Reads
+// have no effect, so their outcome is never unknown.
 func classifyRead(err error) error {
 	if isThrottled(err) {
 		return platform.ErrThrottled
@@ -34,8 +34,9 @@
 	return platform.ErrUnavailable
 }
 
-// classifyCommit returns the platform's error for a transaction that failed. A
-// server error counts as unknown: the service may have failed after the effect.
+// classifyCommit maps the error of a failed transaction to one of package
+// platform. The outcome is unknown after a server error, because the service may
+// have failed after the transaction took effect.
 func classifyCommit(err error, sent bool) error {
 	var canceled *types.TransactionCanceledException
 	var mismatch *types.IdempotentParameterMismatchException
@@ -46,7 +47,7 @@
 	case errors.As(err, &canceled):
 		return classifyReasons(canceled.CancellationReasons)
 	case errors.As(err, &mismatch):
-		return platform.ErrConflict // the token's first transaction was another one
+		return platform.ErrConflict // the token was used for a different transaction
 	case errors.As(err, &inProgress):
 		return platform.ErrUnknownOutcome
 	case isThrottled(err):
@@ -79,7 +80,7 @@
 	return errors.As(err, &api) && throttled[api.ErrorCode()]
 }
 
-// isRefused tells whether the service answered that the request is wrong.
+// isRefused reports whether the service answered with a client error.
 func isRefused(err error) bool {
 	var response *awshttp.ResponseError
 	if !errors.As(err, &response) {
--- a/pkg/platform/dynamotable/table.go
+++ b/pkg/platform/dynamotable/table.go
@@ -1,5 +1,5 @@
-// Package dynamotable is a platform.Table on a table service that speaks the
-// DynamoDB protocol. All records are in one partition of one table, whose key
+// Package dynamotable implements platform.Table with a table service that speaks
+// the DynamoDB protocol. All records are in one partition of one table, whose key
 // attributes are "partition" and "key" (strings).
 package dynamotable
 
@@ -32,7 +32,7 @@
 	attributeVersion   = "version"
 )
 
-// Expressions are constants: nothing of a record becomes part of one.
+// Expressions. They are constants, so no record's content becomes part of one.
 const (
 	expressionMissing   = "attribute_not_exists(#version)"
 	expressionVersion   = "#version = :version"
@@ -40,18 +40,18 @@
 	expressionPrefix    = "#partition = :partition AND begins_with(#key, :prefix)"
 )
 
-// Config says where the table is.
+// Config configures the access to a table.
 type Config struct {
 	Endpoint  string // URL
 	Region    string
 	Table     string // name of the table
-	Partition string // value of the partition key of all records
+	Partition string // partition key of all records
 	AccessKey string
 	SecretKey string
 	Transport http.RoundTripper // nil: http.DefaultTransport
 }
 
-// Table is a table in the service. Safe for concurrent use.
+// Table is a table in the service. It is safe for concurrent use.
 type Table struct {
 	client    *dynamodb.Client
 	name      string
@@ -60,7 +60,7 @@
 
 var _ platform.Table = (*Table)(nil)
 
-// New returns the table of config. It sends nothing.
+// New returns the table of config. It sends no request.
 func New(config Config) *Table {
 	credentials := aws.Credentials{AccessKeyID: config.AccessKey, SecretAccessKey: config.SecretKey}
 	client := dynamodb.New(dynamodb.Options{
@@ -69,7 +69,7 @@
 		Credentials: aws.CredentialsProviderFunc(func(context.Context) (aws.Credentials, error) {
 			return credentials, nil
 		}),
-		Retryer:                    aws.NopRetryer{}, // the caller decides on each repeat
+		Retryer:                    aws.NopRetryer{}, // the caller decides about retries
 		HTTPClient:                 &http.Client{Transport: newBodyTransport(config.Transport), CheckRedirect: noRedirect},
 		DisableClockSkewCorrection: true,
 	})
@@ -80,7 +80,7 @@
 	return http.ErrUseLastResponse
 }
 
-// Get returns the record, or platform.ErrNotFound. A read that fails is
+// Get returns the record, or platform.ErrNotFound. A failed read returns
 // platform.ErrUnavailable or platform.ErrThrottled.
 func (t *Table) Get(ctx context.Context, key string, consistent bool) (platform.Record, error) {
 	output, err := t.client.GetItem(ctx, &dynamodb.GetItemInput{
@@ -97,8 +97,9 @@
 	return parseRecord(output.Item)
 }
 
-// List returns the records whose keys begin with prefix, in key order, by
-// consistent reads. Records that change meanwhile may be of different times.
+// List returns the records whose keys begin with prefix, in key order. It uses
+// consistent reads, but the pages are read one after the other, so records that
+// change in the meantime may be of different times.
 func (t *Table) List(ctx context.Context, prefix string) ([]platform.Record, error) {
 	var records []platform.Record
 	pages := dynamodb.NewQueryPaginator(t.client, t.listInput(prefix))
@@ -126,7 +127,7 @@
 		ExpressionAttributeNames:  map[string]string{"#partition": attributePartition},
 		ExpressionAttributeValues: map[string]types.AttributeValue{":partition": stringValue(t.partition)},
 	}
-	if prefix != "" { // the protocol has no empty prefix
+	if prefix != "" { // the protocol does not allow an empty prefix
 		input.KeyConditionExpression = aws.String(expressionPrefix)
 		input.ExpressionAttributeNames["#key"] = attributeKey
 		input.ExpressionAttributeValues[":prefix"] = stringValue(prefix)
@@ -134,8 +135,9 @@
 	return input
 }
 
-// Commit applies the transaction whole or not at all. The error tells whether
-// it may have taken effect: only platform.ErrUnknownOutcome leaves that open.
+// Commit applies the transaction atomically. If it returns an error, the
+// transaction had no effect, unless the error is platform.ErrUnknownOutcome: then
+// it may or may not have taken effect.
 func (t *Table) Commit(ctx context.Context, transaction platform.Transaction) error {
 	actions, err := t.actions(transaction)
 	if err != nil {
@@ -152,7 +154,8 @@
 	return nil
 }
 
-// actions translates a transaction. Each written key needs a condition.
+// actions converts a transaction to the protocol's actions. Each written key
+// needs a condition.
 func (t *Table) actions(transaction platform.Transaction) ([]types.TransactWriteItem, error) {
 	if transaction.Token == "" {
 		return nil, errors.New("commit: no token")
@@ -262,8 +265,8 @@
 	return platform.Record{Key: key.Value, Value: value.Value, Version: number}, nil
 }
 
-// requestToken returns the token as the protocol takes it: one that is too long
-// is replaced by a name-based UUID of it.
+// requestToken returns the token in the form that the protocol accepts. A token
+// that is too long is replaced by a name-based UUID.
 func requestToken(token string) string {
 	if len(token) <= maxTokenLength {
 		return token
--- a/pkg/platform/dynamotable/transport.go
+++ b/pkg/platform/dynamotable/transport.go
@@ -8,10 +8,10 @@
 	"github.com/pkg/errors"
 )
 
-// bodyTransport gives each request a body of its own. The SDK closes the body
-// that it made as soon as an answer begins; net/http, which may still look for
-// the body's end, takes that for a failed write and closes the connection under
-// the answer.
+// bodyTransport gives each request a copy of its body. The SDK closes its own body
+// as soon as a response begins. net/http, which may still be reading the body to
+// find its end, then reports a failed write and closes the connection during the
+// response.
 type bodyTransport struct {
 	next http.RoundTripper
 }
@@ -29,13 +29,13 @@
 		return t.next.RoundTrip(request)
 	}
 	body, err := io.ReadAll(request.Body)
-	_ = request.Body.Close() // held in memory
+	_ = request.Body.Close() // the body is in memory
 	if err != nil {
 		return nil, errors.Wrap(err, "read request")
 	}
 	own := request.Clone(request.Context())
-	// With GetBody a request of which nothing was written to a closed
-	// connection goes to another one. Others are not repeated.
+	// With GetBody net/http retries a request on another connection if nothing
+	// of it was written to a closed one. It does not retry others.
 	own.GetBody = func() (io.ReadCloser, error) { return io.NopCloser(bytes.NewReader(body)), nil }
 	own.Body, _ = own.GetBody() // never fails
 	return t.next.RoundTrip(own)
--- a/pkg/platform/dynamotable/transport_test.go
+++ b/pkg/platform/dynamotable/transport_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// closableBody is a body as the SDK makes it: it reports its end to WriteTo as
-// an error once it is closed.
+// closableBody behaves like the SDK's request body: once closed, WriteTo returns
+// io.EOF.
 type closableBody struct {
 	io.Reader
 	closed bool
@@ -35,7 +35,7 @@
 func TestBodyOutlivesTheSDKsClose(t *testing.T) {
 	original := &closableBody{Reader: strings.NewReader("request")}
 	transport := newBodyTransport(roundTripperFunc(func(request *http.Request) (*http.Response, error) {
-		original.Close() // the SDK does so when the answer begins
+		original.Close() // the SDK does so when the response begins
 		sent, err := io.ReadAll(request.Body)
 		if string(sent) != "request" || err != nil {
 			t.Errorf("sent %q, error %v", sent, err)
--- a/pkg/platform/internal/sent/sent.go
+++ b/pkg/platform/internal/sent/sent.go
@@ -1,4 +1,4 @@
-// Package sent tells whether a request may have reached its server.
+// Package sent detects whether an HTTP request may have reached its server.
 package sent
 
 import (
@@ -7,9 +7,9 @@
 	"sync/atomic"
 )
 
-// Trace returns a context for one HTTP request and a function that tells
-// whether the request got a connection. Without one nothing of it was sent.
-// The request must go through an http.Transport.
+// Trace returns a context for one HTTP request and a function that reports
+// whether the request got a connection. Without a connection nothing was sent.
+// The request must use an http.Transport.
 func Trace(ctx context.Context) (context.Context, func() bool) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{
--- a/pkg/platform/machinelist/list.go
+++ b/pkg/platform/machinelist/list.go
@@ -1,5 +1,5 @@
-// Package machinelist is a platform.Machines that reads the list as JSON over
-// HTTP.
+// Package machinelist implements platform.Machines. It reads the list of machines
+// as JSON over HTTP.
 package machinelist
 
 import (
@@ -14,19 +14,20 @@
 	"martenwheel.dev/pkg/platform"
 )
 
-// Path of the list under the endpoint, with the region as its query.
+// Path is the path of the list below the endpoint. The region is a query
+// parameter.
 const Path = "/machines"
 
-// maxListBytes bounds the list: about 200 bytes for each machine.
+// maxListBytes bounds the size of the list. A machine takes about 200 bytes.
 const maxListBytes = 16 << 20
 
-// Config says where the list is.
+// Config configures a Client.
 type Config struct {
 	Endpoint  string            // URL without a path
 	Transport http.RoundTripper // nil: http.DefaultTransport
 }
 
-// Client reads the list of machines. Safe for concurrent use.
+// Client reads the list of machines. It is safe for concurrent use.
 type Client struct {
 	endpoint string
 	http     *http.Client
@@ -34,7 +35,7 @@
 
 var _ platform.Machines = (*Client)(nil)
 
-// New returns a client with config. It sends nothing.
+// New returns a client with config. It sends no request.
 func New(config Config) *Client {
 	return &Client{endpoint: config.Endpoint, http: &http.Client{Transport: config.Transport}}
 }
@@ -62,8 +63,8 @@
 	}
 }
 
-// decode refuses a list that is cut or too long: it must not look as if
-// machines had gone.
+// decode decodes the list. It rejects a truncated or too long one, which would
+// otherwise look as if machines were gone.
 func decode(body io.Reader) (platform.MachineList, error) {
 	data, err := io.ReadAll(io.LimitReader(body, maxListBytes+1))
 	if err != nil {
--- a/pkg/platform/machinelist/list_test.go
+++ b/pkg/platform/machinelist/list_test.go
@@ -13,8 +13,8 @@
 	"martenwheel.dev/pkg/platform/machinelist"
 )
 
-// TestBrokenListIsNoList tests that a list that did not arrive whole does not
-// look as if machines had gone.
+// TestBrokenListIsNoList checks that an incomplete or invalid response is an
+// error. Taken as a list, it would look as if machines were gone.
 func TestBrokenListIsNoList(t *testing.T) {
 	whole := `{"version":3,"machines":[{"id":"a1"}]}`
 	cases := map[string]http.HandlerFunc{
--- a/pkg/platform/platformtest/machines.go
+++ b/pkg/platform/platformtest/machines.go
@@ -6,16 +6,16 @@
 	"martenwheel.dev/pkg/platform"
 )
 
-// MachinesFixture is an empty list of machines, a way to change it, of which
-// readers hear at once, and a way to set its faults.
+// MachinesFixture is an empty list of machines with functions to change it, with
+// immediate effect for readers, and to set its faults.
 type MachinesFixture struct {
 	Machines platform.Machines
 	Put      func(platform.Machine)
 	SetFault func(Fault)
 }
 
-// RunMachinesContract tests that the lists of factory keep the contract of
-// platform.Machines.
+// RunMachinesContract tests that the lists returned by factory fulfil the
+// contract of platform.Machines.
 func RunMachinesContract(t *testing.T, factory func(*testing.T) MachinesFixture) {
 	t.Run("machines of a region", func(t *testing.T) { testMachines(t, factory(t)) })
 	cases := map[Fault]error{
@@ -56,6 +56,6 @@
 		t.Fatalf("list %+v, error %v", second, err)
 	}
 	if second.Version <= first.Version || second.AsOf.Before(first.AsOf) {
-		t.Errorf("version %d as of %v after %d as of %v", second.Version, second.AsOf, first.Version, first.AsOf)
+		t.Errorf("version %d as of %v follows version %d as of %v", second.Version, second.AsOf, first.Version, first.AsOf)
 	}
 }
--- a/pkg/platform/platformtest/objects.go
+++ b/pkg/platform/platformtest/objects.go
@@ -10,14 +10,14 @@
 	"martenwheel.dev/pkg/platform"
 )
 
-// ObjectsFixture is an empty object store and a way to set its faults.
+// ObjectsFixture is an empty object store with a function to set its faults.
 type ObjectsFixture struct {
 	Objects  platform.Objects
 	SetFault func(Fault)
 }
 
-// RunObjectsContract tests that the object stores of factory keep the contract
-// of platform.Objects.
+// RunObjectsContract tests that the object stores returned by factory fulfil the
+// contract of platform.Objects.
 func RunObjectsContract(t *testing.T, factory func(*testing.T) ObjectsFixture) {
 	t.Run("round trip", func(t *testing.T) { testRoundTrip(t, factory(t).Objects) })
 	t.Run("list", func(t *testing.T) { testObjectList(t, factory(t).Objects) })
--- a/pkg/platform/platformtest/platformtest_test.go
+++ b/pkg/platform/platformtest/platformtest_test.go
@@ -15,7 +15,7 @@
 	"martenwheel.dev/pkg/standin"
 )
 
-// service is a platform stand-in behind a transport that can be cut.
+// service is a platform stand-in behind a transport that can be disconnected.
 type service struct {
 	server    *standin.PlatformServer
 	transport *http.Transport
--- a/pkg/platform/platformtest/table.go
+++ b/pkg/platform/platformtest/table.go
@@ -1,6 +1,6 @@
-// Package platformtest holds the contract tests that each implementation of
-// the interfaces of package platform must pass. A test of an implementation
-// gives a factory that starts a service and a client of it.
+// Package platformtest contains the contract tests that each implementation of
+// the interfaces of package platform must pass. The test of an implementation
+// provides a factory that starts a service and returns a client of it.
 package platformtest
 
 import (
@@ -15,28 +15,28 @@
 	"martenwheel.dev/pkg/platform"
 )
 
-// Fault is what a service under test is told to do.
+// Fault is a fault that is injected into a service under test.
 type Fault int
 
-// The faults. Each lasts until another is set; NoFault clears it.
+// The faults. A fault lasts until another is set. NoFault clears it.
 const (
 	NoFault      Fault = iota
-	Refuse             // answer that it is down, with no effect
-	Hang               // don't answer, with no effect
-	LoseRequest        // close the connection of the next request before its effect
-	LoseAnswer         // close the connection of the next request after its effect
-	Throttle           // refuse by the rate limit
+	Refuse             // answer with a server error, without effect
+	Hang               // don't answer, without effect
+	LoseRequest        // close the connection of the next request before it takes effect
+	LoseAnswer         // close the connection of the next request after it took effect
+	Throttle           // refuse as if the rate limit were exceeded
 	Unreachable        // no connection can be made
-	StaleReplica       // reads that are not consistent see the state as of now
+	StaleReplica       // reads that are not consistent see the state at the time when the fault was set
 )
 
-// String names the fault.
+// String returns the name of the fault.
 func (f Fault) String() string {
 	names := [...]string{"none", "refuse", "hang", "lose request", "lose answer", "throttle", "unreachable", "stale replica"}
 	return names[f]
 }
 
-// Timeouts of the requests under a fault.
+// Timeouts of requests during a fault.
 const (
 	hangTimeout  = 100 * time.Millisecond // the answer never comes
 	faultTimeout = 10 * time.Second       // never reached
@@ -49,14 +49,14 @@
 	return context.WithTimeout(t.Context(), faultTimeout)
 }
 
-// TableFixture is an empty table and a way to set its faults.
+// TableFixture is an empty table with a function to set its faults.
 type TableFixture struct {
 	Table    platform.Table
 	SetFault func(Fault)
 }
 
-// RunTableContract tests that the tables of factory keep the contract of
-// platform.Table.
+// RunTableContract tests that the tables returned by factory fulfil the contract
+// of platform.Table.
 func RunTableContract(t *testing.T, factory func(*testing.T) TableFixture) {
 	t.Run("records", func(t *testing.T) { testRecords(t, factory(t).Table) })
 	t.Run("conditions", func(t *testing.T) { testConditions(t, factory(t).Table) })
@@ -70,7 +70,8 @@
 	testReadFaults(t, factory)
 }
 
-// Put returns the transaction that writes one record whose version is version.
+// Put returns the transaction that writes one record on the condition that its
+// present version is version.
 func Put(token, key, value string, version uint64) platform.Transaction {
 	return platform.Transaction{
 		Token:      token,
@@ -156,13 +157,13 @@
 
 func testToken(t *testing.T, table platform.Table) {
 	mustCommit(t, table, Put("once", "a", "one", 0))
-	mustCommit(t, table, Put("once", "a", "one", 0)) // a repeat: no conflict, no second effect
+	mustCommit(t, table, Put("once", "a", "one", 0)) // a repeat is no conflict and has no second effect
 	wantRecord(t, table, "a", "one", 1)
 	wantError(t, table.Commit(t.Context(), Put("once", "b", "other", 0)), platform.ErrConflict)
 	wantMissing(t, table, "b")
 }
 
-// testLongToken tests that tokens may have any length.
+// testLongToken checks that tokens may be longer than the protocol allows.
 func testLongToken(t *testing.T, table platform.Table) {
 	long := strings.Repeat("cell/node/", 20)
 	mustCommit(t, table, Put(long+"1", "a", "one", 0))
@@ -194,7 +195,7 @@
 
 func testList(t *testing.T, table platform.Table) {
 	const count = 40
-	large := string(make([]byte, 60_000)) // several pages
+	large := string(make([]byte, 60_000)) // so that the list takes several pages
 	for i := range count {
 		mustCommit(t, table, Put(fmt.Sprint("n", i), fmt.Sprintf("n/%02d", count-1-i), large, 0))
 	}
@@ -209,7 +210,7 @@
 		}
 	}
 	if all, err := table.List(t.Context(), ""); err != nil || len(all) != count+1 {
-		t.Errorf("%d records in all, error %v", len(all), err)
+		t.Errorf("%d records in total, error %v", len(all), err)
 	}
 	if none, err := table.List(t.Context(), "x"); err != nil || len(none) != 0 {
 		t.Errorf("records %v, error %v", none, err)
@@ -222,7 +223,7 @@
 	mustCommit(t, fixture.Table, Put("2", "a", "new", 1))
 	stale, err := fixture.Table.Get(t.Context(), "a", false)
 	if err != nil || string(stale.Value) != "old" {
-		t.Errorf("replica has %q, error %v: the fault is not there", stale.Value, err)
+		t.Errorf("the replica has %q, error %v: the fault had no effect", stale.Value, err)
 	}
 	wantRecord(t, fixture.Table, "a", "new", 2)
 	records, err := fixture.Table.List(t.Context(), "a")
@@ -231,15 +232,15 @@
 	}
 }
 
-// testCommitFaults tests that an error says truly whether a commit may have
-// taken effect.
+// testCommitFaults checks that the error of a commit correctly reports whether
+// the commit may have taken effect.
 func testCommitFaults(t *testing.T, factory func(*testing.T) TableFixture) {
 	cases := []struct {
 		fault   Fault
 		want    error
 		applied bool
 	}{
-		{Refuse, platform.ErrUnknownOutcome, false}, // a server error may follow the effect
+		{Refuse, platform.ErrUnknownOutcome, false}, // a server error may occur after the effect
 		{Hang, platform.ErrUnknownOutcome, false},
 		{LoseRequest, platform.ErrUnknownOutcome, false},
 		{LoseAnswer, platform.ErrUnknownOutcome, true},
@@ -249,7 +250,7 @@
 	for _, test := range cases {
 		t.Run("commit, "+test.fault.String(), func(t *testing.T) {
 			fixture := factory(t)
-			mustCommit(t, fixture.Table, Put("before", "before", "", 0)) // the connection stands
+			mustCommit(t, fixture.Table, Put("before", "before", "", 0)) // establishes the connection
 			fixture.SetFault(test.fault)
 			ctx, cancel := withFaultTimeout(t, test.fault)
 			defer cancel()
@@ -260,7 +261,7 @@
 			} else {
 				wantMissing(t, fixture.Table, "a")
 			}
-			mustCommit(t, fixture.Table, Put("tested", "a", "one", 0)) // the same token settles it
+			mustCommit(t, fixture.Table, Put("tested", "a", "one", 0)) // repeating the token resolves the outcome
 			wantRecord(t, fixture.Table, "a", "one", 1)
 		})
 	}
--- a/pkg/platform/s3objects/objects.go
+++ b/pkg/platform/s3objects/objects.go
@@ -1,5 +1,5 @@
-// Package s3objects is a platform.Objects in one bucket of an object store
-// that speaks the S3 protocol, addressed by path.
+// Package s3objects implements platform.Objects with one bucket of an object
+// store that speaks the S3 protocol with path-style addresses.
 package s3objects
 
 import (
@@ -18,17 +18,18 @@
 	"martenwheel.dev/pkg/platform/internal/sent"
 )
 
-// DefaultMaxObjectBytes bounds the objects that Get returns.
+// DefaultMaxObjectBytes is the default limit on the size of objects that Get
+// returns.
 const DefaultMaxObjectBytes = 256 << 20
 
-// Codes of the rate limit.
+// Error codes of rate limits.
 const (
 	codeSlowDown      = "SlowDown"
 	codeSlowDownRead  = "SlowDownRead"
 	codeSlowDownWrite = "SlowDownWrite"
 )
 
-// Config says where the bucket is.
+// Config configures the access to a bucket.
 type Config struct {
 	Endpoint       string // URL without a path
 	Region         string
@@ -39,8 +40,9 @@
 	Transport      http.RoundTripper // nil: the library's default
 }
 
-// Objects is a bucket. The library waits up to 0.2 s before it returns a
-// server's error, although it makes no second attempt. Safe for concurrent use.
+// Objects is a bucket. The minio library waits up to 0.2 s before it returns a
+// server error, although it makes no second attempt. Objects is safe for
+// concurrent use.
 type Objects struct {
 	client   *minio.Core
 	bucket   string
@@ -49,7 +51,7 @@
 
 var _ platform.Objects = (*Objects)(nil)
 
-// New returns the bucket of config. It sends nothing.
+// New returns the bucket of config. It sends no request.
 func New(config Config) (*Objects, error) {
 	endpoint, err := url.Parse(config.Endpoint)
 	if err != nil {
@@ -59,9 +61,9 @@
 		Creds:        credentials.NewStaticV4(config.AccessKey, config.SecretKey, ""),
 		Secure:       endpoint.Scheme == "https",
 		Transport:    config.Transport,
-		Region:       config.Region, // without it the library asks for it
+		Region:       config.Region, // if empty, the library requests it from the server
 		BucketLookup: minio.BucketLookupPath,
-		MaxRetries:   1, // attempts: the caller decides on each repeat
+		MaxRetries:   1, // number of attempts; the caller decides about retries
 	})
 	if err != nil {
 		return nil, errors.Wrap(err, "object store")
@@ -72,8 +74,8 @@
 	return &Objects{client: client, bucket: config.Bucket, maxBytes: config.MaxObjectBytes}, nil
 }
 
-// Put writes an object. On platform.ErrUnknownOutcome it may be written; the
-// same Put may be repeated.
+// Put writes an object. After platform.ErrUnknownOutcome the object may or may not
+// be written; the same Put may be repeated.
 func (o *Objects) Put(ctx context.Context, name string, data []byte) error {
 	ctx, wasSent := sent.Trace(ctx)
 	_, err := o.client.Client.PutObject(ctx, o.bucket, name, bytes.NewReader(data), int64(len(data)), minio.PutObjectOptions{
@@ -103,7 +105,7 @@
 // List returns the names that begin with prefix, in order.
 func (o *Objects) List(ctx context.Context, prefix string) ([]string, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	defer cancel() // ends the library's goroutine
+	defer cancel() // stops the library's goroutine
 	var names []string
 	for object := range o.client.Client.ListObjects(ctx, o.bucket, minio.ListObjectsOptions{Prefix: prefix, Recursive: true}) {
 		if object.Err != nil {
@@ -132,7 +134,7 @@
 	return errors.Wrapf(class, "%s object %q: %v", operation, name, cause)
 }
 
-// classifyRead returns the platform's error for a read that failed.
+// classifyRead maps the error of a failed read to one of package platform.
 func classifyRead(err error) error {
 	switch response := minio.ToErrorResponse(err); response.Code {
 	case minio.NoSuchKey:
@@ -144,7 +146,7 @@
 	}
 }
 
-// classifyWrite returns the platform's error for a write that failed.
+// classifyWrite maps the error of a write to one of package platform, nil to nil.
 func classifyWrite(err error, sent bool) error {
 	if err == nil {
 		return nil
--- a/pkg/prompt/prompt.go
+++ b/pkg/prompt/prompt.go
@@ -1,5 +1,6 @@
-// Package prompt knows what a request asks of an engine before it runs: how many tokens it
-// has to read, how many it may write, and which parts of its prompt others share.
+// Package prompt describes the work that a request brings to an engine, as known before it
+// runs: the length of its prompt, the length of its answer, and which parts of its prompt
+// other requests share.
 package prompt
 
 import (
@@ -7,41 +8,41 @@
 	"strings"
 )
 
-// Part is a piece of a prompt. Requests whose first parts are the same share what an engine
-// keeps of them.
+// Part is a part of a prompt. Requests with the same leading parts share an engine's cache
+// entries for them.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// Prompt is the work that a request brings. In the zero value nothing is known.
+// Prompt is the work that a request brings. In the zero value everything is unknown.
 type Prompt struct {
-	tokens int    // of the prompt; zero: not told
-	most   int    // tokens of the answer; zero: not told
-	likely int    // tokens of the answer; zero: not told
-	parts  []Part // in order; nil: not told
+	tokens         int    // tokens of the prompt; zero: unknown
+	maxOutput      int    // most tokens of the answer; zero: unknown
+	expectedOutput int    // expected tokens of the answer; zero: unknown
+	parts          []Part // in order; nil: unknown
 }
 
-// Tokens returns the length of the prompt, zero if it is not told.
+// Tokens returns the length of the prompt in tokens, zero if unknown.
 func (p *Prompt) Tokens() int { return p.tokens }
 
-// Most returns how many tokens the answer has at most, zero if it is not told.
-func (p *Prompt) Most() int { return p.most }
+// MaxOutput returns the largest number of tokens of the answer, zero if unknown.
+func (p *Prompt) MaxOutput() int { return p.maxOutput }
 
-// Likely returns how many tokens the answer is expected to have: the caller's guess, which is
-// right in the median only, or else Most.
-func (p *Prompt) Likely() int {
-	if p.likely > 0 {
-		return p.likely
+// ExpectedOutput returns the expected number of tokens of the answer: the caller's estimate, which is
+// accurate only in the median, or Most if there is none.
+func (p *Prompt) ExpectedOutput() int {
+	if p.expectedOutput > 0 {
+		return p.expectedOutput
 	}
-	return p.most
+	return p.maxOutput
 }
 
-// Parts returns the parts in order, nil if they are not told; the last one belongs to the request
-// or its session alone. The slice is not to be changed.
+// Parts returns the parts in order, nil if unknown. The last one belongs only to the request
+// or its session. The caller must not change the slice.
 func (p *Prompt) Parts() []Part { return p.parts }
 
-// SharedTokens returns how much of the prompt other requests may have brought as well.
+// SharedTokens returns the number of tokens of the parts that other requests may share.
 func (p *Prompt) SharedTokens() int {
 	sum := 0
 	for _, part := range p.shared() {
@@ -50,8 +51,9 @@
 	return sum
 }
 
-// SharedID returns the ID of the last part that other requests share, empty if there is none.
-// An engine keeps it only behind the parts before it, so that it stands for them as well.
+// SharedID returns the ID of the last part that other requests may share, empty if there is
+// none. An engine caches a part only together with those before it, so the ID identifies all
+// of the shared parts.
 func (p *Prompt) SharedID() string {
 	shared := p.shared()
 	if len(shared) == 0 {
@@ -68,53 +70,54 @@
 	return p.parts[:len(p.parts)-1]
 }
 
-// Bounds of what a caller may tell; a field beyond them counts as not told.
+// Limits on the values that a caller may send. A field beyond them counts as unknown.
 const (
-	mostTokens = 1 << 24 // of a prompt or an answer
-	mostParts  = 64
-	mostIDLen  = 64 // bytes
+	maxTokens  = 1 << 24 // tokens of a prompt or an answer
+	maxParts   = 64
+	maxIDBytes = 64 // bytes
 )
 
-// Fields are the texts in which a caller tells of a prompt; an empty one is not told.
+// Fields are the texts in which a caller describes a prompt. An empty one means unknown.
 type Fields struct {
-	Tokens string // of the prompt, and the most of the answer: "1460,80"
-	Parts  string // ID:TOKENS, separated by commas
-	Likely string // tokens of the answer
+	Tokens         string // tokens of the prompt and most tokens of the answer: "1460,80"
+	Parts          string // ID:TOKENS, separated by commas
+	ExpectedOutput string // expected tokens of the answer
 }
 
-// Parse reads what is told. A field that can't be read counts as not told: it decides only
-// where the request runs best, never whether.
+// Parse parses the fields. An invalid field counts as unknown, because the fields only
+// determine where a request runs best, never whether it runs.
 func Parse(f Fields) Prompt {
 	var p Prompt
-	in, out, _ := strings.Cut(f.Tokens, ",")
-	p.tokens, p.most = number(in), number(out)
-	p.likely = number(f.Likely)
-	if p.most > 0 {
-		p.likely = min(p.likely, p.most)
+	promptTokens, outputTokens, _ := strings.Cut(f.Tokens, ",")
+	p.tokens, p.maxOutput = parseCount(promptTokens), parseCount(outputTokens)
+	p.expectedOutput = parseCount(f.ExpectedOutput)
+	if p.maxOutput > 0 {
+		p.expectedOutput = min(p.expectedOutput, p.maxOutput)
 	}
-	p.parts = parts(f.Parts)
+	p.parts = parseParts(f.Parts)
 	return p
 }
 
-// number reads a count of tokens, zero if the text is none or out of bounds.
-func number(text string) int {
+// parseCount parses a number of tokens. It returns zero if the text is invalid or out of
+// bounds.
+func parseCount(text string) int {
 	n, err := strconv.ParseUint(strings.TrimSpace(text), 10, 32)
-	if err != nil || n > mostTokens {
+	if err != nil || n > maxTokens {
 		return 0
 	}
 	return int(n)
 }
 
-// parts reads a list of parts, nil if any of it can't be read.
-func parts(text string) []Part {
-	if text == "" || strings.Count(text, ",") >= mostParts {
+// parseParts parses a list of parts. It returns nil if any of them is invalid.
+func parseParts(text string) []Part {
+	if text == "" || strings.Count(text, ",") >= maxParts {
 		return nil
 	}
 	list := make([]Part, 0, strings.Count(text, ",")+1)
 	for field := range strings.SplitSeq(text, ",") {
 		id, count, found := strings.Cut(strings.TrimSpace(field), ":")
-		n := number(count)
-		if !found || id == "" || len(id) > mostIDLen || n == 0 {
+		n := parseCount(count)
+		if !found || id == "" || len(id) > maxIDBytes || n == 0 {
 			return nil
 		}
 		list = append(list, Part{ID: id, Tokens: n})
--- a/pkg/relay/backup.go
+++ b/pkg/relay/backup.go
@@ -27,8 +27,8 @@
 	now := c.relay.Time.Now()
 	servers := len(c.relay.Servers.Snapshot().Service(c.service))
 	risk := c.relay.streams.crashRisk(m.ID, now, servers)
-	s := migration.Stream{Tokens: c.prompt.Tokens(), Anew: c.route.Repeatable()}
-	if !migration.Insure(s, c.prompt.Likely(), risk.Chance(typicalStreamTime)) {
+	s := migration.Stream{Tokens: c.prompt.Tokens(), Restartable: c.route.Repeatable()}
+	if !migration.WorthBackup(s, c.prompt.ExpectedOutput(), risk.CrashChance(typicalStreamTime)) {
 		return nil
 	}
 	return c.reserveBackup(m)
@@ -40,7 +40,7 @@
 	t := &c.relay.streams
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	bound := int(migration.Cover * float64(c.engine.CacheTokens))
+	bound := int(migration.MaxBackupShare * float64(c.engine.CacheTokens))
 	backup := c.bestAlternative(m, func(other *backend.Member) bool { return t.backupTokens[other.ID]+c.backupTokens() <= bound })
 	if backup == nil {
 		return nil
@@ -53,7 +53,7 @@
 }
 
 // backupTokens is the maximum that the request occupies at the server that receives its copies.
-func (c *call) backupTokens() int { return c.prompt.Tokens() + c.prompt.Most() }
+func (c *call) backupTokens() int { return c.prompt.Tokens() + c.prompt.MaxOutput() }
 
 // releaseBackup undoes the reservation of reserveBackup.
 func (c *call) releaseBackup(backup *backend.Member) {
@@ -97,13 +97,13 @@
 func (t *streamTable) crashRisk(server string, now time.Time, servers int) migration.Risk {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := migration.Risk{Servers: servers, Span: serverEndsWindow}
+	r := migration.Risk{Servers: servers, Window: serverEndsWindow}
 	for _, at := range t.serverEnds {
 		if now.Sub(at) <= serverEndsWindow {
-			r.Ends++
+			r.Crashes++
 		}
 	}
 	at, broke := t.connectionBreaks[server]
-	r.Broke = broke && now.Sub(at) <= connectionBreaksWindow
+	r.ConnectionBroke = broke && now.Sub(at) <= connectionBreaksWindow
 	return r
 }
--- a/pkg/relay/call.go
+++ b/pkg/relay/call.go
@@ -202,7 +202,7 @@
 	if c.engine != nil {
 		c.need = backend.ParseNeed(h.Get(c.relay.Headers.Model))
 		c.prompt = prompt.Parse(prompt.Fields{Tokens: h.Get(c.relay.Headers.Tokens),
-			Parts: h.Get(c.relay.Headers.Parts), Likely: h.Get(c.relay.Headers.Likely)})
+			Parts: h.Get(c.relay.Headers.Parts), ExpectedOutput: h.Get(c.relay.Headers.Likely)})
 		c.computeAffinity()
 	}
 	c.lastEvent = h.Get(c.relay.Headers.LastEvent)
--- a/pkg/relay/fleet_test.go
+++ b/pkg/relay/fleet_test.go
@@ -69,7 +69,7 @@
 	const ms = time.Millisecond
 	l := longPrompts()
 	l.perSecond = 62
-	l.engine = enginetest.Engine{Slots: 64, CacheTokens: 263_628, Piece: 2048, Step: 3400 * time.Microsecond, ReadsPerMS: 44.2, EventTokens: 8}
+	l.engine = enginetest.Engine{Slots: 64, CacheTokens: 263_628, ChunkTokens: 2048, StepTime: 3400 * time.Microsecond, PrefillTokensPerMS: 44.2, EventTokens: 8}
 	l.kinds[0].share, l.kinds[0].events, l.kinds[0].route = 0.32, 7, stream(800*ms, 500*ms)
 	l.kinds[1].share, l.kinds[1].events, l.kinds[1].route = 0.24, 7, stream(4000*ms, 500*ms)
 	l.kinds[2].share, l.kinds[2].events, l.kinds[2].route = 0.44, 36, stream(500*ms, 500*ms)
@@ -137,7 +137,7 @@
 	f.build()
 	f.requests = f.arrivals()
 	for _, a := range f.requests {
-		f.advanceWithEvents(a.Arrives)
+		f.advanceWithEvents(a.ArrivesAt)
 		f.send(a, choose)
 	}
 	f.advance(l.duration + time.Minute)
@@ -247,11 +247,11 @@
 // finish reports the end of a stream to its node.
 func (f *fleet) finish(a *arrival) {
 	a.server.End(a.need.Model)
-	events := a.Out / f.engine.EventTokens
+	events := a.OutputTokens / f.engine.EventTokens
 	if events < minTimedEvents {
 		return
 	}
-	pace := (a.End - a.First - a.Pause) / time.Duration(events-2)
+	pace := (a.End - a.FirstEvent - a.LongestPause) / time.Duration(events-2)
 	f.relays[a.node].Servers.RecordPace(a.server.ID, a.need.Model, pace)
 	f.relays[a.node].Servers.Report(backend.Pace{Server: a.server.ID, Model: a.need.Model, PerEvent: pace})
 }
@@ -306,7 +306,7 @@
 	out := f.engine.EventTokens * (1 + int(f.random.ExpFloat64()*(k.events-1)+0.5))
 	p := prompt.Parse(prompt.Fields{Tokens: fmt.Sprintf("%d,%d", a+b+own, out),
 		Parts: fmt.Sprintf("%s:%d,%s:%d,own%d:%d", common, a, second, b, n, own)})
-	return &arrival{Run: &enginetest.Run{Prompt: p, Out: out, Arrives: at}, kind: kind, node: f.random.IntN(f.nodes), need: need}
+	return &arrival{Run: &enginetest.Run{Prompt: p, OutputTokens: out, ArrivesAt: at}, kind: kind, node: f.random.IntN(f.nodes), need: need}
 }
 
 // send lets a node choose a server for a request.
@@ -343,8 +343,8 @@
 		}
 	}
 	for id, e := range f.byIncarnation {
-		r.read += e.Read()
-		r.reread -= e.Reused()
+		r.read += e.TokensRead()
+		r.reread -= e.TokensReused()
 		r.busiest = max(r.busiest, float64(sent[id]*len(f.servers))/float64(len(f.requests)))
 	}
 	return r
@@ -354,9 +354,9 @@
 func (t *tally) count(a *arrival, r *route.Route) {
 	t.asked++
 	switch {
-	case a.First == 0 || a.First-a.Arrives > r.Target:
+	case a.FirstEvent == 0 || a.FirstEvent-a.ArrivesAt > r.Target:
 		t.lateFirst++
-	case a.End == 0 || a.Pause > r.GapTarget:
+	case a.End == 0 || a.LongestPause > r.GapTarget:
 		t.latePause++
 	default:
 		t.inTime++
--- a/pkg/relay/migrate.go
+++ b/pkg/relay/migrate.go
@@ -205,8 +205,8 @@
 	generated := r.events * max(c.engine.EventTokens, 1)
 	return migration.Stream{
 		ID: c.id, Rank: c.rank(), Tokens: c.prompt.Tokens() + generated, Events: r.events,
-		Rest: migration.Rest(now.Sub(r.began), r.events, max(c.engine.EventTokens, 1), c.prompt.Most()),
-		Anew: c.route.Repeatable(),
+		Remaining:   migration.RemainingTime(now.Sub(r.began), r.events, max(c.engine.EventTokens, 1), c.prompt.MaxOutput()),
+		Restartable: c.route.Repeatable(),
 	}, r.events > 0 && !r.over && r.moving == nil && r.handle == ""
 }
 
@@ -270,7 +270,7 @@
 // startDueMoves begins the moves that are due, those with the greatest loss first.
 func (r *Relay) startDueMoves(source *backend.Member, in time.Duration, streams []migration.Stream, byID map[string]*activeStream, semaphore chan struct{}) {
 	engine := byID[streams[0].ID].call.engine
-	leave := migration.Leave{In: in, Running: max(source.Slots, len(streams)),
+	leave := migration.Departure{TimeLeft: in, Running: max(source.Slots, len(streams)),
 		Link: migration.Link{BytesPerToken: engine.BytesPerToken, BytesPerS: engine.LinkBytes}}
 	moves, begin := migration.Plan(leave, streams)
 	if begin > 0 {
@@ -397,10 +397,10 @@
 	r.stopUnanswered = r.stopUnanswered || outcome == migration.NoAnswer
 	if outcome == migration.NotSent && !r.over {
 		r.stopSent = before
-		r.handover.Told(migration.Stop, migration.Refused)
+		r.handover.RecordOutcome(migration.Stop, migration.Refused)
 		return outcome
 	}
-	r.handover.Told(migration.Stop, outcome)
+	r.handover.RecordOutcome(migration.Stop, outcome)
 	return outcome
 }
 
@@ -468,9 +468,9 @@
 			continue
 		}
 		members = append(members, m)
-		targets = append(targets, migration.Target{Busy: m.InFlight(), Slots: m.Slots, Near: m.Zone == source.Zone, Shaky: m.Avoid(now)})
+		targets = append(targets, migration.Target{Busy: m.InFlight(), Slots: m.Slots, SameZone: m.Zone == source.Zone, RecentlyFailed: m.Avoid(now)})
 	}
-	if best := migration.Best(targets); best >= 0 {
+	if best := migration.BestTarget(targets); best >= 0 {
 		return members[best]
 	}
 	return nil
@@ -515,7 +515,7 @@
 // drop frees an unused copy.
 func (r *activeStream) drop() {
 	r.mu.Lock()
-	handle, unused := r.handle, r.handover.Unused()
+	handle, unused := r.handle, r.handover.HasUnusedCopy()
 	r.mu.Unlock()
 	if handle != "" && unused {
 		go r.dropHandle(handle)
--- a/pkg/relay/place.go
+++ b/pkg/relay/place.go
@@ -131,9 +131,9 @@
 // work returns the load that the request adds to a server.
 func (c *call) work() admission.Work {
 	if c.resumption.from != "" { // the server that the copy is from has processed the prompt
-		return admission.Work{Out: max(c.prompt.Likely()-c.record.events*max(c.engine.EventTokens, 1), 0)}
+		return admission.Work{Out: max(c.prompt.ExpectedOutput()-c.record.events*max(c.engine.EventTokens, 1), 0)}
 	}
-	return admission.Work{Tokens: c.prompt.Tokens(), Out: c.prompt.Likely(), Parts: c.prompt.Parts()}
+	return admission.Work{Tokens: c.prompt.Tokens(), Out: c.prompt.ExpectedOutput(), Parts: c.prompt.Parts()}
 }
 
 // placeServers returns the servers that may get the request, m first, without those already tried.
--- a/pkg/relay/resume.go
+++ b/pkg/relay/resume.go
@@ -129,14 +129,14 @@
 		c.runs--
 		h.Stopped = true
 	}
-	h.MayStop, h.MayAnew = c.engine.Moves, c.route.Repeatable()
+	h.MayStop, h.MayRunAgain = c.engine.Moves, c.route.Repeatable()
 	h.Copied = h.Copied || r.backup != nil
 	for {
-		h.MayBack = c.mayReturnToSource(r)
+		h.MayReturn = c.mayReturnToSource(r)
 		switch step := h.Next(); step {
 		case migration.Stop:
 			r.stop(moveCallTimeout)
-		case migration.GoOnThere, migration.GoBack:
+		case migration.ResumeAtTarget, migration.ResumeAtSource:
 			v, err, ended := c.resume(ctx, r, step)
 			switch {
 			case errors.Is(err, errHandedOver): // the next server left or broke off in turn
@@ -144,7 +144,7 @@
 			case ended:
 				return c.decideNext(ctx, r.serverFor(step), v, err)
 			}
-		case migration.Anew:
+		case migration.RunAgain:
 			return c.decideNext(ctx, r.source, mayHaveRun, errMoved)
 		default:
 			c.refuse(c.notServed(reasonFailed, defaultRetryAfter))
@@ -185,9 +185,9 @@
 func (c *call) resume(ctx context.Context, r *activeStream, step migration.Step) (v attemptResult, err error, ended bool) {
 	began, sends, runs := c.relay.Time.Now(), c.sends, c.runs
 	c.place.granted = time.Time{} // a continued run needs no place
-	c.resumption = resumption{from: r.origin(), toSource: step == migration.GoBack,
+	c.resumption = resumption{from: r.origin(), toSource: step == migration.ResumeAtSource,
 		answered: c.record.last().answered, events: c.record.events}
-	if step == migration.GoOnThere && r.handover.Kept || c.mayRunAgain() {
+	if step == migration.ResumeAtTarget && r.handover.Kept || c.mayRunAgain() {
 		c.resumption.patience = max(minGapTimeout, gapFactor*c.route.GapTarget)
 	}
 	if c.takeSlotAt(ctx, r.serverFor(step)) {
@@ -196,14 +196,14 @@
 		v, err = notRun, errNoSlot
 	}
 	o := c.resumeOutcome(v)
-	r.handover.Told(step, o)
-	if step == migration.GoOnThere && (o == migration.Refused || o == migration.NoAnswer) {
+	r.handover.RecordOutcome(step, o)
+	if step == migration.ResumeAtTarget && (o == migration.Refused || o == migration.NoAnswer) {
 		c.failedMoves++
 	}
 	r.addLine(moveLine{From: r.source.ID, To: r.serverFor(step).ID, Step: step.String(), Events: c.resumption.events,
 		TookMS: c.relay.Time.Since(began).Milliseconds(), Outcome: o.String()})
 	c.sends, c.runs, c.resumption = sends, runs, resumption{}
-	return v, err, v == aborted || o == migration.Done || o == migration.Broke
+	return v, err, v == aborted || o == migration.Done || o == migration.StreamBroke
 }
 
 // origin names the copy for the target: by its handle if the stream was moved, by the request ID if
@@ -224,14 +224,14 @@
 	case v == notRun:
 		return migration.Refused
 	case c.record.events > c.resumption.events:
-		return migration.Broke
+		return migration.StreamBroke
 	}
 	return migration.NoAnswer
 }
 
 // serverFor returns the server that a step goes to.
 func (r *activeStream) serverFor(step migration.Step) *backend.Member {
-	if step == migration.GoBack {
+	if step == migration.ResumeAtSource {
 		return r.source
 	}
 	return r.target
--- a/pkg/revision/revision.go
+++ b/pkg/revision/revision.go
@@ -1,6 +1,6 @@
-// Package revision orders what a store tells that may come back from a copy. Such a store counts its
-// changes, and its count goes back with the copy: the same numbers are given out again. It begins a new
-// epoch each time, so that whatever it tells then is newer than all that it told before.
+// Package revision defines the order of the states of a store that may be restored from a backup. Such
+// a store counts its changes. A restore sets the count back, so that the same numbers are used again.
+// Each restore therefore begins a new epoch, which makes all later revisions newer than all earlier ones.
 package revision
 
 import (
@@ -9,19 +9,19 @@
 	"github.com/pkg/errors"
 )
 
-// Revision is a state of the store: its epoch, and the number of its last change in it. The order of
-// revisions is that of their values. A store that never came back has the epoch zero, in which a
-// revision has the value of its number: nodes of builds that know no epochs tell and read it so.
+// Revision identifies a state of the store by its epoch and the number of its last change. Revisions
+// are ordered by their values. A store that was never restored has epoch zero, in which a revision
+// equals its number: nodes of older builds without epochs send and read plain numbers.
 type Revision uint64
 
-// numberBits is the width of the number; the epoch has the rest. A store that makes a thousand changes
-// a second takes 8,900 years to use it up, and 65,535 returns the other.
+// numberBits is the width of the number; the epoch takes the remaining bits. At a thousand changes per
+// second the numbers last for 8,900 years, and the epochs last for 65,535 restores.
 const numberBits = 48
 
-// errRange means that a number or an epoch can't be told from another one.
+// errRange means that a number or an epoch does not fit into its bits.
 var errRange = errors.New("revision: out of range")
 
-// New returns the revision of a number in an epoch.
+// New returns the revision with the given epoch and number.
 func New(epoch, number uint64) (Revision, error) {
 	if number >= 1<<numberBits || epoch >= 1<<(64-numberBits) {
 		return 0, errors.Wrapf(errRange, "epoch %d, number %d", epoch, number)
@@ -29,13 +29,13 @@
 	return Revision(epoch<<numberBits | number), nil
 }
 
-// Epoch returns how often the store had come back from a copy.
+// Epoch returns how often the store had been restored from a backup.
 func (r Revision) Epoch() uint64 { return uint64(r) >> numberBits }
 
-// Number returns the store's own count, which means something in its epoch only.
+// Number returns the store's count of changes, which is meaningful only within its epoch.
 func (r Revision) Number() uint64 { return uint64(r) & (1<<numberBits - 1) }
 
-// String returns EPOCH/NUMBER, or the number alone before the store came back for the first time.
+// String returns EPOCH/NUMBER, or only the number in epoch zero.
 func (r Revision) String() string {
 	number := strconv.FormatUint(r.Number(), 10)
 	if r.Epoch() == 0 {
@@ -44,7 +44,8 @@
 	return strconv.FormatUint(r.Epoch(), 10) + "/" + number
 }
 
-// MarshalJSON implements json.Marshaler, for lines of the log: a number as long as there is no epoch.
+// MarshalJSON implements json.Marshaler for log lines. The result is a number in epoch zero, else a
+// string.
 func (r Revision) MarshalJSON() ([]byte, error) {
 	if r.Epoch() == 0 {
 		return []byte(r.String()), nil
--- a/pkg/revision/revision_test.go
+++ b/pkg/revision/revision_test.go
@@ -14,7 +14,7 @@
 	return r
 }
 
-// TestALaterEpochIsNewerWhateverItsNumbers, and within an epoch the number decides.
+// TestALaterEpochIsNewerWhateverItsNumbers checks that revisions are ordered by epoch, then by number.
 func TestALaterEpochIsNewerWhateverItsNumbers(t *testing.T) {
 	ordered := []Revision{
 		mustNew(t, 0, 0), mustNew(t, 0, 7), mustNew(t, 0, 1<<48-1), mustNew(t, 1, 0), mustNew(t, 1, 3), mustNew(t, 2, 1), mustNew(t, 1<<16-1, 0),
@@ -25,28 +25,29 @@
 		}
 	}
 	if r := mustNew(t, 3, 44); r.Epoch() != 3 || r.Number() != 44 {
-		t.Errorf("%v has the epoch %d and the number %d", r, r.Epoch(), r.Number())
+		t.Errorf("%v has epoch %d and number %d, want 3 and 44", r, r.Epoch(), r.Number())
 	}
 }
 
-// TestBuildsThatKnowNoEpochsReadTheSame as long as the store never came back.
-func TestBuildsThatKnowNoEpochsReadTheSame(t *testing.T) {
+// TestEpochZeroIsThePlainNumber checks that builds without epochs read the same revision while the
+// store was never restored.
+func TestEpochZeroIsThePlainNumber(t *testing.T) {
 	if r := mustNew(t, 0, 57); uint64(r) != 57 {
-		t.Errorf("57 is told as %d", uint64(r))
+		t.Errorf("the revision of number 57 in epoch 0 is %d", uint64(r))
 	}
 }
 
 func TestNumbersOutOfRangeAreRefused(t *testing.T) {
 	for _, bad := range [][2]uint64{{0, 1 << 48}, {1 << 16, 0}} {
 		if r, err := New(bad[0], bad[1]); err == nil {
-			t.Errorf("epoch %d and number %d make %v", bad[0], bad[1], r)
+			t.Errorf("epoch %d and number %d are accepted as %v", bad[0], bad[1], r)
 		}
 	}
 }
 
-func TestLinesOfTheLog(t *testing.T) {
+func TestMarshalJSON(t *testing.T) {
 	text, err := json.Marshal([]Revision{mustNew(t, 0, 5), mustNew(t, 2, 5)})
 	if err != nil || string(text) != `[5,"2/5"]` {
-		t.Errorf("%s, %v", text, err)
+		t.Errorf("encoded as %s, error %v", text, err)
 	}
 }
--- a/pkg/route/route.go
+++ b/pkg/route/route.go
@@ -1,6 +1,6 @@
-// Package route holds the routes and services in force: which service a request
-// goes to by its host and path, and what may be done with it. A Table is
-// immutable; package relay asks it once for each request.
+// Package route holds the configured routes and services. A route selects the
+// service for a request by its host and path, and defines how the request may be
+// handled. A Table is immutable; package relay looks each request up once.
 package route
 
 import (
@@ -12,14 +12,14 @@
 	"martenwheel.dev/pkg/tenant"
 )
 
-// Kind tells what may be repeated of a route's requests.
+// Kind determines whether a route's requests may be repeated.
 type Kind uint8
 
 // The kinds of routes.
 const (
-	Unsafe Kind = iota // at most once
-	Safe               // may run more than once
-	Stream             // answered by events; at most once unless resumable
+	Unsafe Kind = iota // requests run at most once
+	Safe               // requests may run more than once
+	Stream             // answered by a stream of events; run at most once unless resumable
 )
 
 // String returns the kind in lower case.
@@ -34,35 +34,35 @@
 	}
 }
 
-// Part is a service's share of a route's requests.
+// Part is the share of a route's requests that a service gets.
 type Part struct {
 	Service string
 	Weight  float64
 }
 
-// Route is one rule of a table.
+// Route is a routing rule with the options for its requests.
 type Route struct {
 	Name        string
 	Host        string // without a port, lower case
 	Prefix      string // begins and ends with a slash
 	Kind        Kind
-	Resumable   bool          // a stream that may go on at another server
-	Timeout     time.Duration // longest that a request is held; zero: no limit
-	Target      time.Duration // within which an answer is worth most
-	GapTarget   time.Duration // longest pause between events that is in time
-	MaxAttempts int           // servers that one request may be sent to
+	Resumable   bool          // a stream may continue at another server
+	Timeout     time.Duration // longest time for a request; zero: no limit
+	Target      time.Duration // time within which an answer is worth most
+	GapTarget   time.Duration // longest pause between events that counts as in time
+	MaxAttempts int           // most servers that one request may be sent to
 	Priority    int           // 0 is the most urgent
-	Sticky      bool          // requests share parts of their prompts
-	Public      bool          // requests need no key
+	Sticky      bool          // requests share parts of their prompts, so a server's cache helps
+	Public      bool          // requests need no tenant key
 	Parts       []Part        // at least one
 }
 
-// Repeatable tells whether a request of the route may run more than once.
+// Repeatable reports whether a request of the route may run more than once.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Safe || r.Kind == Stream && r.Resumable
 }
 
-// Limits bound what callers may send.
+// Limits are the limits on callers' requests.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
@@ -74,13 +74,14 @@
 type Table struct {
 	version  uint64
 	limits   Limits
-	hosts    map[string][]*Route // the longest prefix first
+	hosts    map[string][]*Route // by host, the longest prefix first
 	routes   int
 	services map[string]*Service
-	tenants  *tenant.Table // nil: requests need no key
+	tenants  *tenant.Table // nil: requests need no tenant key
 }
 
-// NewTable returns the table of a version. It keeps what it is given.
+// NewTable returns a table with the given version. It keeps references to its
+// arguments.
 func NewTable(version uint64, limits Limits, routes []*Route, services []*Service) *Table {
 	t := &Table{
 		version:  version,
@@ -108,26 +109,26 @@
 	return &with
 }
 
-// Tenants returns those whose keys requests need, nil if they need none.
+// Tenants returns the tenants whose keys requests need, nil if they need none.
 func (t *Table) Tenants() *tenant.Table { return t.tenants }
 
-// Version returns the version that the table was made from.
+// Version returns the version of the table.
 func (t *Table) Version() uint64 { return t.version }
 
-// Limits returns the bounds of callers' requests.
+// Limits returns the limits on callers' requests.
 func (t *Table) Limits() Limits { return t.limits }
 
 // Len returns the number of routes.
 func (t *Table) Len() int { return t.routes }
 
-// Service returns the service with a name, nil if there is none.
+// Service returns the service with the given name, nil if there is none.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Services returns all services by their name.
+// Services returns all services by name.
 func (t *Table) Services() map[string]*Service { return t.services }
 
-// Match returns the route of a request, nil if there is none. The host may carry
-// a port.
+// Match returns the route of a request, nil if there is none. The host may have a
+// port.
 func (t *Table) Match(host, path string) *Route {
 	for _, r := range t.hosts[normalHost(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -137,7 +138,7 @@
 	return nil
 }
 
-// normalHost drops the port and the case of a host.
+// normalHost returns the host without its port, in lower case.
 func normalHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
--- a/pkg/route/route_test.go
+++ b/pkg/route/route_test.go
@@ -56,12 +56,12 @@
 		count[s.Pick(r)]++
 	}
 	if count["a"] != 18 || count["b"] != 2 {
-		t.Errorf("20 requests were dealt %v, want 18 and 2", count)
+		t.Errorf("20 requests were distributed as %v, want 18 and 2", count)
 	}
 	changed := &Route{Name: "r", Parts: []Part{{"b", 1}, {"c", 0}}}
 	for range 5 {
 		if got := s.Pick(changed); got != "b" {
-			t.Errorf("a part without weight got a request: %s", got)
+			t.Errorf("a part with weight zero got a request: %s", got)
 		}
 	}
 }
--- a/pkg/route/split.go
+++ b/pkg/route/split.go
@@ -2,16 +2,16 @@
 
 import "sync"
 
-// Splitter deals the requests of a route to its parts by their weights, by
-// smooth weighted round robin: shares are kept over any few requests. Safe for
-// concurrent use. The zero value is ready.
+// Splitter distributes the requests of a route over its parts by smooth weighted
+// round robin, which keeps the shares even over few requests. The zero value is
+// ready to use. Splitter is safe for concurrent use.
 type Splitter struct {
 	mu     sync.Mutex
-	routes map[string]*deal
+	routes map[string]*roundRobin
 }
 
-// deal is the state of one route.
-type deal struct {
+// roundRobin is the state of the weighted round robin for one route.
+type roundRobin struct {
 	parts   []Part
 	credits []float64
 }
@@ -23,18 +23,18 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return r.Parts[s.dealOf(r).next()].Service
+	return r.Parts[s.stateOf(r).next()].Service
 }
 
-func (s *Splitter) dealOf(r *Route) *deal {
+func (s *Splitter) stateOf(r *Route) *roundRobin {
 	d := s.routes[r.Name]
 	if d != nil && sameParts(d.parts, r.Parts) {
 		return d
 	}
 	if s.routes == nil {
-		s.routes = make(map[string]*deal)
+		s.routes = make(map[string]*roundRobin)
 	}
-	d = &deal{parts: r.Parts, credits: make([]float64, len(r.Parts))}
+	d = &roundRobin{parts: r.Parts, credits: make([]float64, len(r.Parts))}
 	s.routes[r.Name] = d
 	return d
 }
@@ -51,8 +51,8 @@
 	return true
 }
 
-// next returns the part that is furthest behind its share.
-func (d *deal) next() int {
+// next returns the index of the part that is furthest behind its share.
+func (d *roundRobin) next() int {
 	best, total := 0, 0.0
 	for i, p := range d.parts {
 		d.credits[i] += p.Weight
--- a/pkg/standin/batch.go
+++ b/pkg/standin/batch.go
@@ -8,14 +8,14 @@
 	"martenwheel.dev/pkg/engine"
 )
 
-// idleStep is how far the state advances at once while nothing changes.
-const idleStep = time.Hour
+// maxStep is the longest step of the simulation when nothing changes earlier.
+const maxStep = time.Hour
 
-// tokenTolerance makes up for rounding in the sums of tokens.
+// tokenTolerance absorbs rounding errors in sums of tokens.
 const tokenTolerance = 1e-6
 
-// batch is the continuous batch with its queue, and the generations that can
-// still be resumed.
+// batch holds the queue, the running requests of the continuous batch, and the
+// ended generations that can still be resumed.
 type batch struct {
 	generations map[string]*generation // by request ID
 	active      []*generation          // queued or running
@@ -23,7 +23,7 @@
 	arrivals    uint64
 }
 
-// retirement is the end of a generation, which may have been resumed since.
+// retirement records the end of a generation, which may have been resumed later.
 type retirement struct {
 	generation *generation
 	at         time.Time
@@ -37,7 +37,7 @@
 	b.active = append(b.active, g)
 }
 
-// end takes the generation out of the batch; compact must follow.
+// end marks the generation as ended. The caller must call compact afterwards.
 func (b *batch) end(g *generation, phase phase, now time.Time) {
 	g.phase = phase
 	g.kvBytes = 0
@@ -51,7 +51,7 @@
 	b.end(g, phaseRefused, now)
 }
 
-// compact forgets the active generations that have ended.
+// compact removes ended generations from the active ones.
 func (b *batch) compact() {
 	kept := b.active[:0]
 	for _, g := range b.active {
@@ -81,7 +81,7 @@
 	return count
 }
 
-// runs tells whether a generation of the model has started and not ended.
+// runs reports whether a generation of the model has started and not ended.
 func (b *batch) runs(model api.ModelName) bool {
 	for _, g := range b.active {
 		if g.model == model && g.started {
@@ -91,7 +91,7 @@
 	return false
 }
 
-// first returns the queued generation that is next, or nil.
+// first returns the queued generation that is admitted next, or nil.
 func (b *batch) first() *generation {
 	var first *generation
 	for _, g := range b.active {
@@ -102,8 +102,9 @@
 	return first
 }
 
-// preemptLeastUrgent puts the running generation that came last back into the
-// queue; its KV cache is computed again. It returns false if none is running.
+// preemptLeastUrgent moves the least urgent running generation back into the
+// queue, among equals the one that arrived last. Its KV cache must be computed
+// again. It returns false if none is running.
 func (b *batch) preemptLeastUrgent() bool {
 	var last *generation
 	for _, g := range b.active {
@@ -130,7 +131,7 @@
 	b.compact()
 }
 
-// decodeRate returns the tokens a second of each decoding request.
+// decodeRate returns the tokens per second of each decoding request.
 func (b *batch) decodeRate(config EngineConfig) float64 {
 	size := b.count(phasePrefill) + b.count(phaseDecoding)
 	return config.TokensPerSecond / (1 + config.BatchSlowdown*float64(max(size-1, 0)))
@@ -140,9 +141,9 @@
 	return config.PrefillTokensPerSecond / float64(max(b.count(phasePrefill), 1))
 }
 
-// nextChange returns how long the rates stay as they are.
+// nextChange returns for how long the rates stay constant.
 func (b *batch) nextChange(config EngineConfig) time.Duration {
-	limit := idleStep
+	limit := maxStep
 	decode, prefill := b.decodeRate(config), b.prefillRate(config)
 	for _, g := range b.active {
 		switch g.phase {
@@ -155,10 +156,10 @@
 	return limit
 }
 
-// nextToken returns how long it takes to the next token or the end of a
-// prefill, and false if nothing runs.
+// nextToken returns the time until the next token or the end of a prefill, and
+// false if no request is queued or running.
 func (b *batch) nextToken(config EngineConfig) (time.Duration, bool) {
-	limit, busy := idleStep, false
+	limit, busy := maxStep, false
 	decode, prefill := b.decodeRate(config), b.prefillRate(config)
 	for _, g := range b.active {
 		switch g.phase {
@@ -169,18 +170,19 @@
 		}
 		busy = true
 	}
-	if busy && limit == idleStep {
-		limit = time.Millisecond // all wait for memory
+	if busy && limit == maxStep {
+		limit = time.Millisecond // all requests wait for memory
 	}
 	return limit, busy
 }
 
-// duration rounds up, so that a step of it reaches what it was computed for.
+// duration converts seconds, rounded up so that a step of that length reaches
+// the event it was computed for.
 func duration(seconds float64) time.Duration {
 	return max(time.Duration(math.Ceil(seconds*float64(time.Second))), 1)
 }
 
-// run lets the batch work for step, which is no longer than nextChange.
+// run advances the batch by step, which must be no longer than nextChange.
 func (b *batch) run(config EngineConfig, step time.Duration, now time.Time) {
 	decode, prefill := b.decodeRate(config), b.prefillRate(config)
 	ended := false
@@ -208,7 +210,7 @@
 }
 
 // expire refuses queued requests whose deadline has passed and forgets ended
-// ones that can't be resumed any more.
+// requests that can no longer be resumed.
 func (b *batch) expire(now time.Time, resumeWindow time.Duration) {
 	for _, g := range b.active {
 		if g.phase == phaseQueued && !g.started && !g.deadline.IsZero() && now.After(g.deadline) {
@@ -222,7 +224,7 @@
 	}
 }
 
-// forget drops a generation that was not resumed nor replaced since it ended.
+// forget drops a generation unless it was resumed or replaced after it ended.
 func (b *batch) forget(old retirement) {
 	g := old.generation
 	if g.ended() && g.endedAt.Equal(old.at) && b.generations[g.id] == g {
--- a/pkg/standin/clock.go
+++ b/pkg/standin/clock.go
@@ -25,23 +25,22 @@
 	return c.Simulated(time.Now())
 }
 
-// Simulated returns the simulated time of a time on the wall clock.
+// Simulated converts a wall-clock time to simulated time.
 func (c *Clock) Simulated(wall time.Time) time.Time {
 	return c.start.Add(time.Duration(float64(wall.Sub(c.start)) * c.speed))
 }
 
-// WallTime returns the time on the wall clock of a simulated time.
+// WallTime converts a simulated time to wall-clock time.
 func (c *Clock) WallTime(simulated time.Time) time.Time {
 	return c.start.Add(c.Wall(simulated.Sub(c.start)))
 }
 
-// Wall returns how long the simulated duration takes on the wall clock.
+// Wall converts a simulated duration to wall-clock time.
 func (c *Clock) Wall(simulated time.Duration) time.Duration {
 	return time.Duration(float64(simulated) / c.speed)
 }
 
-// Sleep waits for the simulated duration. It returns false when ctx ended
-// earlier.
+// Sleep waits for the simulated duration. It returns false if ctx ends earlier.
 func (c *Clock) Sleep(ctx context.Context, simulated time.Duration) bool {
 	timer := time.NewTimer(c.Wall(simulated))
 	defer timer.Stop()
--- a/pkg/standin/engine.go
+++ b/pkg/standin/engine.go
@@ -17,18 +17,19 @@
 
 // Errors of the methods of Engine.
 var (
-	// ErrUnknownRequest means that the engine has no such request.
+	// ErrUnknownRequest means that the engine does not know the request.
 	ErrUnknownRequest = errors.New("standin: unknown request")
 	// ErrModelNotReady means that the model is not loaded. Nothing was run.
 	ErrModelNotReady = errors.New("standin: model not ready")
 	// ErrLeaving means that the engine takes no new work. Nothing was run.
 	ErrLeaving = errors.New("standin: engine is leaving")
-	// ErrTooLong means that the request can't fit the memory. Nothing was run.
+	// ErrTooLong means that the request can't fit into the memory. Nothing was
+	// run.
 	ErrTooLong = errors.New("standin: request too long")
 )
 
-// Engine is a stand-in for a model engine. Run must be running for its state
-// to move. Safe for concurrent use.
+// Engine is a stand-in for a model engine. Its state advances while Run is
+// running. Engine is safe for concurrent use.
 type Engine struct {
 	config  EngineConfig
 	clock   *Clock
@@ -36,35 +37,35 @@
 	faults  *faultSet
 	wake    chan struct{}
 
-	mutex     sync.Mutex
-	state     *engineState
-	stepped   chan struct{} // closed on the next change
-	wasFrozen bool          // its time stood still since the last step
-	left      chan struct{} // closed when leaving starts
+	mutex          sync.Mutex
+	state          *engineState
+	changed        chan struct{} // closed and replaced on each change of state
+	wasFrozen      bool          // the engine was frozen after the last step
+	leavingStarted chan struct{} // closed by Leave
 }
 
-// NewEngine returns an engine that fetches checkpoints from weights. With nil
-// it fetches at the config's RemoteBytesPerSecond.
+// NewEngine returns an engine that fetches checkpoints from weights. If weights
+// is nil, fetching is simulated at the config's RemoteBytesPerSecond.
 func NewEngine(config EngineConfig, weights WeightSource) *Engine {
 	if config.Logger == nil {
 		config.Logger = hclog.NewNullLogger()
 	}
 	clock := NewClock(config.Speed)
 	e := &Engine{
-		config:  config,
-		clock:   clock,
-		weights: weights,
-		faults:  newFaultSet(),
-		wake:    make(chan struct{}, 1),
-		state:   newEngineState(config, uuid.NewString(), clock.Now()),
-		stepped: make(chan struct{}),
-		left:    make(chan struct{}),
+		config:         config,
+		clock:          clock,
+		weights:        weights,
+		faults:         newFaultSet(),
+		wake:           make(chan struct{}, 1),
+		state:          newEngineState(config, uuid.NewString(), clock.Now()),
+		changed:        make(chan struct{}),
+		leavingStarted: make(chan struct{}),
 	}
 	e.faults.onSet = e.noteFreeze
 	return e
 }
 
-// Run drives the engine until ctx ends.
+// Run runs the engine until ctx ends.
 func (e *Engine) Run(ctx context.Context) {
 	var loads conc.WaitGroup
 	defer loads.Wait()
@@ -83,7 +84,8 @@
 	}
 }
 
-// step advances the state and starts the loads that are due.
+// step advances the state, starts the loads that are due and returns the
+// simulated time until the next step.
 func (e *Engine) step(ctx context.Context, loads *conc.WaitGroup) time.Duration {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -97,8 +99,8 @@
 	return max(wait, time.Millisecond)
 }
 
-// advance brings the state to now. While the engine is frozen its time stands
-// still.
+// advance advances the state to the present. The time of a frozen engine does
+// not advance.
 func (e *Engine) advance() {
 	if faults, _ := e.faults.get(PartEngine); faults.Freeze {
 		return
@@ -110,18 +112,18 @@
 	e.state.advance(e.clock.Now())
 }
 
-// notify wakes those that wait for a change of the state.
+// notify wakes the goroutines that wait for a change of the state.
 func (e *Engine) notify() {
-	close(e.stepped)
-	e.stepped = make(chan struct{})
+	close(e.changed)
+	e.changed = make(chan struct{})
 }
 
-// waitUntil waits until holds is true of the state. It returns false when ctx
-// ended earlier.
+// waitUntil waits until holds returns true for the state. It returns false if
+// ctx ends earlier.
 func (e *Engine) waitUntil(ctx context.Context, holds func(*engineState) bool) bool {
 	for {
 		e.mutex.Lock()
-		held, stepped := holds(e.state), e.stepped
+		held, stepped := holds(e.state), e.changed
 		e.mutex.Unlock()
 		if held {
 			return true
@@ -134,8 +136,8 @@
 	}
 }
 
-// WaitState waits until the model or adapter is in the state. It returns false
-// when ctx ended earlier.
+// WaitState waits until the model or adapter is in the given state. It returns
+// false if ctx ends earlier.
 func (e *Engine) WaitState(ctx context.Context, model api.ModelName, state engine.ItemState) bool {
 	return e.waitUntil(ctx, func(now *engineState) bool {
 		held, ok := now.items[model]
@@ -144,7 +146,7 @@
 }
 
 // WaitGone waits until the model or adapter holds no memory. It returns false
-// when ctx ended earlier.
+// if ctx ends earlier.
 func (e *Engine) WaitGone(ctx context.Context, model api.ModelName) bool {
 	return e.waitUntil(ctx, func(now *engineState) bool {
 		held, ok := now.items[model]
@@ -152,8 +154,8 @@
 	})
 }
 
-// WaitIdle waits until no request is queued or running. It returns false when
-// ctx ended earlier.
+// WaitIdle waits until no request is queued or running. It returns false if ctx
+// ends earlier.
 func (e *Engine) WaitIdle(ctx context.Context) bool {
 	return e.waitUntil(ctx, func(now *engineState) bool { return len(now.batch.active) == 0 })
 }
@@ -167,7 +169,7 @@
 	e.wasFrozen = true
 }
 
-// update runs change on the state as of now.
+// update advances the state to the present and applies change to it.
 func (e *Engine) update(change func(*engineState)) {
 	e.mutex.Lock()
 	e.advance()
@@ -180,12 +182,12 @@
 	}
 }
 
-// SetFaults replaces the faults of a part.
+// SetFaults replaces the faults of a part of the engine.
 func (e *Engine) SetFaults(part string, faults Faults) {
 	e.faults.set(part, faults)
 }
 
-// Order gives a fenced order.
+// Order executes a fenced order.
 func (e *Engine) Order(order engine.Order) (result engine.OrderResult) {
 	faults, _ := e.faults.get(PartOrders)
 	e.update(func(state *engineState) {
@@ -195,7 +197,7 @@
 	return result
 }
 
-// Inventory raises the fence to the request's and returns the inventory.
+// Inventory raises the engine's fence to the request's and returns the inventory.
 func (e *Engine) Inventory(request engine.InventoryRequest) (inventory engine.Inventory) {
 	e.update(func(state *engineState) { inventory = state.inventory(request) })
 	return inventory
@@ -208,7 +210,7 @@
 	return report
 }
 
-// CacheEvents returns the cache events after the sequence number.
+// CacheEvents returns the cache events with a sequence number greater than after.
 func (e *Engine) CacheEvents(after uint64) (events engine.CacheEvents) {
 	e.update(func(state *engineState) {
 		events = state.prefixes.eventsAfter(after, state.now)
@@ -222,20 +224,20 @@
 	e.update(func(state *engineState) {
 		if !state.leaving {
 			state.leaving = true
-			close(e.left)
+			close(e.leavingStarted)
 		}
 	})
 }
 
-// Executed returns how often each request was started, by its idempotency key,
-// or by its request ID if it has none. Resumed requests don't count again.
+// Executed returns how often each request was started, keyed by its idempotency
+// key or, if it has none, its request ID. Resuming a request doesn't count.
 func (e *Engine) Executed() map[string]int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return maps.Clone(e.state.executed)
 }
 
-// submission is a caller's request.
+// submission is a new request from a caller.
 type submission struct {
 	id        string
 	key       string
@@ -254,16 +256,16 @@
 	return g, err
 }
 
-// resume takes up the request again, running or not.
+// resume attaches a caller to an existing request, whether it is running or not.
 func (e *Engine) resume(id string) (g *generation, err error) {
 	e.update(func(state *engineState) { g, err = state.resume(id) })
 	return g, err
 }
 
-// abandon stops the generation if holder still holds it.
-func (e *Engine) abandon(g *generation, holder int) {
+// abandon cancels the generation unless another caller has attached to it since.
+func (e *Engine) abandon(g *generation, attachment int) {
 	e.update(func(state *engineState) {
-		if g.holder == holder {
+		if g.attachment == attachment {
 			state.cancel(g)
 		}
 	})
@@ -288,31 +290,31 @@
 	return export, err
 }
 
-// ImportKV takes over a request, which is then resumed.
+// ImportKV adds the request of an exported KV cache, which can then be resumed.
 func (e *Engine) ImportKV(export engine.KVExport) (err error) {
 	e.update(func(state *engineState) { err = state.importKV(export) })
 	return err
 }
 
-// progress is a copy of what a caller sees of a generation.
+// progress is a snapshot of the parts of a generation that a caller sees.
 type progress struct {
-	tokens  int
-	phase   phase
-	refusal string
-	cached  int
-	holder  int
-	changed <-chan struct{} // signalled on the next change
+	tokens     int
+	phase      phase
+	refusal    string
+	cached     int
+	attachment int
+	changed    <-chan struct{} // receives a value on a change; closed when another caller attaches
 }
 
 func (e *Engine) progress(g *generation) progress {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return progress{
-		tokens:  g.tokens(),
-		phase:   g.phase,
-		refusal: g.refusal,
-		cached:  g.cachedTokens,
-		holder:  g.holder,
-		changed: g.changed,
+		tokens:     g.tokens(),
+		phase:      g.phase,
+		refusal:    g.refusal,
+		cached:     g.cachedTokens,
+		attachment: g.attachment,
+		changed:    g.changed,
 	}
 }
--- a/pkg/standin/engine_admission.go
+++ b/pkg/standin/engine_admission.go
@@ -4,7 +4,7 @@
 	"martenwheel.dev/pkg/engine"
 )
 
-// admit puts queued requests into the batch while there is room.
+// admit moves queued requests into the batch while it has free slots and memory.
 func (s *engineState) admit() {
 	for s.batch.count(phasePrefill)+s.batch.count(phaseDecoding) < s.config.MaxBatch {
 		g := s.batch.first()
@@ -34,7 +34,7 @@
 	}
 }
 
-// storePrefixes puts the prompts of requests that are through prefill into the
+// storePrefixes adds the prompts of requests that have finished prefill to the
 // prefix cache.
 func (s *engineState) storePrefixes() {
 	s.prefixes.now = s.now
--- a/pkg/standin/engine_bench_test.go
+++ b/pkg/standin/engine_bench_test.go
@@ -12,7 +12,8 @@
 	"martenwheel.dev/pkg/engine"
 )
 
-// benchConfig makes the simulated work small beside the stand-in's own cost.
+// benchConfig makes the simulated work small compared with the stand-in's own
+// cost.
 func benchConfig() EngineConfig {
 	config := testConfig()
 	config.MaxBatch = 1024
@@ -63,7 +64,8 @@
 	b.ReportMetric(float64(b.N*tokens)/time.Since(started).Seconds(), "tokens/s")
 }
 
-// BenchmarkEngineParallel measures what the stand-in itself can serve.
+// BenchmarkEngineParallel measures the stand-in's own throughput with parallel
+// requests.
 func BenchmarkEngineParallel(b *testing.B) {
 	server := startBenchEngine(b)
 	url := "http://" + server.Address() + "/v1/completions"
@@ -84,7 +86,7 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "requests/s")
 }
 
-// BenchmarkEngineState measures the steps of a full batch of 64.
+// BenchmarkEngineState measures the simulation steps of a full batch of 64.
 func BenchmarkEngineState(b *testing.B) {
 	state := newTestState(DefaultEngineConfig())
 	state.order(loadOrder(1, "a", gibibyte))
@@ -99,6 +101,6 @@
 				b.Fatal(err)
 			}
 		}
-		state.after(time.Millisecond)
+		state.advanceBy(time.Millisecond)
 	}
 }
--- a/pkg/standin/engine_caches.go
+++ b/pkg/standin/engine_caches.go
@@ -10,13 +10,13 @@
 	"martenwheel.dev/pkg/engine"
 )
 
-// maxCacheEvents bounds the cache events that an engine keeps for readers.
+// maxCacheEvents is the number of cache events that an engine keeps for readers.
 const maxCacheEvents = 4096
 
-// bytesPerToken is the length of a token of a prompt, as a rule of thumb.
+// bytesPerToken is the assumed length of a prompt token.
 const bytesPerToken = 4
 
-// checkpointCache is a cache of checkpoints that drops the least recently used.
+// checkpointCache is an LRU cache of checkpoints.
 type checkpointCache struct {
 	capacity uint64
 	used     uint64
@@ -67,20 +67,20 @@
 	return names
 }
 
-// prefixKey names a cached block of a prompt.
+// prefixKey identifies a cached block of a prompt.
 type prefixKey struct {
 	model  api.ModelName
 	prefix uint64
 }
 
-// timedCacheEvent is a cache event with the time from which it can be read.
+// timedCacheEvent is a cache event with the time from which readers see it.
 type timedCacheEvent struct {
 	engine.CacheEvent
 	visible time.Time
 }
 
-// prefixCache is the cache of prompt prefixes, which drops the least recently
-// used block. Its events come late and with gaps.
+// prefixCache is an LRU cache of prompt prefixes in blocks. Its events are
+// delayed and some are lost.
 type prefixCache struct {
 	capacity   uint64
 	blockBytes uint64
@@ -108,7 +108,8 @@
 	}
 }
 
-// match returns how many leading prefixes are cached, and marks them as used.
+// match returns how many leading prefixes are cached and marks them as recently
+// used.
 func (c *prefixCache) match(model api.ModelName, prefixes []uint64) int {
 	for i, prefix := range prefixes {
 		element, ok := c.blocks[prefixKey{model, prefix}]
@@ -120,8 +121,8 @@
 	return len(prefixes)
 }
 
-// store adds the block that ends the prefix. fits tells whether the memory
-// holds that many more bytes.
+// store adds the last block of the prefix. fits reports whether the memory can
+// hold that many more bytes.
 func (c *prefixCache) store(model api.ModelName, prefix uint64, fits func(bytes uint64) bool) {
 	key := prefixKey{model, prefix}
 	if _, ok := c.blocks[key]; ok || c.blockBytes > c.capacity {
@@ -137,8 +138,8 @@
 	c.publish(key, true)
 }
 
-// evictOldest drops the least recently used block. It returns false if there
-// is none.
+// evictOldest drops the least recently used block. It returns false if the cache
+// is empty.
 func (c *prefixCache) evictOldest() bool {
 	element := c.recency.Front()
 	if element == nil {
@@ -179,7 +180,8 @@
 	}
 }
 
-// eventsAfter returns the events that can be read by now.
+// eventsAfter returns the events with a sequence number greater than after that
+// are visible at now.
 func (c *prefixCache) eventsAfter(after uint64, now time.Time) engine.CacheEvents {
 	page := engine.CacheEvents{Events: []engine.CacheEvent{}}
 	if len(c.events) > 0 {
--- a/pkg/standin/engine_config.go
+++ b/pkg/standin/engine_config.go
@@ -12,8 +12,8 @@
 	gibibyte = 1 << 30
 )
 
-// EngineConfig describes an engine. Start from DefaultEngineConfig: zeros are
-// taken as they are, but for a Speed of zero, which counts as one.
+// EngineConfig configures an engine. Start from DefaultEngineConfig: zero fields
+// are not replaced by defaults, except that a Speed of zero means one.
 type EngineConfig struct {
 	ID          string // of the machine
 	Service     string
@@ -23,38 +23,40 @@
 	Platform    string  // IP:port of the platform, empty for none
 	Speed       float64 // simulated seconds per second
 
-	// MemoryBytes is the capacity for weights, adapters and the KV cache
-	// beyond KVReserveBytes, which come on top and hold KV cache only.
+	// MemoryBytes is the capacity for weights, adapters and the part of the KV
+	// cache that exceeds KVReserveBytes. The reserve is additional memory that
+	// holds KV cache only.
 	MemoryBytes      uint64
 	KVReserveBytes   uint64
 	KVBytesPerToken  uint64
-	PrefixCacheBytes uint64 // the most that the prefix cache takes
+	PrefixCacheBytes uint64 // capacity of the prefix cache
 
-	TokensPerSecond        float64 // of a request that runs alone
-	BatchSlowdown          float64 // a batch of n runs 1+BatchSlowdown*(n-1) times slower
+	TokensPerSecond        float64 // decoding rate of a request that runs alone
+	BatchSlowdown          float64 // a batch of n decodes 1+BatchSlowdown*(n-1) times slower
 	MaxBatch               int
 	PrefillTokensPerSecond float64 // shared by the requests in prefill
-	DefaultMaxTokens       int     // of a request that sets no limit
-	MaxTokens              int     // the most that a request may set
+	DefaultMaxTokens       int     // for requests that set no limit
+	MaxTokens              int     // largest limit of a request
 	ResumeWindow           time.Duration
 
 	ParallelLoads        int
 	UnloadTime           time.Duration
-	HostCacheBytes       uint64 // checkpoints in the host's memory
+	HostCacheBytes       uint64 // capacity for checkpoints in the host's memory
 	HostBytesPerSecond   float64
-	DiskCacheBytes       uint64 // checkpoints on the local disk
+	DiskCacheBytes       uint64 // capacity for checkpoints on the local disk
 	DiskBytesPerSecond   float64
-	RemoteBytesPerSecond float64 // without a platform
+	RemoteBytesPerSecond float64 // without a weight store
 
 	LoadReportLag time.Duration
 	CacheEventLag time.Duration
-	CacheEventGap float64 // share of the cache events that get lost
-	Seed          uint64  // of the lost cache events
+	CacheEventGap float64 // fraction of the cache events that are lost
+	Seed          uint64  // of the random choice of lost cache events
 
 	Logger hclog.Logger // gets one line per request; nil for none
 }
 
-// DefaultEngineConfig returns an engine with 80 GiB.
+// DefaultEngineConfig returns the configuration of an engine with 80 GiB of
+// memory.
 func DefaultEngineConfig() EngineConfig {
 	return EngineConfig{
 		Speed:                  1,
--- a/pkg/standin/engine_http.go
+++ b/pkg/standin/engine_http.go
@@ -10,13 +10,13 @@
 	"martenwheel.dev/pkg/engine"
 )
 
-// Paths of the stand-in's own API on an engine.
+// Paths of the API that only stand-in engines have.
 const (
 	PathExecuted = "/standin/v1/executed" // GET, answers counts by key
 	PathLeave    = "/standin/v1/leave"    // POST
 )
 
-// maxBodyBytes bounds the requests to the stand-ins.
+// maxBodyBytes bounds the bodies of requests to the stand-ins.
 const maxBodyBytes = 64 * mebibyte
 
 // Handler returns the engine's HTTP API.
@@ -56,7 +56,8 @@
 	return http.MaxBytesHandler(mux, maxBodyBytes)
 }
 
-// answer returns a handler that decodes a request and encodes its answer.
+// answer returns a handler that decodes a JSON request, passes it to serve and
+// encodes the result.
 func answer[Request, Answer any](serve func(Request) (Answer, error)) http.HandlerFunc {
 	return func(writer http.ResponseWriter, httpRequest *http.Request) {
 		var request Request
@@ -82,7 +83,7 @@
 	writeJSON(writer, e.CacheEvents(after))
 }
 
-// errorBody is an error in the shape of the OpenAI-style API.
+// errorBody is the body of an error response of the OpenAI-style API.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -103,7 +104,7 @@
 	_ = json.NewEncoder(writer).Encode(errorBody{errorDetail{Message: message, Type: kind, Code: code}})
 }
 
-// writeRefusal answers a request of which nothing was run.
+// writeRefusal responds to a request of which nothing was run.
 func writeRefusal(writer http.ResponseWriter, err error) {
 	writer.Header().Set(engine.HeaderNotRun, "true")
 	switch {
--- a/pkg/standin/engine_http_test.go
+++ b/pkg/standin/engine_http_test.go
@@ -34,7 +34,7 @@
 	return map[string]string{engine.HeaderRequestID: id}
 }
 
-// idle tells whether the engine has no request at present.
+// idle reports whether the engine has no requests at present.
 func idle(e *Engine) bool {
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -49,17 +49,17 @@
 		t.Fatal(err)
 	}
 	if idle(server.Engine) {
-		t.Fatal("nothing runs")
+		t.Fatal("no request is running")
 	}
 	cancel()
 	server.WaitIdle(t.Context())
 	now := server.progress(server.state.batch.generations["r"])
 	if now.phase != phaseCancelled || now.tokens >= 8000 {
-		t.Errorf("phase %d with %d tokens", now.phase, now.tokens)
+		t.Errorf("the request is in phase %d with %d tokens, want it cancelled early", now.phase, now.tokens)
 	}
 }
 
-func TestResumedStreamIsTheSameRest(t *testing.T) {
+func TestResumedStreamContinuesTheAnswer(t *testing.T) {
 	for _, received := range []int{0, 1, 57, 200, 201} {
 		t.Run(fmt.Sprint(received), func(t *testing.T) {
 			server := startLoaded(t, testConfig())
@@ -74,13 +74,13 @@
 			headers[engine.HeaderResumeFrom] = fmt.Sprint(received)
 			events, done := readEvents(t, post(t, t.Context(), server.Address(), "/v1/completions", streamBody, headers).Body)
 			want := strings.SplitAfter(AnswerText("a", "p", "r", 200), " ")
-			want = want[:200] // without the empty rest
+			want = want[:200] // without the empty string at the end
 			rest := strings.Join(want[min(received, 200):], "")
 			if got := textOf(t, events); got != rest || !done || len(events) != 201-received {
 				t.Errorf("%d events, done %t, text %.60q, want %.60q", len(events), done, got, rest)
 			}
 			if executed := server.Executed(); executed["r"] != 1 {
-				t.Errorf("executed %v", executed)
+				t.Errorf("executed %v, want one start", executed)
 			}
 		})
 	}
@@ -124,7 +124,7 @@
 		t.Errorf("%d events, done %t", len(events), done)
 	}
 	if len(to.Executed()) != 0 || from.Executed()["r"] != 1 || !idle(from.Engine) {
-		t.Errorf("executed %v and %v", from.Executed(), to.Executed())
+		t.Errorf("executed %v at the source and %v at the target", from.Executed(), to.Executed())
 	}
 }
 
@@ -140,7 +140,7 @@
 		t.Errorf("load: %+v", result)
 	}
 	if !server.Inventory(engine.InventoryRequest{}).Leaving {
-		t.Error("inventory does not tell")
+		t.Error("the inventory does not report that the engine is leaving")
 	}
 	stopped := make(chan struct{})
 	go func() {
@@ -152,7 +152,7 @@
 	}
 	<-stopped
 	if server.Executed()["s"] != 0 {
-		t.Error("the refused request ran")
+		t.Error("the refused request was executed")
 	}
 }
 
@@ -196,7 +196,7 @@
 	server.SetFaults(PartOrders, Faults{LoseAnswers: 1})
 	order := loadOrder(1, "a", gibibyte)
 	if _, err := client.Order(t.Context(), server.Address(), order); !errors.Is(err, engine.ErrUnknownOutcome) {
-		t.Fatalf("error %v", err)
+		t.Fatalf("error %v, want ErrUnknownOutcome", err)
 	}
 	result, err := client.Order(t.Context(), server.Address(), order)
 	if err != nil || result.Status != engine.OrderAccepted {
@@ -207,7 +207,7 @@
 	}
 }
 
-// cancelOnWrite is a connection that ends a context once a request is sent.
+// cancelOnWrite is a connection that cancels a context once a request is sent.
 type cancelOnWrite struct {
 	net.Conn
 	cancel context.CancelFunc
@@ -239,7 +239,7 @@
 		result, _ := client.Order(t.Context(), server.Address(), loadOrder(6, "stale", gibibyte))
 		results <- result
 	}()
-	server.Inventory(engine.InventoryRequest{Fence: 7}) // a new owner, past the frozen part
+	server.Inventory(engine.InventoryRequest{Fence: 7}) // a new owner raises the fence directly, past the frozen HTTP handler
 	server.SetFaults(PartOrders, Faults{})
 	if result := <-results; result.Status != engine.OrderStaleFence {
 		t.Errorf("order of the old owner: %+v", result)
@@ -259,11 +259,11 @@
 		body := `{"model":` + string(quoted) + `,"prompt":"p","messages":[],"max_tokens":2,"stream":true}`
 		events, done := readEvents(t, post(t, t.Context(), server.Address(), path, body, requestID("\xff\"")).Body)
 		if !done || len(events) != 3 {
-			t.Fatalf("events %q", events)
+			t.Fatalf("events %q, want 3 and the end mark", events)
 		}
 		for _, event := range events {
 			if !json.Valid([]byte(event)) {
-				t.Errorf("event %s", event)
+				t.Errorf("event %s is not valid JSON", event)
 			}
 		}
 	}
@@ -289,10 +289,10 @@
 		t.Errorf("status %d", served.StatusCode)
 	}
 	if executed := server.Executed(); executed["late"] != 0 || executed["in time"] != 1 {
-		t.Errorf("executed %v", executed)
+		t.Errorf("executed %v, want only the request in time", executed)
 	}
 	if asOf := server.Load().AsOf; asOf.After(time.Now()) {
-		t.Errorf("load report as of %v, now %v", asOf, time.Now())
+		t.Errorf("the load report is as of %v, later than now, %v", asOf, time.Now())
 	}
 }
 
@@ -320,7 +320,7 @@
 		}
 	}
 	if executed := server.Executed(); len(executed) != 0 {
-		t.Errorf("executed %v", executed)
+		t.Errorf("executed %v, want no request", executed)
 	}
 }
 
@@ -330,7 +330,7 @@
 	server.Order(loadOrder(1, "a", 8*gibibyte))
 	server.WaitState(t.Context(), "a", engine.ItemFailed)
 	if used := server.Inventory(engine.InventoryRequest{}).UsedBytes; used != 0 {
-		t.Errorf("%d bytes used", used)
+		t.Errorf("%d bytes used after the failed load", used)
 	}
 	if result := server.Order(loadOrder(api.Fence(2), "a", 8*gibibyte)); result.Status != engine.OrderAccepted {
 		t.Errorf("load again: %+v", result)
--- a/pkg/standin/engine_loads.go
+++ b/pkg/standin/engine_loads.go
@@ -9,29 +9,31 @@
 
 const (
 	loadPollInterval = 50 * time.Millisecond
-	loadRetryWait    = 200 * time.Millisecond // after a refused start
+	loadRetryWait    = 200 * time.Millisecond // after a refused or failed request to the weight store
 	loadTimeout      = 15 * time.Minute
 )
 
 // Errors of a WeightSource.
 var (
-	// ErrStartRefused means that the rate of starts is used up for now.
+	// ErrStartRefused means that the rate limit of transfer starts is exceeded.
 	ErrStartRefused = errors.New("standin: weight store refuses the start")
 	// ErrUnknownTransfer means that the weight store has dropped the transfer.
 	ErrUnknownTransfer = errors.New("standin: unknown transfer")
 )
 
-// WeightSource is the weight store as an engine sees it. Safe for concurrent use.
+// WeightSource is an engine's interface to the weight store. Implementations are
+// safe for concurrent use.
 type WeightSource interface {
 	// Start starts the transfer of a checkpoint and returns its ID.
 	Start(ctx context.Context, checkpoint string, bytes uint64) (string, error)
-	// Fetched returns how many bytes were transferred so far.
+	// Fetched returns the number of bytes transferred so far.
 	Fetched(ctx context.Context, transfer string) (uint64, error)
 	// Stop ends a transfer.
 	Stop(ctx context.Context, transfer string) error
 }
 
-// fetch brings an item's checkpoint into memory and makes the item ready.
+// fetch loads an item's checkpoint into memory and marks the item as ready or
+// failed.
 func (e *Engine) fetch(ctx context.Context, loaded *item) {
 	ctx, cancel := context.WithTimeout(ctx, e.clock.Wall(loadTimeout))
 	defer cancel()
@@ -46,8 +48,8 @@
 	e.update(func(state *engineState) { state.finishLoad(loaded, fetched && !fails) })
 }
 
-// localRate returns the bytes a second at which the checkpoint is read, and
-// false if it must come from the weight store.
+// localRate returns the rate in bytes per second at which the checkpoint is
+// read, and false if it must come from the weight store.
 func (e *Engine) localRate(loaded *item) (float64, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -61,8 +63,8 @@
 	}
 }
 
-// fetchLocal reads the checkpoint at rate. It returns false if the item was
-// unloaded meanwhile or ctx ended.
+// fetchLocal simulates reading the checkpoint at rate. It returns false if the
+// item was unloaded meanwhile or ctx ended.
 func (e *Engine) fetchLocal(ctx context.Context, loaded *item, rate float64) bool {
 	started := e.clock.Now()
 	total := float64(loaded.MemoryBytes)
@@ -80,9 +82,9 @@
 	}
 }
 
-// fetchRemote takes the checkpoint from the weight store and asks again as
-// long as that refuses or doesn't answer. It returns false if the item was
-// unloaded meanwhile or ctx ended.
+// fetchRemote transfers the checkpoint from the weight store and retries while
+// the store refuses or doesn't answer. It returns false if the item was unloaded
+// meanwhile or ctx ended.
 func (e *Engine) fetchRemote(ctx context.Context, loaded *item) bool {
 	var transfer string
 	var fetched uint64
@@ -100,12 +102,12 @@
 		}
 	}
 	if transfer != "" {
-		_ = e.weights.Stop(ctx, transfer) // it ends by itself when nobody asks
+		_ = e.weights.Stop(ctx, transfer) // without polls the transfer ends by itself
 	}
 	return false
 }
 
-// pollTransfer starts the transfer, or asks how far it is.
+// pollTransfer starts the transfer, or polls its progress if it was started.
 func (e *Engine) pollTransfer(ctx context.Context, transfer *string, loaded *item) (fetched uint64, err error) {
 	if *transfer == "" {
 		*transfer, err = e.weights.Start(ctx, loaded.checkpoint, loaded.MemoryBytes)
@@ -118,8 +120,8 @@
 	return fetched, err
 }
 
-// report records the progress of a load, as soon as the engine isn't frozen.
-// It returns false when the item was unloaded.
+// report records the progress of a load once the engine isn't frozen. It returns
+// false if the item is no longer loading.
 func (e *Engine) report(ctx context.Context, loaded *item, progress float64) (loading bool) {
 	e.faults.waitThawed(ctx, PartEngine)
 	e.update(func(state *engineState) { loading = state.setProgress(loaded, progress) })
--- a/pkg/standin/engine_openai.go
+++ b/pkg/standin/engine_openai.go
@@ -48,9 +48,9 @@
 		writeRefusal(writer, err)
 		return
 	}
-	x.holder = e.progress(g).holder
-	// Without its caller a request gives its place in the batch back.
-	defer e.abandon(g, x.holder)
+	x.attachment = e.progress(g).attachment
+	// A request whose caller left frees its slot in the batch.
+	defer e.abandon(g, x.attachment)
 	if x.Stream {
 		e.stream(writer, request, x, g)
 	} else {
@@ -59,7 +59,7 @@
 	e.logExchange(x, g)
 }
 
-// logExchange writes one line about an exchange that ended.
+// logExchange logs an exchange that ended.
 func (e *Engine) logExchange(x exchange, g *generation) {
 	end := e.progress(g)
 	e.config.Logger.Info("request",
@@ -71,12 +71,12 @@
 	)
 }
 
-// wait returns when the generation has more than seen tokens or has ended, and
-// false when the caller left or took the request up again elsewhere.
+// wait waits until the generation has more than seen tokens or has ended. It
+// returns false if the caller left or resumed the request on another connection.
 func (e *Engine) wait(request *http.Request, x exchange, g *generation, seen int) (progress, bool) {
 	for {
 		now := e.progress(g)
-		if now.holder != x.holder {
+		if now.attachment != x.attachment {
 			return now, false
 		}
 		if now.tokens > seen || now.phase >= phaseFinished {
@@ -90,7 +90,7 @@
 	}
 }
 
-// writeEnd answers a request that ended without being finished.
+// writeEnd responds to a request that was refused or cancelled.
 func writeEnd(writer http.ResponseWriter, end progress) {
 	if end.phase == phaseRefused {
 		writer.Header().Set(engine.HeaderNotRun, "true")
--- a/pkg/standin/engine_openai_request.go
+++ b/pkg/standin/engine_openai_request.go
@@ -13,11 +13,11 @@
 	"martenwheel.dev/pkg/engine"
 )
 
-// headerIdempotencyKey marks repeats of the same request.
+// headerIdempotencyKey is the header that identifies repeats of a request.
 const headerIdempotencyKey = "Idempotency-Key"
 
-// completionRequest is the part that the stand-in reads of a request to either
-// completion API.
+// completionRequest holds the fields that the stand-in reads of a request to
+// either completion API.
 type completionRequest struct {
 	Model               string          `json:"model"`
 	Messages            json.RawMessage `json:"messages"`
@@ -30,15 +30,15 @@
 	} `json:"stream_options"`
 }
 
-// exchange is one request to a completion API with its answer under way.
+// exchange is a request to a completion API that is being answered.
 type exchange struct {
 	completionRequest
 	chat       bool
 	id         string
 	submission submission
-	deadline   time.Time // by the wall clock
+	deadline   time.Time // in wall-clock time
 	resumeFrom int       // events to skip; negative if the request is new
-	holder     int       // of the generation
+	attachment int       // the generation's attachment for this exchange
 	created    int64
 }
 
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// promptText returns the text whose prefixes are cached.
+// promptText returns the prompt, whose prefixes are cached.
 func (x *exchange) promptText() (string, error) {
 	if !x.chat {
 		return x.Prompt, nil
--- a/pkg/standin/engine_openai_stream.go
+++ b/pkg/standin/engine_openai_stream.go
@@ -10,8 +10,8 @@
 )
 
 // stream sends one event for each token, one with the finish reason, one with
-// the usage if asked for, and the end mark. Events before resumeFrom are left
-// out; the end mark is no event.
+// the usage if requested, and the end mark. The first resumeFrom events are
+// skipped; the end mark does not count as an event.
 func (e *Engine) stream(writer http.ResponseWriter, request *http.Request, x exchange, g *generation) {
 	events := newEventWriter(writer, x, g)
 	cutAt, truncateAt := e.streamFaults(events, g)
@@ -47,8 +47,8 @@
 	}
 }
 
-// streamFaults takes the faults for this stream: the number of tokens after
-// which it is cut or ends early, else -1.
+// streamFaults consumes the faults for this stream. It returns the number of
+// tokens after which the stream is cut or ends early, -1 for never.
 func (e *Engine) streamFaults(events *eventWriter, g *generation) (cutAt, truncateAt int) {
 	half := max(g.target/2, 1)
 	cutAt, truncateAt = -1, -1
@@ -69,11 +69,11 @@
 	writer http.ResponseWriter
 	x      exchange
 	g      *generation
-	head   string // of each event
-	prefix string // of each token
-	tokens int    // written or skipped
-	events int    // written or skipped
-	mixAt  int    // tokens after which another request's answer follows; 0 for never
+	head   string // start of each event
+	prefix string // start of each token's text
+	tokens int    // tokens written or skipped
+	events int    // events written or skipped
+	mixAt  int    // tokens after which another request's answer follows; 0: never
 	begun  bool
 	buffer []byte
 }
@@ -84,8 +84,8 @@
 	return w
 }
 
-// write sends the event with the JSON of its choices and usage, unless the
-// caller has it already.
+// write buffers an event with the given JSON of its choices and usage, unless
+// the caller has received it already.
 func (w *eventWriter) write(choices, usage string) {
 	w.begin()
 	w.events++
@@ -99,7 +99,7 @@
 	w.buffer = append(w.buffer, "}\n\n"...)
 }
 
-// setSource makes the events that follow part of the answer to g.
+// setSource makes the following events part of the answer to g.
 func (w *eventWriter) setSource(g *generation) {
 	w.g = g
 	w.prefix = tokenPrefix(string(g.model), g.prompt, g.id)
@@ -129,7 +129,7 @@
 
 func (w *eventWriter) token() {
 	if w.mixAt > 0 && w.tokens == w.mixAt {
-		w.setSource(mixed(w.g))
+		w.setSource(otherRequest(w.g))
 	}
 	text := w.prefix + strconv.Itoa(w.tokens) + " "
 	choice := fmt.Sprintf(`{"index":0,"text":%q,"finish_reason":null}`, text)
@@ -158,7 +158,7 @@
 	w.flush()
 }
 
-// failed ends the stream with an error event.
+// failed writes an error event, which ends the stream.
 func (w *eventWriter) failed(message string) {
 	body, _ := json.Marshal(errorBody{errorDetail{Message: message, Type: "server_error", Code: "cancelled"}})
 	w.buffer = append(append(append(w.buffer, "data: "...), body...), "\n\n"...)
@@ -169,7 +169,7 @@
 	if len(w.buffer) == 0 {
 		return
 	}
-	_, _ = w.writer.Write(w.buffer) // the caller left
+	_, _ = w.writer.Write(w.buffer) // fails only if the caller left
 	w.buffer = w.buffer[:0]
 	if flusher, ok := w.writer.(http.Flusher); ok {
 		flusher.Flush()
--- a/pkg/standin/engine_openai_whole.go
+++ b/pkg/standin/engine_openai_whole.go
@@ -33,12 +33,12 @@
 	case e.faults.take(PartRequests, func(faults *Faults) *int { return &faults.TruncateAnswers }):
 		body = body[:len(body)/2]
 	}
-	_, _ = writer.Write(body) // the caller left
+	_, _ = writer.Write(body) // fails only if the caller left
 }
 
-// mixed returns the identity of another request, for the fault that mixes up
-// answers.
-func mixed(g *generation) *generation {
+// otherRequest returns a made-up generation of another request, for the fault
+// that mixes up answers.
+func otherRequest(g *generation) *generation {
 	return &generation{
 		id:           "other-" + g.id,
 		model:        g.model,
@@ -51,7 +51,7 @@
 
 func (e *Engine) wholeBody(x exchange, g *generation, end progress) []byte {
 	if e.faults.take(PartRequests, func(faults *Faults) *int { return &faults.MixAnswers }) {
-		g = mixed(g)
+		g = otherRequest(g)
 	}
 	text := AnswerText(string(g.model), g.prompt, g.id, end.tokens)
 	choice := map[string]any{"index": 0, "finish_reason": g.finishReason}
@@ -67,12 +67,12 @@
 		"choices": []any{choice}, "usage": newUsage(g, end),
 	})
 	if err != nil {
-		panic(err) // strings and numbers only
+		panic(err) // can't happen: strings and numbers only
 	}
 	return body
 }
 
-// answerID is the ID in the answer; it contains the request's.
+// answerID returns the ID in the answer, which contains the request's ID.
 func (x *exchange) answerID(g *generation) string {
 	if x.chat {
 		return "chatcmpl-" + g.id
--- a/pkg/standin/engine_orders.go
+++ b/pkg/standin/engine_orders.go
@@ -5,21 +5,21 @@
 	"martenwheel.dev/pkg/engine"
 )
 
-// order judges an order by its fence and executes it. A refused order spends
-// its fence, so that a late copy of it has no effect either. An order for an
-// earlier life of the engine spends nothing.
+// order checks the fence of an order and executes the order. A refused order
+// uses up its fence too, so that a late repeat of it has no effect either. An
+// order for an earlier incarnation of the engine does not use up its fence.
 func (s *engineState) order(order engine.Order) engine.OrderResult {
 	if order.Fence == 0 {
-		return s.verdict(engine.OrderInvalid, "fence missing")
+		return s.result(engine.OrderInvalid, "fence missing")
 	}
 	if order.Instance != "" && order.Instance != s.instance {
-		return s.verdict(engine.OrderWrongInstance, "order for "+order.Instance)
+		return s.result(engine.OrderWrongInstance, "order for "+order.Instance)
 	}
 	if order.Fence == s.fence && s.lastOrder.Fence == order.Fence && s.lastOrder == order {
 		return s.lastResult
 	}
 	if order.Fence <= s.fence {
-		return s.verdict(engine.OrderStaleFence, "")
+		return s.result(engine.OrderStaleFence, "")
 	}
 	s.fence = order.Fence
 	s.lastOrder = order
@@ -27,17 +27,17 @@
 	return s.lastResult
 }
 
-func (s *engineState) verdict(status engine.OrderStatus, detail string) engine.OrderResult {
+func (s *engineState) result(status engine.OrderStatus, detail string) engine.OrderResult {
 	return engine.OrderResult{Status: status, Fence: s.fence, Instance: s.instance, Detail: detail}
 }
 
 func (s *engineState) execute(order engine.Order) engine.OrderResult {
 	if order.Kind == engine.OrderSetRole {
 		s.role = order.Role
-		return s.verdict(engine.OrderAccepted, "")
+		return s.result(engine.OrderAccepted, "")
 	}
 	if order.Model == "" {
-		return s.verdict(engine.OrderInvalid, "model missing")
+		return s.result(engine.OrderInvalid, "model missing")
 	}
 	switch order.Kind {
 	case engine.OrderLoad, engine.OrderLoadAdapter:
@@ -45,27 +45,27 @@
 	case engine.OrderUnload, engine.OrderUnloadAdapter:
 		return s.executeUnload(order)
 	default:
-		return s.verdict(engine.OrderInvalid, "unknown kind "+string(order.Kind))
+		return s.result(engine.OrderInvalid, "unknown kind "+string(order.Kind))
 	}
 }
 
 func (s *engineState) executeLoad(order engine.Order) engine.OrderResult {
 	if s.leaving {
-		return s.verdict(engine.OrderLeaving, "")
+		return s.result(engine.OrderLeaving, "")
 	}
 	if order.MemoryBytes == 0 {
-		return s.verdict(engine.OrderInvalid, "memory_bytes missing")
+		return s.result(engine.OrderInvalid, "memory_bytes missing")
 	}
 	if held, ok := s.items[order.Model]; ok && held.State != engine.ItemFailed {
-		return s.verdict(engine.OrderInvalid, "model is "+string(held.State))
+		return s.result(engine.OrderInvalid, "model is "+string(held.State))
 	}
 	if order.Kind == engine.OrderLoad {
 		order.Base = ""
 	} else if !s.hasBase(order.Base) {
-		return s.verdict(engine.OrderUnknownModel, "base model not loaded")
+		return s.result(engine.OrderUnknownModel, "base model not loaded")
 	}
 	if !s.makeRoomForItem(order.MemoryBytes) {
-		return s.verdict(engine.OrderNoMemory, "")
+		return s.result(engine.OrderNoMemory, "")
 	}
 	s.items[order.Model] = &item{
 		Item: engine.Item{
@@ -79,25 +79,26 @@
 		checkpoint: order.Checkpoint,
 		urgent:     order.Urgent,
 	}
-	return s.verdict(engine.OrderAccepted, "")
+	return s.result(engine.OrderAccepted, "")
 }
 
-// hasBase tells whether the base model is there to take an adapter.
+// hasBase reports whether the base model is loading or loaded, so that adapters
+// can be added to it.
 func (s *engineState) hasBase(base api.ModelName) bool {
 	held, ok := s.items[base]
 	return ok && held.Base == "" && (held.State == engine.ItemLoading || held.State == engine.ItemReady)
 }
 
-// executeUnload starts an unload. Running requests finish first; the adapters
-// of a base model go with it.
+// executeUnload starts an unload. Running requests finish first. The adapters of
+// a base model are unloaded with it.
 func (s *engineState) executeUnload(order engine.Order) engine.OrderResult {
 	held, ok := s.items[order.Model]
 	if !ok || (order.Kind == engine.OrderUnloadAdapter) != (held.Base != "") {
-		return s.verdict(engine.OrderUnknownModel, "")
+		return s.result(engine.OrderUnknownModel, "")
 	}
 	if held.State == engine.ItemFailed {
 		delete(s.items, order.Model)
-		return s.verdict(engine.OrderAccepted, "")
+		return s.result(engine.OrderAccepted, "")
 	}
 	s.startUnload(held)
 	for _, other := range s.items {
@@ -105,7 +106,7 @@
 			s.startUnload(other)
 		}
 	}
-	return s.verdict(engine.OrderAccepted, "")
+	return s.result(engine.OrderAccepted, "")
 }
 
 func (s *engineState) startUnload(held *item) {
@@ -117,8 +118,8 @@
 	s.batch.refuseQueued(held.Model, s.now)
 }
 
-// nextLoad returns the item to fetch next, urgent ones first, then in the
-// order of the fences, or nil.
+// nextLoad returns the item to fetch next, or nil. Urgent items go first, then
+// those with the lowest fence.
 func (s *engineState) nextLoad() *item {
 	var next *item
 	fetching := 0
@@ -150,8 +151,8 @@
 	return a.Fence < b.Fence
 }
 
-// setProgress records how much of an item was fetched. It returns false when
-// the item is not loading any more.
+// setProgress records how much of an item was fetched. It returns false if the
+// item is no longer loading.
 func (s *engineState) setProgress(loaded *item, progress float64) bool {
 	if s.items[loaded.Model] != loaded || loaded.State != engine.ItemLoading {
 		return false
@@ -160,7 +161,7 @@
 	return true
 }
 
-// finishLoad makes a fetched item ready, or failed.
+// finishLoad marks an item as ready if its fetch succeeded, else as failed.
 func (s *engineState) finishLoad(loaded *item, succeeded bool) {
 	if s.items[loaded.Model] != loaded || loaded.State != engine.ItemLoading {
 		return
--- a/pkg/standin/engine_property_test.go
+++ b/pkg/standin/engine_property_test.go
@@ -23,16 +23,16 @@
 	return parameters
 }
 
-// stimulus is one thing that happens to an engine.
-type stimulus struct {
+// engineEvent is a random event: an order, a finished load or a request.
+type engineEvent struct {
 	Kind    int
 	Model   int
 	Size    int
 	Elapsed int
 }
 
-func genStimuli() gopter.Gen {
-	return gen.SliceOfN(120, gen.Struct(reflect.TypeFor[stimulus](), map[string]gopter.Gen{
+func genEngineEvents() gopter.Gen {
+	return gen.SliceOfN(120, gen.Struct(reflect.TypeFor[engineEvent](), map[string]gopter.Gen{
 		"Kind":    gen.IntRange(0, 5),
 		"Model":   gen.IntRange(0, 9),
 		"Size":    gen.IntRange(1, 40),
@@ -40,9 +40,9 @@
 	}))
 }
 
-// apply lets the stimulus happen; sequence is its number.
-func (s stimulus) apply(state *engineState, sequence int) {
-	state.after(time.Duration(s.Elapsed) * time.Millisecond)
+// apply applies the event to the state; sequence is the event's number.
+func (s engineEvent) apply(state *engineState, sequence int) {
+	state.advanceBy(time.Duration(s.Elapsed) * time.Millisecond)
 	model := api.ModelName(fmt.Sprint("m", s.Model))
 	fence := api.Fence(sequence + 1)
 	switch s.Kind {
@@ -62,7 +62,7 @@
 
 func TestMemoryIsNeverOvercommitted(t *testing.T) {
 	properties := gopter.NewProperties(fixedSeed())
-	properties.Property("used bytes stay within the capacity", prop.ForAll(func(stimuli []stimulus) string {
+	properties.Property("used bytes stay within the capacity", prop.ForAll(func(stimuli []engineEvent) string {
 		state := newTestState(testConfig())
 		accepted := 0
 		for i, next := range stimuli {
@@ -77,7 +77,7 @@
 			return "nothing was loaded"
 		}
 		return ""
-	}, genStimuli()))
+	}, genEngineEvents()))
 	properties.TestingRun(t)
 }
 
@@ -97,12 +97,12 @@
 	}
 	group.Wait()
 	if items := e.Inventory(engine.InventoryRequest{}).Items; len(items) != 3 {
-		t.Errorf("%d items of 3 GiB in 10 GiB", len(items))
+		t.Errorf("%d items of 3 GiB in 10 GiB of memory, want 3", len(items))
 	}
 }
 
-// TestOrdersTakeEffectInTheOrderOfTheirFences sends copies of orders in any
-// order: whatever takes effect has a higher fence than all before.
+// TestOrdersTakeEffectInTheOrderOfTheirFences sends repeated orders with random
+// fences. An order must take effect only if its fence is higher than all before.
 func TestOrdersTakeEffectInTheOrderOfTheirFences(t *testing.T) {
 	properties := gopter.NewProperties(fixedSeed())
 	properties.Property("accepted fences rise", prop.ForAll(func(fences []int) bool {
--- a/pkg/standin/engine_requests.go
+++ b/pkg/standin/engine_requests.go
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// cancel takes the generation out of the batch. It can still be resumed.
+// cancel removes the generation from the batch. It can still be resumed.
 func (s *engineState) cancel(g *generation) {
 	if g.ended() {
 		return
@@ -67,8 +67,8 @@
 	s.batch.compact()
 }
 
-// resume returns a generation that its caller takes up again. A cancelled one
-// goes back into the queue with what it has.
+// resume attaches a caller to an existing generation. A cancelled one is queued
+// again and continues where it stopped.
 func (s *engineState) resume(id string) (*generation, error) {
 	g, ok := s.batch.generations[id]
 	if !ok || g.phase == phaseRefused {
@@ -80,8 +80,8 @@
 		}
 		s.batch.add(g)
 	}
-	g.holder++
-	close(g.changed) // the caller before learns that it was replaced
+	g.attachment++
+	close(g.changed) // tells the previous caller that it was replaced
 	g.changed = make(chan struct{}, 1)
 	return g, nil
 }
@@ -95,7 +95,7 @@
 	PrefillLeft float64
 }
 
-// exportedRequest is the part of a generation that moves with its KV cache.
+// exportedRequest is the part of a generation that is exported with its KV cache.
 type exportedRequest struct {
 	Key      string
 	Prompt   string
@@ -126,8 +126,8 @@
 	return engine.KVExport{RequestID: g.id, Model: g.model, Events: data.Tokens, Data: encoded.Bytes()}, nil
 }
 
-// importKV puts a request into the state of a cancelled one, from which it is
-// resumed without computing anything again.
+// importKV adds a request in the cancelled state. Resuming it computes nothing
+// again.
 func (s *engineState) importKV(export engine.KVExport) error {
 	if s.leaving {
 		return ErrLeaving
--- a/pkg/standin/engine_state.go
+++ b/pkg/standin/engine_state.go
@@ -8,17 +8,17 @@
 	"martenwheel.dev/pkg/engine"
 )
 
-// item is a model or adapter in the engine's memory.
+// item is a model or adapter on the engine.
 type item struct {
 	engine.Item
 	checkpoint string
 	urgent     bool
 	fetching   bool
-	unloadedAt time.Time // when unloading: not free before
+	unloadedAt time.Time // while unloading: earliest time when the memory is free
 }
 
-// engineState is the state of an engine without its connections. Its methods
-// take the simulated time and are not safe for concurrent use.
+// engineState is the state of an engine without its connections. It uses
+// simulated time and is not safe for concurrent use.
 type engineState struct {
 	config   EngineConfig
 	instance string
@@ -32,15 +32,15 @@
 	role    string
 	leaving bool
 
-	unloadDelay time.Duration // on top of the config's, by a fault
+	unloadDelay time.Duration // added to the config's UnloadTime by a fault
 
 	hostCache *checkpointCache
 	diskCache *checkpointCache
 	prefixes  *prefixCache
 	batch     batch
-	executed  map[string]int      // starts by idempotency key or request ID
-	reports   []engine.LoadReport // none older than the lag but the first
-	reportDue bool                // the state may have changed since the last one
+	executed  map[string]int      // number of starts by idempotency key or request ID
+	reports   []engine.LoadReport // oldest first; at most the first is older than the lag
+	reportDue bool                // the state may have changed since the last report
 }
 
 func newEngineState(config EngineConfig, instance string, now time.Time) *engineState {
@@ -57,7 +57,7 @@
 	}
 }
 
-// itemBytes returns the memory that weights and adapters hold.
+// itemBytes returns the memory used by weights and adapters.
 func (s *engineState) itemBytes() uint64 {
 	var total uint64
 	for _, held := range s.items {
@@ -68,8 +68,8 @@
 	return total
 }
 
-// kvBytes returns the KV cache beyond its reserve, as it would be with extra
-// bytes more.
+// kvBytes returns the size of the KV cache beyond its reserve if extra bytes
+// were added.
 func (s *engineState) kvBytes(extra uint64) uint64 {
 	total := s.batch.kvBytes() + s.prefixes.bytes + extra
 	if total <= s.config.KVReserveBytes {
@@ -78,14 +78,14 @@
 	return total - s.config.KVReserveBytes
 }
 
-// fits tells whether the memory holds that many bytes more.
+// fits reports whether the memory can hold that many more bytes.
 func (s *engineState) fits(itemBytes, kvBytes uint64) bool {
 	used := s.itemBytes() + s.kvBytes(kvBytes)
 	return used <= s.config.MemoryBytes && itemBytes <= s.config.MemoryBytes-used
 }
 
-// makeRoomForItem shrinks the KV cache, first the cached prefixes, then the
-// least urgent running requests, until bytes fit.
+// makeRoomForItem shrinks the KV cache until an item of that many bytes fits. It
+// evicts cached prefixes first, then preempts the least urgent running requests.
 func (s *engineState) makeRoomForItem(bytes uint64) bool {
 	if held := s.itemBytes(); held > s.config.MemoryBytes || bytes > s.config.MemoryBytes-held {
 		return false
@@ -98,7 +98,7 @@
 	return true
 }
 
-// makeRoomForKV drops cached prefixes until bytes fit.
+// makeRoomForKV evicts cached prefixes until that many bytes of KV cache fit.
 func (s *engineState) makeRoomForKV(bytes uint64) bool {
 	for !s.fits(0, bytes) {
 		if !s.prefixes.evictOldest() {
@@ -108,7 +108,8 @@
 	return true
 }
 
-// advance brings the state to now: tokens, finished unloads, expired requests.
+// advance advances the state to now: it generates tokens, finishes unloads and
+// expires requests.
 func (s *engineState) advance(now time.Time) {
 	for s.now.Before(now) {
 		s.admit()
@@ -123,7 +124,7 @@
 	s.recordLoad()
 }
 
-// stepLimit returns how long the rates stay as they are.
+// stepLimit returns for how long the rates stay constant.
 func (s *engineState) stepLimit() time.Duration {
 	limit := s.batch.nextChange(s.config)
 	for _, held := range s.items {
@@ -134,8 +135,8 @@
 	return limit
 }
 
-// nextEvent returns how long nothing will be heard of the state, and false if
-// nothing is going on.
+// nextEvent returns the time until the next visible change of the state, and
+// false if nothing is in progress.
 func (s *engineState) nextEvent() (time.Duration, bool) {
 	limit, busy := s.batch.nextToken(s.config)
 	if s.reportDue {
@@ -171,13 +172,13 @@
 	return false
 }
 
-// serves tells whether requests for the model may run.
+// serves reports whether the model is ready for requests.
 func (s *engineState) serves(model api.ModelName) bool {
 	held, ok := s.items[model]
 	return ok && held.State == engine.ItemReady
 }
 
-// inventory raises the fence and returns the engine's own state.
+// inventory raises the fence to the request's and returns the inventory.
 func (s *engineState) inventory(request engine.InventoryRequest) engine.Inventory {
 	s.fence = max(s.fence, request.Fence)
 	kv := s.kvBytes(0)
@@ -207,8 +208,8 @@
 	return inventory
 }
 
-// recordLoad keeps the load as it is now for later reports, unless the last
-// record is fresh.
+// recordLoad records the present load for later reports, unless the last record
+// is younger than reportInterval.
 func (s *engineState) recordLoad() {
 	last := len(s.reports) - 1
 	s.reportDue = last >= 0 && s.now.Sub(s.reports[last].AsOf) < s.reportInterval()
@@ -233,7 +234,7 @@
 	return s.config.LoadReportLag / 8
 }
 
-// load returns the load as it was before the lag.
+// load returns the load as it was LoadReportLag ago.
 func (s *engineState) load() engine.LoadReport {
 	seen := s.now.Add(-s.config.LoadReportLag)
 	if len(s.reports) == 0 || s.reports[0].AsOf.After(seen) {
