--- a/pkg/standin/engine_state_test.go
+++ b/pkg/standin/engine_state_test.go
@@ -17,12 +17,12 @@
 	return newEngineState(config, "i1", testStart)
 }
 
-// after advances the state by d.
-func (s *engineState) after(d time.Duration) {
+// advanceBy advances the state by d.
+func (s *engineState) advanceBy(d time.Duration) {
 	s.advance(s.now.Add(d))
 }
 
-// loadNow makes the model ready at once.
+// loadNow loads the model without delay.
 func (s *engineState) loadNow(t *testing.T, order engine.Order) {
 	t.Helper()
 	if result := s.order(order); result.Status != engine.OrderAccepted {
@@ -55,7 +55,7 @@
 	steps := []struct {
 		name  string
 		order engine.Order
-		raise api.Fence // an inventory instead of an order
+		raise api.Fence // if not zero, request the inventory with this fence instead of an order
 		want  engine.OrderStatus
 	}{
 		{"no fence", load("z", 0, "a"), 0, engine.OrderInvalid},
@@ -100,7 +100,7 @@
 	state.order(engine.Order{ID: "u", Fence: 2, Kind: engine.OrderUnload, Model: "a"})
 	refused := loadOrder(3, "b", 4*gibibyte)
 	first := state.order(refused)
-	state.after(time.Minute) // the memory is free now
+	state.advanceBy(time.Minute) // the memory is free now
 	again := state.order(refused)
 	if first.Status != engine.OrderNoMemory || again != first || len(state.items) != 0 {
 		t.Errorf("first %+v, again %+v, %d items", first, again, len(state.items))
@@ -127,9 +127,9 @@
 	}
 	state.finishLoad(state.items["a:x"], true)
 	state.order(engine.Order{ID: "u", Fence: 4, Kind: engine.OrderUnload, Model: "a"})
-	state.after(time.Minute)
+	state.advanceBy(time.Minute)
 	if len(state.items) != 0 {
-		t.Errorf("%d items left", len(state.items))
+		t.Errorf("%d items left after the unload of the base", len(state.items))
 	}
 }
 
@@ -140,16 +140,16 @@
 	state.loadNow(t, loadOrder(1, "a", gibibyte))
 	running := state.mustSubmit(t, submission{id: "r", model: "a", maxTokens: 600})
 	queued := state.mustSubmit(t, submission{id: "q", model: "a", maxTokens: 1})
-	state.after(time.Second)
+	state.advanceBy(time.Second)
 	state.order(engine.Order{ID: "u", Fence: 2, Kind: engine.OrderUnload, Model: "a"})
 	if queued.phase != phaseRefused || state.executed["q"] != 0 {
 		t.Errorf("queued request in phase %d, executed %v", queued.phase, state.executed)
 	}
-	state.after(2 * time.Second)
+	state.advanceBy(2 * time.Second)
 	if len(state.items) != 1 || !running.running() {
-		t.Fatalf("%d items, running %t: the memory was freed under a request", len(state.items), running.running())
+		t.Fatalf("%d items, running %t: the memory was freed while a request was running", len(state.items), running.running())
 	}
-	state.after(time.Minute)
+	state.advanceBy(time.Minute)
 	if len(state.items) != 0 || running.phase != phaseFinished {
 		t.Errorf("%d items, phase %d", len(state.items), running.phase)
 	}
@@ -165,17 +165,17 @@
 		for i := range size {
 			last = state.mustSubmit(t, submission{id: fmt.Sprint(i), model: "a", maxTokens: 5000})
 		}
-		state.after(10 * time.Second)
+		state.advanceBy(10 * time.Second)
 		return float64(last.tokens()) / 10
 	}
 	for _, size := range []int{1, 2, 16, 64} {
 		want := config.TokensPerSecond / (1 + config.BatchSlowdown*float64(size-1))
 		if got := rate(size); math.Abs(got-want) > 0.2 {
-			t.Errorf("batch of %d: %.1f tokens a second each, want %.1f", size, got, want)
+			t.Errorf("batch of %d: %.1f tokens per second each, want %.1f", size, got, want)
 		}
 	}
 	if got := rate(65); got != 0 {
-		t.Errorf("the request beyond the batch ran at %.1f", got)
+		t.Errorf("the request beyond the maximum batch size ran at %.1f tokens per second", got)
 	}
 }
 
@@ -187,14 +187,14 @@
 	low := state.mustSubmit(t, submission{id: "low", model: "a", maxTokens: 10})
 	urgent := state.mustSubmit(t, submission{id: "urgent", model: "a", maxTokens: 10, priority: 5})
 	late := state.mustSubmit(t, submission{id: "late", model: "a", maxTokens: 10, deadline: testStart.Add(time.Millisecond)})
-	state.after(100 * time.Millisecond)
+	state.advanceBy(100 * time.Millisecond)
 	if urgent.tokens() == 0 || low.tokens() != 0 {
 		t.Errorf("urgent has %d tokens, low %d", urgent.tokens(), low.tokens())
 	}
 	if late.phase != phaseRefused || state.executed["late"] != 0 {
 		t.Errorf("late request in phase %d, executed %v", late.phase, state.executed)
 	}
-	state.after(time.Minute)
+	state.advanceBy(time.Minute)
 	if low.phase != phaseFinished {
 		t.Errorf("low in phase %d", low.phase)
 	}
@@ -208,7 +208,7 @@
 	state.loadNow(t, loadOrder(1, "a", gibibyte))
 	low := state.mustSubmit(t, submission{id: "low", model: "a", maxTokens: config.MaxTokens})
 	high := state.mustSubmit(t, submission{id: "high", model: "a", maxTokens: config.MaxTokens, priority: 1})
-	state.after(time.Second)
+	state.advanceBy(time.Second)
 	before := low.tokens()
 	if result := state.order(loadOrder(2, "b", 4*gibibyte)); result.Status != engine.OrderAccepted || before == 0 {
 		t.Fatalf("load: %+v, %d tokens", result, before)
@@ -216,7 +216,7 @@
 	if low.phase != phaseQueued || !high.running() {
 		t.Errorf("low in phase %d, high in phase %d", low.phase, high.phase)
 	}
-	state.after(time.Hour)
+	state.advanceBy(time.Hour)
 	if low.phase != phaseFinished || high.phase != phaseFinished || state.executed["low"] != 1 {
 		t.Errorf("low in phase %d, high in phase %d, executed %v", low.phase, high.phase, state.executed)
 	}
@@ -226,10 +226,10 @@
 	state := newTestState(testConfig())
 	state.loadNow(t, loadOrder(1, "a", gibibyte))
 	g := state.mustSubmit(t, submission{id: "r", model: "a", maxTokens: 120})
-	state.after(time.Second)
+	state.advanceBy(time.Second)
 	state.cancel(g)
 	stopped := g.tokens()
-	state.after(10 * time.Second)
+	state.advanceBy(10 * time.Second)
 	if g.tokens() != stopped || state.batch.kvBytes() != 0 || len(state.batch.active) != 0 {
 		t.Fatalf("%d tokens after %d, %d bytes of KV cache", g.tokens(), stopped, state.batch.kvBytes())
 	}
@@ -237,24 +237,24 @@
 	if err != nil || resumed != g {
 		t.Fatalf("resume: %v", err)
 	}
-	state.after(1100 * time.Millisecond)
+	state.advanceBy(1100 * time.Millisecond)
 	if g.phase != phaseFinished || state.executed["r"] != 1 {
-		t.Errorf("phase %d with %d tokens, executed %v", g.phase, g.tokens(), state.executed)
+		t.Errorf("the resumed request is in phase %d with %d tokens, executed %v", g.phase, g.tokens(), state.executed)
 	}
-	state.after(2 * state.config.ResumeWindow)
+	state.advanceBy(2 * state.config.ResumeWindow)
 	if _, err := state.resume("r"); err != ErrUnknownRequest {
-		t.Errorf("resume after the window: %v", err)
+		t.Errorf("resume after the window: error %v, want ErrUnknownRequest", err)
 	}
 }
 
 func TestExportedRequestContinuesElsewhereWithoutRecompute(t *testing.T) {
 	config := testConfig()
-	config.PrefillTokensPerSecond = 1 // a recompute would take an hour
+	config.PrefillTokensPerSecond = 1 // recomputing the prompt would take an hour
 	from, to := newTestState(config), newTestState(config)
 	from.loadNow(t, loadOrder(1, "a", gibibyte))
 	to.loadNow(t, loadOrder(1, "a", gibibyte))
 	g := from.mustSubmit(t, submission{id: "r", key: "k", model: "a", prompt: strings.Repeat("long", 3600), maxTokens: 120})
-	from.after(time.Hour + time.Second)
+	from.advanceBy(time.Hour + time.Second)
 	export, err := from.exportKV(engine.KVExportRequest{RequestID: "r", Cancel: true})
 	if err != nil || export.Events != g.tokens() || export.Events < 50 || g.phase != phaseCancelled {
 		t.Fatalf("export %d events of %d, error %v", export.Events, g.tokens(), err)
@@ -267,14 +267,14 @@
 		t.Fatal(err)
 	}
 	if moved.tokens() != export.Events || moved.prompt != g.prompt || moved.target != g.target {
-		t.Errorf("moved with %d tokens of %d", moved.tokens(), moved.target)
+		t.Errorf("the imported request has %d tokens of %d", moved.tokens(), moved.target)
 	}
-	to.after(1100 * time.Millisecond)
+	to.advanceBy(1100 * time.Millisecond)
 	if moved.phase != phaseFinished || to.executed["k"] != 0 || from.executed["k"] != 1 {
-		t.Errorf("phase %d, executed %v and %v", moved.phase, from.executed, to.executed)
+		t.Errorf("the imported request is in phase %d, executed %v and %v", moved.phase, from.executed, to.executed)
 	}
 	if err := to.importKV(engine.KVExport{RequestID: "x", Model: "a", Data: []byte("no gob")}); err == nil {
-		t.Error("a broken KV cache was imported")
+		t.Error("an invalid KV cache was imported")
 	}
 }
 
@@ -285,24 +285,24 @@
 	state.loadNow(t, loadOrder(1, "a", gibibyte))
 	prompt := strings.Repeat("x", 100*engine.PrefixBlockBytes)
 	first := state.mustSubmit(t, submission{id: "1", model: "a", prompt: prompt, maxTokens: 10})
-	state.after(config.CacheEventLag / 2)
+	state.advanceBy(config.CacheEventLag / 2)
 	if events := state.prefixes.eventsAfter(0, state.now); len(events.Events) != 0 {
 		t.Errorf("%d events before the lag", len(events.Events))
 	}
-	state.after(10 * time.Second)
+	state.advanceBy(10 * time.Second)
 	second := state.mustSubmit(t, submission{id: "2", model: "a", prompt: prompt, maxTokens: 10})
-	state.after(10 * time.Second)
+	state.advanceBy(10 * time.Second)
 	if first.cachedTokens != 0 || second.cachedTokens != 100*engine.PrefixBlockBytes/bytesPerToken {
 		t.Errorf("cached tokens %d, then %d", first.cachedTokens, second.cachedTokens)
 	}
 	events := state.prefixes.eventsAfter(0, state.now).Events
 	if len(events) < 50 || len(events) > 90 {
-		t.Errorf("%d of 100 events", len(events))
+		t.Errorf("%d of 100 events arrived, want 50 to 90", len(events))
 	}
 	prefixes := engine.PrefixHashes(prompt, engine.PrefixBlockBytes)
 	for _, event := range events {
 		if !event.Stored || event.Prefix != prefixes[event.Sequence-1] {
-			t.Errorf("event %+v", event)
+			t.Errorf("event %+v does not match its prefix", event)
 		}
 	}
 }
@@ -311,14 +311,14 @@
 	config := testConfig()
 	state := newTestState(config)
 	state.loadNow(t, loadOrder(1, "a", gibibyte))
-	state.after(time.Millisecond)
-	state.after(config.LoadReportLag * 2)
+	state.advanceBy(time.Millisecond)
+	state.advanceBy(config.LoadReportLag * 2)
 	state.mustSubmit(t, submission{id: "1", model: "a", maxTokens: 600})
-	state.after(config.LoadReportLag / 2)
+	state.advanceBy(config.LoadReportLag / 2)
 	if report := state.load(); len(report.Models) != 1 || report.Models[0].Running != 0 {
 		t.Errorf("report %+v before the lag", report)
 	}
-	state.after(config.LoadReportLag)
+	state.advanceBy(config.LoadReportLag)
 	if report := state.load(); report.Models[0].Running != 1 || state.now.Sub(report.AsOf) < config.LoadReportLag {
 		t.Errorf("report %+v after the lag", report)
 	}
--- a/pkg/standin/engine_test.go
+++ b/pkg/standin/engine_test.go
@@ -42,7 +42,7 @@
 func waitReady(t *testing.T, e *Engine, model api.ModelName) {
 	t.Helper()
 	if !e.WaitState(t.Context(), model, engine.ItemReady) {
-		t.Fatal("model never ready")
+		t.Fatal("the model did not become ready")
 	}
 }
 
@@ -63,7 +63,7 @@
 	return response
 }
 
-// readEvents returns the data of the events up to the end mark.
+// readEvents returns the data of the events and whether the end mark followed.
 func readEvents(t *testing.T, body io.Reader) (events []string, done bool) {
 	t.Helper()
 	lines := bufio.NewScanner(body)
@@ -146,6 +146,6 @@
 		t.Errorf("status %d, headers %v", refused.StatusCode, refused.Header)
 	}
 	if executed := server.Executed(); executed["r1"] != 1 || executed["r2"] != 1 || len(executed) != 2 {
-		t.Errorf("executed %v", executed)
+		t.Errorf("executed %v, want r1 and r2 once each", executed)
 	}
 }
--- a/pkg/standin/faults.go
+++ b/pkg/standin/faults.go
@@ -8,46 +8,48 @@
 	"time"
 )
 
-// PathFaults takes a map from part to Faults as JSON (POST) and returns the
-// present one (GET).
+// PathFaults is the path at which faults are set (POST of a JSON map from part
+// to Faults) and read (GET).
 const PathFaults = "/standin/v1/faults"
 
-// Parts that faults are set for.
+// Parts for which faults can be set.
 const (
 	PartTable    = "table"    // of the platform
 	PartObjects  = "objects"  // of the platform
 	PartWeights  = "weights"  // of the platform
 	PartMachines = "machines" // of the platform
-	PartEngine   = "engine"   // all of an engine; a frozen one computes nothing
+	PartEngine   = "engine"   // a whole engine; a frozen one computes nothing
 	PartOrders   = "orders"   // of an engine: orders and inventories
 	PartRequests = "requests" // of an engine: callers' requests
 	PartReports  = "reports"  // of an engine: load and cache events
 )
 
-// Faults of one part. The zero value has none. Times are wall-clock
-// milliseconds.
+// Faults are the faults of one part. The zero value has none. Times are
+// wall-clock milliseconds.
 type Faults struct {
-	SlowMilliseconds int  `json:"slow_ms,omitempty"`  // before each request
-	Refuse           bool `json:"refuse,omitempty"`   // answer 503 with no effect
-	Hang             bool `json:"hang,omitempty"`     // never answer, with no effect
-	Freeze           bool `json:"freeze,omitempty"`   // go on when it is cleared
-	Throttle         bool `json:"throttle,omitempty"` // refuse by the rate limit
+	SlowMilliseconds int  `json:"slow_ms,omitempty"`  // delay before each request
+	Refuse           bool `json:"refuse,omitempty"`   // answer 503 without effect
+	Hang             bool `json:"hang,omitempty"`     // never answer, without effect
+	Freeze           bool `json:"freeze,omitempty"`   // hold requests and execute them when the fault is cleared
+	Throttle         bool `json:"throttle,omitempty"` // refuse as if the rate limit were exceeded
 	LoseAnswers      int  `json:"lose_answers,omitempty"`
 	LoseRequests     int  `json:"lose_requests,omitempty"`
 
-	// Table only: reads that are not consistent see the state as of now.
+	// Table only: reads that are not consistent see the state at the time when
+	// the fault was set.
 	StaleReads bool `json:"stale_reads,omitempty"`
 
-	// Weights only: transfers run that many times slower.
+	// Weights only: factor by which transfers are slower.
 	SlowFactor float64 `json:"slow_factor,omitempty"`
 
-	// Engines, requests only: the next answers are cut half-way, end early
-	// as if complete, or go over into another request's answer.
+	// Requests to engines only: how many of the next answers are cut half-way,
+	// end early as if complete, or continue with another request's answer.
 	CutAnswers      int `json:"cut_answers,omitempty"`
 	TruncateAnswers int `json:"truncate_answers,omitempty"`
 	MixAnswers      int `json:"mix_answers,omitempty"`
 
-	// Engines, orders only: the next loads fail; unloads take longer.
+	// Orders to engines only: how many of the next loads fail, and how much
+	// longer unloads take.
 	FailLoads          int `json:"fail_loads,omitempty"`
 	UnloadMilliseconds int `json:"unload_ms,omitempty"`
 }
@@ -83,8 +85,8 @@
 	return f.parts[part], f.changed
 }
 
-// take counts one of the part's limited faults down. It returns false if none
-// is left.
+// take decrements one of the part's counted faults. It returns false if the
+// counter is zero.
 func (f *faultSet) take(part string, counter func(*Faults) *int) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -98,7 +100,7 @@
 	return true
 }
 
-// waitThawed waits while the part is frozen. It returns false when ctx ended.
+// waitThawed waits while the part is frozen. It returns false if ctx ends.
 func (f *faultSet) waitThawed(ctx context.Context, part string) bool {
 	for {
 		faults, changed := f.get(part)
@@ -113,10 +115,10 @@
 	}
 }
 
-// wrap puts the part's faults before handler.
+// wrap returns a handler that applies the part's faults before it calls handler.
 func (f *faultSet) wrap(part string, handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		// A frozen part executes what was sent also when the sender left.
+		// A frozen part later executes requests even if their senders left.
 		f.waitThawed(context.WithoutCancel(request.Context()), part)
 		faults, _ := f.get(part)
 		if faults.SlowMilliseconds > 0 {
@@ -141,7 +143,7 @@
 	})
 }
 
-// writeThrottled refuses in the protocol of the part.
+// writeThrottled writes a throttling error in the protocol of the part.
 func writeThrottled(writer http.ResponseWriter, part string) {
 	switch part {
 	case PartTable:
@@ -168,7 +170,7 @@
 	}
 }
 
-// serveAdmin reads and sets faults.
+// serveAdmin handles requests to read and set faults.
 func (f *faultSet) serveAdmin(writer http.ResponseWriter, request *http.Request) {
 	if request.Method == http.MethodPost {
 		var parts map[string]Faults
--- a/pkg/standin/generation.go
+++ b/pkg/standin/generation.go
@@ -6,7 +6,7 @@
 	"martenwheel.dev/pkg/api"
 )
 
-// phase is where a generation stands.
+// phase is the phase that a generation is in.
 type phase uint8
 
 const (
@@ -14,11 +14,11 @@
 	phasePrefill
 	phaseDecoding
 	phaseFinished
-	phaseCancelled // by the caller, or its caller left; can be resumed
-	phaseRefused   // nothing of it ran
+	phaseCancelled // cancelled by the caller, or the caller left; can be resumed
+	phaseRefused   // no part of the request ran
 )
 
-// generation is the work for one request.
+// generation is the processing of one request.
 type generation struct {
 	id           string // request ID
 	key          string // idempotency key, else the request ID
@@ -29,23 +29,23 @@
 	target       int // tokens to generate
 	finishReason string
 	priority     int
-	arrival      uint64    // order of arrival
+	arrival      uint64    // position in the order of arrival
 	deadline     time.Time // not started after it; zero for none
 
 	phase        phase
-	refusal      string // when refused
+	refusal      string // reason if refused
 	started      bool   // has been in the batch
-	cachedTokens int    // of the prompt, found in the prefix cache
+	cachedTokens int    // prompt tokens found in the prefix cache
 	prefillLeft  float64
 	stored       bool // its prefixes are in the prefix cache
 	produced     float64
 	kvBytes      uint64 // held while in the batch
 	endedAt      time.Time
-	holder       int           // counts the callers that took it up
-	changed      chan struct{} // signalled on each token and phase
+	attachment   int           // number of resumes; identifies the attached caller
+	changed      chan struct{} // signalled on each new token and on the end
 }
 
-// tokens returns how many whole tokens are there.
+// tokens returns the number of whole tokens generated.
 func (g *generation) tokens() int {
 	return min(int(g.produced+tokenTolerance), g.target)
 }
@@ -65,7 +65,7 @@
 	}
 }
 
-// before tells whether g goes into the batch before other.
+// before reports whether g is admitted to the batch before other.
 func (g *generation) before(other *generation) bool {
 	if g.priority != other.priority {
 		return g.priority > other.priority
--- a/pkg/standin/generation_text.go
+++ b/pkg/standin/generation_text.go
@@ -7,19 +7,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Mark returns the word that marks every token of the answers to a prompt.
+// Mark returns a hash of the model and prompt that is part of every token of the
+// answers to that prompt.
 func Mark(model, prompt string) string {
 	return fmt.Sprintf("%08x", uint32(xxhash.Sum64String(model+"\x00"+prompt)))
 }
 
-// TokenText returns the token with the number i of the answer to a request:
-// the mark of the prompt, the mark of the request and the number. It depends
-// on nothing else, so that every engine continues an answer in the same way.
+// TokenText returns token number i of the answer to a request: the mark of the
+// prompt, a hash of the request ID, and the number. It depends on nothing else,
+// so that every engine continues an answer in the same way.
 func TokenText(model, prompt, requestID string, i int) string {
 	return tokenPrefix(model, prompt, requestID) + strconv.Itoa(i) + " "
 }
 
-// AnswerText returns the whole answer of count tokens.
+// AnswerText returns the complete answer of count tokens.
 func AnswerText(model, prompt, requestID string, count int) string {
 	prefix := tokenPrefix(model, prompt, requestID)
 	var text []byte
--- a/pkg/standin/json.go
+++ b/pkg/standin/json.go
@@ -12,15 +12,15 @@
 
 func writeJSON(writer http.ResponseWriter, answer any) {
 	writer.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(writer).Encode(answer) // the caller left
+	_ = json.NewEncoder(writer).Encode(answer) // fails only if the caller left
 }
 
 func readJSON(body io.Reader, request any) error {
 	return errors.Wrap(json.NewDecoder(body).Decode(request), "body")
 }
 
-// postJSON posts request and decodes the answer into answer unless it is nil.
-// It returns the status, zero without an answer.
+// postJSON posts request and decodes the response into answer unless answer is
+// nil. It returns the HTTP status, or zero if there was no response.
 func postJSON(ctx context.Context, client *http.Client, url string, request, answer any) (int, error) {
 	body, err := json.Marshal(request)
 	if err != nil {
--- a/pkg/standin/machines.go
+++ b/pkg/standin/machines.go
@@ -18,8 +18,8 @@
 	PathMachineChanges = "/standin/v1/machines" // POST platform.Machine
 )
 
-// machineList is the list of machines, of which readers see an older version.
-// Safe for concurrent use.
+// machineList is the list of machines. Readers see it with a lag. It is safe for
+// concurrent use.
 type machineList struct {
 	clock *Clock
 	lag   time.Duration
@@ -51,8 +51,8 @@
 	m.versions = append(m.versions, next)
 }
 
-// list returns the machines of a region, or of all with an empty name, as they
-// were before the lag.
+// list returns the machines of a region, or of all regions if region is empty,
+// as they were one lag ago.
 func (m *machineList) list(region string) platform.MachineList {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -84,8 +84,8 @@
 	}))
 }
 
-// tellPlatform enters the machine into the list of the platform at address.
-func tellPlatform(ctx context.Context, address string, machine platform.Machine) error {
+// registerMachine puts the machine on the list of the platform at address.
+func registerMachine(ctx context.Context, address string, machine platform.Machine) error {
 	client := &http.Client{Timeout: 5 * time.Second}
 	_, err := postJSON(ctx, client, "http://"+address+PathMachineChanges, machine, nil)
 	return err
--- a/pkg/standin/objects.go
+++ b/pkg/standin/objects.go
@@ -18,7 +18,7 @@
 	"golang.org/x/time/rate"
 )
 
-// maxKeysPerPage is the length of a page of a list of objects.
+// maxKeysPerPage is the page size of a list of objects.
 const maxKeysPerPage = 1000
 
 // object is one stored object.
@@ -28,8 +28,8 @@
 	modified time.Time
 }
 
-// objectStore speaks the part of the S3 protocol that reads, writes, deletes
-// and lists objects. Signatures are not checked. Safe for concurrent use.
+// objectStore implements the part of the S3 protocol that reads, writes, deletes
+// and lists objects. It does not check signatures. It is safe for concurrent use.
 type objectStore struct {
 	clock   *Clock
 	limiter *rate.Limiter
@@ -151,10 +151,10 @@
 func writeXML(writer http.ResponseWriter, status int, answer any) {
 	writer.Header().Set("Content-Type", "application/xml")
 	writer.WriteHeader(status)
-	_ = xml.NewEncoder(writer).Encode(answer) // the caller left
+	_ = xml.NewEncoder(writer).Encode(answer) // fails only if the caller left
 }
 
-// readObject reads the body of a PUT, which may be in signed chunks.
+// readObject reads the body of a PUT request, which may be in signed chunks.
 func readObject(request *http.Request) ([]byte, error) {
 	if !strings.HasPrefix(request.Header.Get("X-Amz-Content-Sha256"), "STREAMING-") {
 		return io.ReadAll(request.Body)
--- a/pkg/standin/platform.go
+++ b/pkg/standin/platform.go
@@ -9,21 +9,22 @@
 	"martenwheel.dev/pkg/platform"
 )
 
-// PlatformConfig describes a platform. Start from DefaultPlatformConfig: zeros
-// are taken as they are, but for a Speed of zero, which counts as one.
+// PlatformConfig configures a platform. Start from DefaultPlatformConfig: zero
+// fields are not replaced by defaults, except that a Speed of zero means one.
 type PlatformConfig struct {
 	Speed float64 // simulated seconds per second
 
 	LoadStartsPerSecond float64
 	LoadsAtFullSpeed    int
-	LoadBytesPerSecond  float64 // of one transfer at full speed
+	LoadBytesPerSecond  float64 // rate of one transfer at full speed
 
-	TableRequestsPerSecond  float64 // zero for no limit
-	ObjectRequestsPerSecond float64 // zero for no limit
+	TableRequestsPerSecond  float64 // zero: no limit
+	ObjectRequestsPerSecond float64 // zero: no limit
 	MachineListLag          time.Duration
 }
 
-// DefaultPlatformConfig returns a platform of the smaller deployment's size.
+// DefaultPlatformConfig returns the configuration of a platform for a small
+// deployment.
 func DefaultPlatformConfig() PlatformConfig {
 	return PlatformConfig{
 		Speed:                   1,
@@ -36,7 +37,7 @@
 	}
 }
 
-// Platform is a stand-in for the platform. Safe for concurrent use.
+// Platform is a stand-in for the platform. It is safe for concurrent use.
 type Platform struct {
 	faults   *faultSet
 	weights  *weightStore
@@ -62,7 +63,7 @@
 	return p
 }
 
-// newLimiter allows a burst of one second's requests.
+// newLimiter returns a limiter with a burst of one second's requests.
 func newLimiter(perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return rate.NewLimiter(rate.Inf, 0)
@@ -90,8 +91,8 @@
 	return http.MaxBytesHandler(mux, maxBodyBytes)
 }
 
-// Handler returns the platform's HTTP API: the table service at "/", the
-// object store at the buckets' paths, the weight store and the machines.
+// Handler returns the platform's HTTP API: the table service at "/", the object
+// store at the paths of its buckets, the weight store and the list of machines.
 func (p *Platform) Handler() http.Handler {
 	return p.handler
 }
@@ -101,13 +102,13 @@
 	return p.weights
 }
 
-// SetFaults replaces the faults of a part.
+// SetFaults replaces the faults of a part of the platform.
 func (p *Platform) SetFaults(part string, faults Faults) {
 	p.faults.set(part, faults)
 }
 
-// PutMachine adds a machine to the list or replaces the one with its ID.
-// Readers see it after the lag.
+// PutMachine adds a machine to the list or replaces the one with the same ID.
+// Readers see the change after MachineListLag.
 func (p *Platform) PutMachine(machine platform.Machine) {
 	p.machines.put(machine)
 }
--- a/pkg/standin/platform_test.go
+++ b/pkg/standin/platform_test.go
@@ -25,8 +25,8 @@
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
-		if started < 20 || started > 22 { // two a second and a burst of two
-			t.Errorf("%d starts in 10 s at 2 a second", started)
+		if started < 20 || started > 22 { // two per second and a burst of two
+			t.Errorf("%d starts in 10 s with a limit of 2 per second, want 20 to 22", started)
 		}
 	})
 }
@@ -72,15 +72,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(transferLease + time.Second)
+		time.Sleep(transferIdleTimeout + time.Second)
 		if _, err := weights.Fetched(t.Context(), id); err != ErrUnknownTransfer {
-			t.Errorf("error %v", err)
+			t.Errorf("error %v, want ErrUnknownTransfer", err)
 		}
 	})
 }
 
-// runEngine runs an engine on the platform's weight store while test runs, in
-// virtual time.
+// runEngine calls test with a running engine that loads from a platform's weight
+// store, in virtual time.
 func runEngine(t *testing.T, config EngineConfig, test func(t *testing.T, e *Engine, p *Platform)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -122,11 +122,11 @@
 		unloadNow(t, e, 2, "a")
 		memory := timeLoad(t, e, loadOrder(3, "a", 4*gibibyte))
 		unloadNow(t, e, 4, "a")
-		timeLoad(t, e, loadOrder(5, "b", 4*gibibyte)) // takes the place in memory
+		timeLoad(t, e, loadOrder(5, "b", 4*gibibyte)) // evicts a from the host's memory
 		unloadNow(t, e, 6, "b")
 		disk := timeLoad(t, e, loadOrder(7, "a", 4*gibibyte))
 		if memory > 300*time.Millisecond || disk < 700*time.Millisecond || disk > time.Second || remote < 2*time.Second || remote > 3*time.Second {
-			t.Errorf("memory %v, disk %v, remote %v", memory, disk, remote)
+			t.Errorf("load times: memory %v, disk %v, remote %v", memory, disk, remote)
 		}
 		cached := e.Inventory(engine.InventoryRequest{}).Cached
 		want := []engine.CachedCheckpoint{{Checkpoint: "c-a", Tier: engine.TierMemory}, {Checkpoint: "c-b", Tier: engine.TierDisk}}
@@ -153,8 +153,8 @@
 				ready++
 			}
 		}
-		if ready > 2 { // the first one may have been under way
-			t.Errorf("%d models ready when the urgent one was", ready)
+		if ready > 2 { // the load of m0 may have started before the urgent order
+			t.Errorf("%d models were ready when the urgent one became ready, want at most 2", ready)
 		}
 	})
 }
@@ -167,13 +167,13 @@
 		time.Sleep(time.Second)
 		unloadNow(t, e, 2, "a")
 		if used := e.Inventory(engine.InventoryRequest{}).UsedBytes; used != 0 {
-			t.Errorf("%d bytes used", used)
+			t.Errorf("%d bytes used after the unload", used)
 		}
 		time.Sleep(time.Second)
 		p.weights.mutex.Lock()
 		defer p.weights.mutex.Unlock()
 		if len(p.weights.transfers) != 0 {
-			t.Errorf("%d transfers go on", len(p.weights.transfers))
+			t.Errorf("%d transfers continue after the unload", len(p.weights.transfers))
 		}
 	})
 }
@@ -187,7 +187,7 @@
 		e.SetFaults(PartEngine, Faults{Freeze: true})
 		time.Sleep(time.Minute)
 		if item := e.Inventory(engine.InventoryRequest{}).Items[0]; item.State != engine.ItemLoading || item.Progress > 0.6 {
-			t.Errorf("frozen: %+v", item)
+			t.Errorf("the frozen engine continued to load: %+v", item)
 		}
 		e.SetFaults(PartEngine, Faults{})
 		waitReady(t, e, "a")
@@ -227,25 +227,25 @@
 		key := recordKey{partition: "p", key: "k"}
 		put := []action{{key: key, condition: condition{missing: true}, put: record{}}}
 		if got := table.transact("t", 1, put); got.failed != nil || got.mismatch {
-			t.Fatalf("first: %+v", got)
+			t.Fatalf("first transaction: %+v", got)
 		}
-		time.Sleep(tokenMemory)
+		time.Sleep(tokenRetention)
 		if got := table.transact("t", 1, put); got.failed != nil {
-			t.Errorf("repeat within the memory: %+v", got)
+			t.Errorf("repeat while the token is remembered: %+v", got)
 		}
 		time.Sleep(time.Second)
 		if got := table.transact("t", 1, put); got.failed == nil {
-			t.Errorf("repeat after the memory had an effect: %+v", got)
+			t.Errorf("repeat after the token was forgotten was not checked against its condition: %+v", got)
 		}
 		allowed := 0
-		for range 10_000 { // ten seconds at a thousand a second
+		for range 10_000 { // ten seconds at a thousand per second
 			if table.limiter.AllowN(table.clock.Now(), 1) {
 				allowed++
 			}
 			time.Sleep(time.Millisecond)
 		}
 		if allowed < 2000 || allowed > 2210 {
-			t.Errorf("%d requests in 10 s at 200 a second", allowed)
+			t.Errorf("%d requests in 10 s with a limit of 200 per second, want 2000 to 2210", allowed)
 		}
 	})
 }
--- a/pkg/standin/server.go
+++ b/pkg/standin/server.go
@@ -12,10 +12,11 @@
 	"martenwheel.dev/pkg/platform"
 )
 
-// tellPlatformInterval is the wait before the platform is told again.
-const tellPlatformInterval = 200 * time.Millisecond
+// registerRetryInterval is the wait before another attempt to register with the
+// platform.
+const registerRetryInterval = 200 * time.Millisecond
 
-// server serves a handler on an address.
+// server is an HTTP server with a listener.
 type server struct {
 	address string
 	http    *http.Server
@@ -23,8 +24,8 @@
 	group   conc.WaitGroup
 }
 
-// listen starts to serve handler on address (IP:port; port 0 lets the kernel
-// choose).
+// listen starts serving handler on address (IP:port, port 0 for any). The
+// returned context ends when the server is closed.
 func listen(address string, handler http.Handler) (*server, context.Context, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -40,12 +41,12 @@
 	return s, ctx, nil
 }
 
-// Address returns the IP:port that is served.
+// Address returns the IP:port of the listener.
 func (s *server) Address() string {
 	return s.address
 }
 
-// Close ends the server at once, as a crash would.
+// Close stops the server at once, as a crash would.
 func (s *server) Close() {
 	s.cancel()
 	_ = s.http.Close()
@@ -74,8 +75,8 @@
 	*server
 }
 
-// ListenEngine starts an engine on address (IP:port, port 0 for any) and
-// enters it into the list of the config's platform, as soon as that answers.
+// ListenEngine starts an engine on address (IP:port, port 0 for any) and puts it
+// on the machine list of the config's platform as soon as the platform answers.
 func ListenEngine(address string, config EngineConfig) (*EngineServer, error) {
 	var weights WeightSource
 	if config.Platform != "" {
@@ -88,14 +89,14 @@
 	}
 	s.group.Go(func() { e.Run(ctx) })
 	engineServer := &EngineServer{Engine: e, server: s}
-	if engineServer.tellPlatform(ctx, platform.MachineLive) != nil {
-		s.group.Go(func() { engineServer.keepTelling(ctx) })
+	if engineServer.register(ctx, platform.MachineLive) != nil {
+		s.group.Go(func() { engineServer.keepRegistering(ctx) })
 	}
-	s.group.Go(func() { engineServer.tellWhenLeaving(ctx) })
+	s.group.Go(func() { engineServer.registerWhenLeaving(ctx) })
 	return engineServer, nil
 }
 
-// Machine returns the entry of the engine in the list of machines.
+// Machine returns the engine's entry in the list of machines.
 func (s *EngineServer) Machine(state platform.MachineState) platform.Machine {
 	return platform.Machine{
 		ID:          s.config.ID,
@@ -110,19 +111,19 @@
 	}
 }
 
-func (s *EngineServer) tellPlatform(ctx context.Context, state platform.MachineState) error {
+func (s *EngineServer) register(ctx context.Context, state platform.MachineState) error {
 	if s.config.Platform == "" {
 		return nil
 	}
-	return errors.Wrap(tellPlatform(ctx, s.config.Platform, s.Machine(state)), "tell the platform")
+	return errors.Wrap(registerMachine(ctx, s.config.Platform, s.Machine(state)), "tell the platform")
 }
 
-// keepTelling enters the engine into the list once the platform answers.
-func (s *EngineServer) keepTelling(ctx context.Context) {
-	for s.tellPlatform(ctx, platform.MachineLive) != nil {
+// keepRegistering retries until the platform has listed the engine.
+func (s *EngineServer) keepRegistering(ctx context.Context) {
+	for s.register(ctx, platform.MachineLive) != nil {
 		select {
-		case <-time.After(tellPlatformInterval):
-		case <-s.left:
+		case <-time.After(registerRetryInterval):
+		case <-s.leavingStarted:
 			return
 		case <-ctx.Done():
 			return
@@ -130,20 +131,20 @@
 	}
 }
 
-func (s *EngineServer) tellWhenLeaving(ctx context.Context) {
+func (s *EngineServer) registerWhenLeaving(ctx context.Context) {
 	select {
-	case <-s.left:
-		_ = s.tellPlatform(ctx, platform.MachineLeaving) // the engine itself refuses new work
+	case <-s.leavingStarted:
+		_ = s.register(ctx, platform.MachineLeaving) // on failure the engine still refuses new work
 	case <-ctx.Done():
 	}
 }
 
-// Stop lets the engine leave, waits until its requests are done or ctx ends,
-// and closes it.
+// Stop makes the engine refuse new work, waits until its requests are done or
+// ctx ends, and closes the server.
 func (s *EngineServer) Stop(ctx context.Context) {
 	s.Leave()
 	s.WaitIdle(ctx)
-	_ = s.tellPlatform(ctx, platform.MachineGone) // it is seen to be gone otherwise
-	_ = s.http.Shutdown(ctx)                      // Close ends what is left
+	_ = s.register(ctx, platform.MachineGone) // on failure others notice that the engine is unreachable
+	_ = s.http.Shutdown(ctx)                  // Close ends the remaining connections
 	s.Close()
 }
--- a/pkg/standin/table.go
+++ b/pkg/standin/table.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	tokenMemory          = 10 * time.Minute // as long as the service knows a token
+	tokenRetention       = 10 * time.Minute // how long the service remembers a token
 	maxTransactionWrites = 100
 	maxTokenLength       = 36
-	maxQueryPage         = 1 << 20 // bytes of a page of a query
+	maxQueryPage         = 1 << 20 // bytes
 )
 
-// attribute is a value in the DynamoDB protocol; one of its fields is set.
+// attribute is a value in the DynamoDB protocol. Exactly one field is set.
 type attribute struct {
 	S *string `json:"S,omitempty"`
 	N *string `json:"N,omitempty"`
 	B *[]byte `json:"B,omitempty"`
 }
 
-// record is a stored item. It is never changed.
+// record is a stored item. It is immutable.
 type record map[string]attribute
 
 func (r record) size() int {
@@ -41,36 +41,36 @@
 	return size
 }
 
-// recordKey names a record by its two key attributes.
+// recordKey identifies a record by its two key attributes.
 type recordKey struct {
 	partition string
 	key       string
 }
 
-// knownToken is a transaction that took effect.
-type knownToken struct {
+// appliedToken is the token of a transaction that took effect.
+type appliedToken struct {
 	fingerprint uint64
 	at          time.Time
 }
 
-// table is the transactional table service; all tables of all names are one.
-// Safe for concurrent use.
+// table is the transactional table service. It ignores table names: all requests
+// use the same table. It is safe for concurrent use.
 type table struct {
 	clock   *Clock
 	limiter *rate.Limiter
 
 	mutex   sync.Mutex
 	records map[recordKey]record
-	replica map[recordKey]record // what reads see that are not consistent; nil for records
-	tokens  map[string]knownToken
+	replica map[recordKey]record // what inconsistent reads see; nil: records
+	tokens  map[string]appliedToken
 }
 
 func newTable(clock *Clock, limiter *rate.Limiter) *table {
-	return &table{clock: clock, limiter: limiter, records: map[recordKey]record{}, tokens: map[string]knownToken{}}
+	return &table{clock: clock, limiter: limiter, records: map[recordKey]record{}, tokens: map[string]appliedToken{}}
 }
 
-// setStaleReads keeps the present state for reads that are not consistent, or
-// lets them see the newest state again.
+// setStaleReads makes inconsistent reads see a snapshot of the present state, or
+// the latest state again if stale is false.
 func (t *table) setStaleReads(stale bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -94,8 +94,8 @@
 	return found, ok
 }
 
-// query returns the records of a partition whose keys begin with prefix and
-// are greater than after, in order, up to a page, and whether there are more.
+// query returns a page of the records of a partition whose keys begin with
+// prefix and are greater than after, in key order, and whether there are more.
 func (t *table) query(partition, prefix, after string, consistent bool) (page []record, more bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -122,12 +122,12 @@
 type action struct {
 	key       recordKey
 	condition condition
-	put       record // nil for none
+	put       record // nil: nothing to put
 	remove    bool
 }
 
-// condition is on the version attribute of a record: it is missing, or has a
-// value.
+// condition requires that a record is missing or that its version attribute has
+// a certain value.
 type condition struct {
 	missing bool
 	version string
@@ -140,24 +140,24 @@
 	return exists && found[attributeVersion].N != nil && *found[attributeVersion].N == c.version
 }
 
-// verdict is the outcome of a transaction.
-type verdict struct {
+// transactionResult is the outcome of a transaction.
+type transactionResult struct {
 	mismatch bool   // the token was used for another transaction
-	failed   []bool // by action, when a condition did not hold
+	failed   []bool // for each action, whether its condition failed; nil if all held
 }
 
-// transact applies all actions if all conditions hold. A token that took
-// effect before has no effect again.
-func (t *table) transact(token string, fingerprint uint64, actions []action) verdict {
+// transact applies all actions if all conditions hold. A transaction whose token
+// was applied before has no effect.
+func (t *table) transact(token string, fingerprint uint64, actions []action) transactionResult {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	now := t.clock.Now()
-	maps.DeleteFunc(t.tokens, func(_ string, known knownToken) bool { return now.Sub(known.at) > tokenMemory })
+	maps.DeleteFunc(t.tokens, func(_ string, known appliedToken) bool { return now.Sub(known.at) > tokenRetention })
 	if known, ok := t.tokens[token]; ok && token != "" {
-		return verdict{mismatch: known.fingerprint != fingerprint}
+		return transactionResult{mismatch: known.fingerprint != fingerprint}
 	}
 	if failed := t.check(actions); failed != nil {
-		return verdict{failed: failed}
+		return transactionResult{failed: failed}
 	}
 	for _, action := range actions {
 		if action.remove {
@@ -166,8 +166,8 @@
 			t.records[action.key] = action.put
 		}
 	}
-	t.tokens[token] = knownToken{fingerprint: fingerprint, at: now}
-	return verdict{}
+	t.tokens[token] = appliedToken{fingerprint: fingerprint, at: now}
+	return transactionResult{}
 }
 
 func (t *table) check(actions []action) []bool {
--- a/pkg/standin/table_protocol.go
+++ b/pkg/standin/table_protocol.go
@@ -11,8 +11,7 @@
 	"github.com/pkg/errors"
 )
 
-// Attributes and expressions that the table service understands. Others are
-// refused.
+// Attributes and expressions that the table service supports. It refuses others.
 const (
 	attributePartition = "partition"
 	attributeKey       = "key"
@@ -58,7 +57,7 @@
 	LastEvaluatedKey record `json:",omitempty"`
 }
 
-// transactItem is one action of TransactWriteItems; one of its fields is set.
+// transactItem is one action of TransactWriteItems. Exactly one field is set.
 type transactItem struct {
 	ConditionCheck *transactAction
 	Put            *transactAction
@@ -88,7 +87,7 @@
 	Code string
 }
 
-// serve answers one request in the DynamoDB protocol.
+// serve handles one request in the DynamoDB protocol.
 func (t *table) serve(writer http.ResponseWriter, request *http.Request) {
 	if !t.limiter.AllowN(t.clock.Now(), 1) {
 		writeTableError(writer, codeThrottled, "rate exceeded")
@@ -137,7 +136,7 @@
 	if err := readJSON(bytes.NewReader(body), &input); err != nil {
 		return nil, err
 	}
-	if !namesAreFixed(input.ExpressionAttributeNames) {
+	if !placeholdersMatchNames(input.ExpressionAttributeNames) {
 		return nil, errors.New("unknown attribute name")
 	}
 	partition, prefix, after := input.ExpressionAttributeValues[":partition"].S, "", ""
@@ -198,11 +197,12 @@
 	}
 }
 
-// fingerprint identifies a transaction, in whatever order its attributes came.
+// fingerprint returns a hash of a transaction that does not depend on the order
+// of its attributes.
 func fingerprint(input transactInput) uint64 {
 	canonical, err := json.Marshal(input)
 	if err != nil {
-		panic(err) // decoded from JSON before
+		panic(err) // can't happen: input was decoded from JSON
 	}
 	return xxhash.Sum64(canonical)
 }
@@ -251,7 +251,7 @@
 }
 
 func parseCondition(input *transactAction) (condition, error) {
-	if !namesAreFixed(input.ExpressionAttributeNames) {
+	if !placeholdersMatchNames(input.ExpressionAttributeNames) {
 		return condition{}, errors.New("unknown attribute name")
 	}
 	switch input.ConditionExpression {
@@ -268,8 +268,9 @@
 	}
 }
 
-// namesAreFixed tells whether each placeholder stands for its own name.
-func namesAreFixed(names map[string]string) bool {
+// placeholdersMatchNames reports whether each placeholder is "#" and the name of
+// its attribute.
+func placeholdersMatchNames(names map[string]string) bool {
 	for placeholder, name := range names {
 		if placeholder != "#"+name {
 			return false
@@ -312,5 +313,5 @@
 func writeTableAnswer(writer http.ResponseWriter, status int, answer any) {
 	writer.Header().Set("Content-Type", "application/x-amz-json-1.0")
 	writer.WriteHeader(status)
-	_ = json.NewEncoder(writer).Encode(answer) // the caller left
+	_ = json.NewEncoder(writer).Encode(answer) // fails only if the caller left
 }
--- a/pkg/standin/weights.go
+++ b/pkg/standin/weights.go
@@ -11,18 +11,19 @@
 	"golang.org/x/time/rate"
 )
 
-// transferLease is how long a transfer goes on that nobody asks about.
-const transferLease = 15 * time.Second
+// transferIdleTimeout is how long a transfer continues without being polled.
+const transferIdleTimeout = 15 * time.Second
 
-// transfer is a checkpoint under way from the weight store.
+// transfer is the transfer of a checkpoint from the weight store.
 type transfer struct {
-	total   float64
-	fetched float64
-	asked   time.Time
+	total      float64
+	fetched    float64
+	lastPolled time.Time
 }
 
-// weightStore limits the rate of starts, and slows all transfers down when
-// there are more than it serves at full speed. Safe for concurrent use.
+// weightStore is the weight store. It limits the rate of starts, and slows all
+// transfers down when there are more than it can serve at full speed. It is safe
+// for concurrent use.
 type weightStore struct {
 	config PlatformConfig
 	clock  *Clock
@@ -46,7 +47,7 @@
 	}
 }
 
-// advance moves the transfers on, in steps between which no transfer ends.
+// advance advances the transfers to now, in steps within which no transfer ends.
 func (w *weightStore) advance(now time.Time) {
 	for w.now.Before(now) {
 		speed := w.speed()
@@ -59,14 +60,14 @@
 		w.now = w.now.Add(step)
 		for id, t := range w.transfers {
 			t.fetched = min(t.total, t.fetched+speed*step.Seconds())
-			if w.now.Sub(t.asked) > transferLease {
+			if w.now.Sub(t.lastPolled) > transferIdleTimeout {
 				delete(w.transfers, id)
 			}
 		}
 	}
 }
 
-// speed returns the bytes a second of each transfer.
+// speed returns the rate of each transfer in bytes per second.
 func (w *weightStore) speed() float64 {
 	active := 0
 	for _, t := range w.transfers {
@@ -94,7 +95,7 @@
 		return "", ErrStartRefused
 	}
 	id := uuid.NewString()
-	w.transfers[id] = &transfer{total: float64(bytes), asked: now}
+	w.transfers[id] = &transfer{total: float64(bytes), lastPolled: now}
 	w.started++
 	return id, nil
 }
@@ -108,7 +109,7 @@
 	if !ok {
 		return 0, ErrUnknownTransfer
 	}
-	t.asked = w.now
+	t.lastPolled = w.now
 	if t.fetched >= t.total {
 		delete(w.transfers, id)
 	}
@@ -175,7 +176,7 @@
 	}
 }
 
-// weightClient is a WeightSource at a platform's address.
+// weightClient is a WeightSource that calls the platform at an address.
 type weightClient struct {
 	address string
 	http    *http.Client
--- a/pkg/storeclock/clock.go
+++ b/pkg/storeclock/clock.go
@@ -1,7 +1,7 @@
-// Package storeclock tells how far the clock of the platform's store may have gone by
-// now. The store stamps its answers; a node that knows what the clock shows at most can
-// bound the age of anything that carries such a stamp, however long it was on its way:
-// in a queue, on a bad link or in the buffers of a process that was frozen.
+// Package storeclock computes an upper bound of the present time on the clock of the
+// platform's store. The store puts timestamps into its answers. A node that knows the bound
+// can bound the age of anything with such a timestamp, however long it was delayed in a
+// queue, on a bad link or in the buffers of a frozen process.
 package storeclock
 
 import (
@@ -11,47 +11,47 @@
 	"martenwheel.dev/pkg/clock"
 )
 
-// drift is how much faster than this node's steady clock the store's may run, as a part
-// of the time that passed. Crystals differ by up to 100 parts in a million each.
+// drift is the largest relative rate by which the store's clock may run faster than this
+// node's clock. Each clock may be off by up to 100 parts per million.
 const drift = 200e-6
 
-// resolution is that of the store's stamps.
+// resolution is the resolution of the store's timestamps.
 const resolution = time.Millisecond
 
-// Clock is the store's clock as known here, from above. The zero value is ready and knows
-// nothing. Safe for concurrent use.
+// Clock holds an upper bound of the store's clock. The zero value is ready to use and knows
+// no bound. Clock is safe for concurrent use.
 type Clock struct {
-	Time clock.Clock // set before the first use
+	Time clock.Clock // local clock; nil: the process's; must be set before the first use
 
-	mu    sync.Mutex
-	most  time.Duration // that the store's clock showed at the moment
-	at    time.Time     // the moment
-	known bool
+	mu         sync.Mutex
+	upperBound time.Duration // bound of the store's clock at observedAt
+	observedAt time.Time     // local time to which upperBound applies
+	known      bool
 }
 
-// Observe takes in a stamp that was in an answer to what was sent at a time: the store's
-// clock showed no more than the stamp when it was sent.
+// Observe uses the store's timestamp from the answer to a request that was sent at a local
+// time: at that time the store's clock showed no more than the timestamp.
 func (c *Clock) Observe(sent time.Time, stamp time.Duration) {
-	c.take(sent, stamp+resolution, stamp)
+	c.update(sent, stamp+resolution, stamp)
 }
 
-// ObserveLatest takes in what another node's Latest was when it answered what was sent at
-// a time.
-func (c *Clock) ObserveLatest(sent time.Time, latest time.Duration) { c.take(sent, latest, 0) }
+// ObserveLatest uses the Latest of another node from its answer to a request that was sent
+// at a local time.
+func (c *Clock) ObserveLatest(sent time.Time, latest time.Duration) { c.update(sent, latest, 0) }
 
-// take takes in that the clock showed no more than most at a time, and at least as much
-// as least by now.
-func (c *Clock) take(at time.Time, most, least time.Duration) {
+// update uses the observation that the store's clock showed at most upperBound at a local
+// time and shows at least lowerBound now.
+func (c *Clock) update(at time.Time, upperBound, lowerBound time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.Time.Now()
-	// A clock that is ahead of what it can show was set anew: by a store that lost it.
-	if !c.known || least > c.latest(now) || project(most, at, now) < c.latest(now) {
-		c.most, c.at, c.known = most, at, true
+	// A clock ahead of the known bound was set forward, by a store that lost its time.
+	if !c.known || lowerBound > c.latest(now) || project(upperBound, at, now) < c.latest(now) {
+		c.upperBound, c.observedAt, c.known = upperBound, at, true
 	}
 }
 
-// Latest returns what the store's clock shows by now at most, zero and false if nothing is
+// Latest returns the upper bound of the store's clock now, or zero and false if none is
 // known.
 func (c *Clock) Latest() (time.Duration, bool) {
 	c.mu.Lock()
@@ -62,11 +62,12 @@
 	return c.latest(c.Time.Now()), true
 }
 
-// latest is Latest for a moment. The caller holds mu.
-func (c *Clock) latest(now time.Time) time.Duration { return project(c.most, c.at, now) }
+// latest returns the upper bound at now. The caller holds mu.
+func (c *Clock) latest(now time.Time) time.Duration { return project(c.upperBound, c.observedAt, now) }
 
-// project returns what a clock that showed most at a time shows at most now.
-func project(most time.Duration, at, now time.Time) time.Duration {
-	passed := now.Sub(at)
-	return most + passed + time.Duration(drift*float64(passed))
+// project returns the largest time that a clock can show now if it showed at most shown at a
+// local time.
+func project(shown time.Duration, at, now time.Time) time.Duration {
+	elapsed := now.Sub(at)
+	return shown + elapsed + time.Duration(drift*float64(elapsed))
 }
--- a/pkg/storeclock/clock_test.go
+++ b/pkg/storeclock/clock_test.go
@@ -7,15 +7,16 @@
 	"time"
 )
 
-func TestLatestOfAClockThatNobodyTold(t *testing.T) {
+func TestLatestWithoutAnObservation(t *testing.T) {
 	var c Clock
 	if latest, known := c.Latest(); known || latest != 0 {
-		t.Errorf("a clock without an observation shows %v, known %t", latest, known)
+		t.Errorf("without an observation the bound is %v, known %t", latest, known)
 	}
 }
 
-// TestLatestIsNeverBehindTheStore: whatever answers are delayed, by links or by a process
-// that is frozen, and whoever passes them on.
+// TestLatestIsNeverBehindTheStore delays requests and answers at random, directly from the
+// store and through another node. A bound below the store's clock would make old data look
+// fresh.
 func TestLatestIsNeverBehindTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		random := rand.New(rand.NewPCG(1, 2))
@@ -37,14 +38,15 @@
 			far.ObserveLatest(sent, latest)
 			for name, c := range map[string]*Clock{"near": &near, "far": &far} {
 				if latest, known := c.Latest(); !known || latest < truth() {
-					t.Fatalf("the %s clock shows %v at most, the store's %v", name, latest, truth())
+					t.Fatalf("the bound of the %s clock is %v, the store's clock shows %v", name, latest, truth())
 				}
 			}
 		}
 	})
 }
 
-// TestLatestIsCloseAfterAQuickAnswer: a long wait before or after it does no harm.
+// TestLatestIsCloseAfterAQuickAnswer checks that slow answers before and after a quick one
+// do not loosen the bound.
 func TestLatestIsCloseAfterAQuickAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var c Clock
@@ -57,12 +59,13 @@
 		}
 		latest, _ := c.Latest()
 		if over := latest - time.Since(start); over > 10*time.Millisecond {
-			t.Errorf("the clock is %v ahead after an answer within 4 ms", over)
+			t.Errorf("the bound is %v ahead of the store's clock after an answer within 4 ms", over)
 		}
 	})
 }
 
-// TestAStoreWhoseClockIsSetAhead is followed.
+// TestAStoreWhoseClockIsSetAhead checks that the bound is raised when the store's clock jumps
+// forward.
 func TestAStoreWhoseClockIsSetAhead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var c Clock
@@ -70,7 +73,7 @@
 		time.Sleep(time.Second)
 		c.Observe(time.Now(), time.Hour)
 		if latest, _ := c.Latest(); latest < time.Hour {
-			t.Errorf("the clock shows %v at most, the store's an hour", latest)
+			t.Errorf("the bound is %v, the store's clock shows an hour", latest)
 		}
 	})
 }
--- a/pkg/telemetry/buffer.go
+++ b/pkg/telemetry/buffer.go
@@ -8,23 +8,23 @@
 	"time"
 )
 
-// Buffer passes log lines on to a slow writer without making anybody wait: when
-// it is full, lines are dropped and counted. Set the fields before the first
-// Write.
+// Buffer passes log lines to a writer that may be slow, without blocking the
+// caller. When it is full, lines are dropped and counted. Set the fields before
+// the first Write.
 type Buffer struct {
 	Output io.Writer
-	Lines  int // kept at most; defaultBufferLines if zero
+	Lines  int // capacity in lines; zero: defaultBufferLines
 
-	once    sync.Once
-	lines   chan []byte
-	done    chan struct{}
-	dropped atomic.Uint64
-	told    uint64 // of the dropped ones; for run alone
+	once     sync.Once
+	lines    chan []byte
+	done     chan struct{}
+	dropped  atomic.Uint64
+	reported uint64 // dropped lines reported so far; used only by run
 }
 
 const defaultBufferLines = 2048
 
-// flushTime bounds the wait for the last lines.
+// flushTime bounds each of the two waits of Flush.
 const flushTime = 300 * time.Millisecond
 
 func (b *Buffer) init() {
@@ -39,7 +39,7 @@
 	})
 }
 
-// Write takes one line. It never blocks and never fails.
+// Write buffers one line. It never blocks and never fails.
 func (b *Buffer) Write(line []byte) (int, error) {
 	b.init()
 	select {
@@ -50,7 +50,8 @@
 	return len(line), nil
 }
 
-// Dropped returns the number of lines that were dropped.
+// Dropped returns the number of dropped lines, including those that could not be
+// written.
 func (b *Buffer) Dropped() uint64 { return b.dropped.Load() }
 
 func (b *Buffer) run() {
@@ -59,8 +60,8 @@
 			close(b.done)
 			return
 		}
-		if dropped := b.dropped.Load(); dropped != b.told {
-			b.told = dropped
+		if dropped := b.dropped.Load(); dropped != b.reported {
+			b.reported = dropped
 			fmt.Fprintf(b.Output, `{"@level":"warn","@message":"log lines dropped","total":%d}`+"\n", dropped)
 		}
 		if _, err := b.Output.Write(line); err != nil {
@@ -69,7 +70,7 @@
 	}
 }
 
-// Flush waits a short time until the lines before it are written, and ends the
+// Flush waits a short time until the buffered lines are written, and stops the
 // buffer.
 func (b *Buffer) Flush() {
 	b.init()
--- a/pkg/telemetry/buffer_test.go
+++ b/pkg/telemetry/buffer_test.go
@@ -6,19 +6,19 @@
 	"testing"
 )
 
-// stuckWriter blocks until it is let go.
-type stuckWriter struct {
-	letGo chan struct{}
-	text  bytes.Buffer
+// blockedWriter blocks until release is closed.
+type blockedWriter struct {
+	release chan struct{}
+	text    bytes.Buffer
 }
 
-func (w *stuckWriter) Write(p []byte) (int, error) {
-	<-w.letGo
+func (w *blockedWriter) Write(p []byte) (int, error) {
+	<-w.release
 	return w.text.Write(p)
 }
 
 func TestBufferNeverBlocksAndCountsWhatItDrops(t *testing.T) {
-	w := &stuckWriter{letGo: make(chan struct{})}
+	w := &blockedWriter{release: make(chan struct{})}
 	b := &Buffer{Output: w, Lines: 2}
 	const lines = 10
 	for range lines {
@@ -27,9 +27,9 @@
 	if dropped := b.Dropped(); dropped < lines-3 {
 		t.Errorf("%d lines were dropped, want at least %d", dropped, lines-3)
 	}
-	close(w.letGo)
+	close(w.release)
 	b.Flush()
 	if text := w.text.String(); !strings.Contains(text, "log lines dropped") {
-		t.Errorf("the drop is not told in %q", text)
+		t.Errorf("the output does not report the dropped lines: %q", text)
 	}
 }
--- a/pkg/telemetry/doc.go
+++ b/pkg/telemetry/doc.go
@@ -1,3 +1,3 @@
-// Package telemetry makes the loggers and metric registries of the programs,
-// so that all of them write the same fields and names.
+// Package telemetry creates the loggers and metric registries of the programs, so
+// that all of them use the same log fields and metric names.
 package telemetry
--- a/pkg/telemetry/log.go
+++ b/pkg/telemetry/log.go
@@ -7,8 +7,8 @@
 	"github.com/pkg/errors"
 )
 
-// The names of the fields that log lines of several packages share. The same
-// request can be followed over processes by FieldRequestID.
+// Names of log fields that several packages use. FieldRequestID allows tracing a
+// request across processes.
 const (
 	FieldNode      = "node"
 	FieldRequestID = "request_id"
@@ -21,14 +21,14 @@
 
 // LogOptions configures a logger.
 type LogOptions struct {
-	Name   string    // of the program, such as "martenwheel"
-	Node   string    // name of this node; empty for a program that is no node
+	Name   string    // name of the program, such as "martenwheel"
+	Node   string    // name of this node; empty for a program that is not a node
 	Level  string    // "trace", "debug", "info", "warn", "error" or "off"
-	Output io.Writer // gets one JSON object a line
+	Output io.Writer // gets one JSON object per line
 }
 
-// ParseLevel returns the level with a name, in lower or upper case. An unknown
-// name is an error.
+// ParseLevel returns the level with the given name, in lower or upper case. An
+// unknown name is an error.
 func ParseLevel(name string) (hclog.Level, error) {
 	level := hclog.LevelFromString(name)
 	if level == hclog.NoLevel {
@@ -37,8 +37,8 @@
 	return level, nil
 }
 
-// NewLogger returns a logger that writes one JSON object a line. Each carries
-// the node's name. It fails for an unknown level.
+// NewLogger returns a logger that writes one JSON object per line, with the
+// node's name in each. It fails for an unknown level.
 func NewLogger(options LogOptions) (hclog.Logger, error) {
 	level, err := ParseLevel(options.Level)
 	if err != nil {
--- a/pkg/telemetry/metrics.go
+++ b/pkg/telemetry/metrics.go
@@ -7,10 +7,10 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 )
 
-// Namespace is the first part of the name of each metric.
+// Namespace is the prefix of all metric names.
 const Namespace = "martenwheel"
 
-// BuildInfo tells which program runs where.
+// BuildInfo describes the program and where it runs.
 type BuildInfo struct {
 	Version string
 	Node    string
@@ -18,8 +18,8 @@
 	Region  string
 }
 
-// NewRegistry returns a registry with the metrics of the process, of the Go
-// runtime and martenwheel_build_info, whose value is always 1.
+// NewRegistry returns a registry with the metrics of the process and of the Go
+// runtime, and with martenwheel_build_info, whose value is always 1.
 func NewRegistry(build BuildInfo) *prometheus.Registry {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(
--- a/pkg/tenant/tenant_test.go
+++ b/pkg/tenant/tenant_test.go
@@ -22,17 +22,18 @@
 			got = one.Name
 		}
 		if got != want {
-			t.Errorf("a key of %d bytes is one of %q, want %q", len(key), got, want)
+			t.Errorf("a key of %d bytes belongs to tenant %q, want %q", len(key), got, want)
 		}
 	}
 	for _, one := range table.All() {
 		if one.Keys != nil {
-			t.Errorf("%s keeps its keys in the clear", one.Name)
+			t.Errorf("tenant %s still has its keys in plain text", one.Name)
 		}
 	}
 }
 
-// TestFaultyTenantsAreRefusedTogether: with their places and without a byte of a key.
+// TestFaultyTenantsAreRefusedTogether checks that all findings are reported with their places
+// and without any part of a key.
 func TestFaultyTenantsAreRefusedTogether(t *testing.T) {
 	const secret = "not-to-be-shown"
 	_, err := NewTable([]*Tenant{
@@ -43,7 +44,7 @@
 		{Name: ""},
 	})
 	if err == nil {
-		t.Fatal("faulty tenants were taken")
+		t.Fatal("invalid tenants were accepted")
 	}
 	text := err.Error()
 	for _, want := range []string{"tenants.a: stands twice", "tenants.a: key 2 is empty", "tenants.b: key 1 is also one of a", "rate -1", "burst +Inf", "NaN", "control characters"} {
@@ -52,17 +53,17 @@
 		}
 	}
 	if strings.Contains(text, secret) {
-		t.Errorf("a finding shows a key:\n%s", text)
+		t.Errorf("a finding contains a key:\n%s", text)
 	}
 }
 
-func TestStepIsFromWhatMostTenantsHave(t *testing.T) {
+func TestStepIsRelativeToTheUsualPriority(t *testing.T) {
 	first, usual, last := &Tenant{Name: "first", Priority: 0}, &Tenant{Name: "usual", Priority: 1}, &Tenant{Name: "last", Priority: 4}
 	if _, err := NewTable([]*Tenant{first, usual, {Name: "other", Priority: 1}, last}); err != nil {
 		t.Fatal(err)
 	}
 	if first.Step() != -1 || usual.Step() != 0 || last.Step() != 3 {
-		t.Errorf("the steps are %d, %d and %d", first.Step(), usual.Step(), last.Step())
+		t.Errorf("the steps are %d, %d and %d, want -1, 0 and 3", first.Step(), usual.Step(), last.Step())
 	}
 }
 
@@ -78,13 +79,13 @@
 		{Quota{}, 1540, 1},
 	} {
 		if got := c.quota.Cost(c.tokens); got != c.want {
-			t.Errorf("%+v: a request of %g tokens counts %g, want %g", c.quota, c.tokens, got, c.want)
+			t.Errorf("%+v: a request of %g tokens costs %g, want %g", c.quota, c.tokens, got, c.want)
 		}
 	}
 }
 
-// BenchmarkFind looks keys up among 10,000 keys of 1,000 tenants, on all processors: 31 ns
-// on eight. There was no such table before; a comparison with each key took 11.5 ns a key.
+// BenchmarkFind looks keys up among 10,000 keys of 1,000 tenants, on all processors. A lookup
+// takes 31 ns on eight processors; comparing with each key would take 11.5 ns per key.
 func BenchmarkFind(b *testing.B) {
 	tenants := make([]*Tenant, 1000)
 	var keys [][]byte
