--- a/pkg/coordinator/quarantine.go
+++ b/pkg/coordinator/quarantine.go
@@ -265,7 +265,7 @@
 // takeEvidence merges evidence of other nodes. The holder forwards all that is new to it: it knows all nodes, while
 // others may not know those that joined last. If only changes of standing were forwarded, two nodes would take their
 // first crashes for one round when a holder has just begun, and four instead of three servers would crash under a
-// request (8 of 48 runs of TestBUDGETOfARequestThatEndsServers).
+// request (8 of 48 runs of TestBUDGETOfARequestThatCrashesServers).
 func (m *Member) takeEvidence(list []quarantine.Evidence) {
 	now := m.Time.Now()
 	_, held := m.Lease.Held()
--- a/pkg/site/dial.go
+++ b/pkg/site/dial.go
@@ -9,27 +9,27 @@
 	"golang.org/x/sys/unix"
 )
 
-// Bounds of connections to servers. A server behind a cut is silent: dials are
-// given up early, and the kernel gives up data that nobody acknowledges.
+// Timeouts of connections to servers. A server behind a network partition does not respond: dials time out
+// early, and the kernel closes connections whose data is not acknowledged.
 const (
-	serverDial     = 350 * time.Millisecond
-	unacknowledged = 2 * time.Second
-	probeIdle      = 2 * time.Second
-	probeInterval  = time.Second
-	probeCount     = 2
+	serverDialTimeout     = 350 * time.Millisecond
+	unacknowledgedTimeout = 2 * time.Second
+	keepAliveIdle         = 2 * time.Second
+	keepAliveInterval     = time.Second
+	keepAliveCount        = 2
 )
 
 // Dial opens a connection to a server.
 func Dial(ctx context.Context, address string) (net.Conn, error) {
 	d := net.Dialer{
-		Timeout: serverDial,
+		Timeout: serverDialTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probeCount,
+			Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount,
 		},
 		Control: func(_, _ string, raw syscall.RawConn) error {
 			return raw.Control(func(fd uintptr) {
-				// Without it, probes alone find the cut.
-				_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledged.Milliseconds()))
+				// Without it only keep-alive probes would detect a partition.
+				_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledgedTimeout.Milliseconds()))
 			})
 		},
 	}
--- a/pkg/site/limiter.go
+++ b/pkg/site/limiter.go
@@ -5,17 +5,16 @@
 	"time"
 )
 
-// limitInterval is how often the shares are worked out anew.
+// limitInterval is how often the connection limits are recomputed.
 const limitInterval = 500 * time.Millisecond
 
-// connectionShare is the part of a server's connections that the nodes use.
+// connectionShare is the part of a server's maximum connections that all nodes together use.
 const connectionShare = 0.85
 
-// leastConnections are what a node may always have to a server.
-const leastConnections = 2
+// minConnections is the number of connections that a node may always have to a server.
+const minConnections = 2
 
-// keepConnectionShares shares each server's connections among the nodes until ctx
-// ends.
+// keepConnectionShares updates this node's connection limits periodically until ctx ends.
 func (s *Site) keepConnectionShares(ctx context.Context) {
 	ticker := time.NewTicker(limitInterval)
 	defer ticker.Stop()
@@ -29,7 +28,7 @@
 	}
 }
 
-// limitConnections gives this node its share of each server's connections.
+// limitConnections limits this node to its share of each server's connections.
 func (s *Site) limitConnections() {
 	table := s.Routes()
 	if table == nil {
@@ -42,6 +41,6 @@
 			continue
 		}
 		share := int(connectionShare * float64(service.MaxConnections) / float64(nodes))
-		m.SetConnectionLimit(max(share, leastConnections))
+		m.SetConnectionLimit(max(share, minConnections))
 	}
 }
--- a/pkg/site/operator.go
+++ b/pkg/site/operator.go
@@ -13,7 +13,7 @@
 	"martenwheel.dev/pkg/quarantine"
 )
 
-// operatorHandler serves the metrics and, to the machine itself, the quarantine.
+// operatorHandler serves the metrics and the quarantine list, and lifts quarantines for clients on this machine.
 func (s *Site) operatorHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", promhttp.HandlerFor(s.Registry, promhttp.HandlerOpts{}))
@@ -22,7 +22,7 @@
 	return mux
 }
 
-// quarantineLine is a request in the list of those under which servers ended.
+// quarantineLine is an entry of the quarantine list: a request during which servers crashed.
 type quarantineLine struct {
 	Fingerprint string   `json:"fingerprint"`
 	Service     string   `json:"service"`
@@ -36,11 +36,11 @@
 		lines = append(lines, quarantineLine{e.Request.String(), e.Service, s.member.Standing(e.Request).String(), e.Servers()})
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(lines) // who asks is gone
+	_ = json.NewEncoder(w).Encode(lines) // fails only if the client is gone
 }
 
-// liftQuarantine lets a request run again, at all nodes. Only the machine itself may ask: it
-// takes three servers to find such a request out again.
+// liftQuarantine permits a request again, on all nodes. Only clients on this machine may do so: a crashing
+// request costs three more servers before it is in quarantine again.
 func (s *Site) liftQuarantine(w http.ResponseWriter, r *http.Request) {
 	if !fromThisMachine(r) {
 		http.Error(w, "only from the node's own machine", http.StatusForbidden)
@@ -56,7 +56,7 @@
 	}
 }
 
-// fromThisMachine tells whether a request came from the address that it came to, or over
+// fromThisMachine tells whether a request came from the same IP address that it was sent to, or over
 // loopback.
 func fromThisMachine(r *http.Request) bool {
 	from, _, err := net.SplitHostPort(r.RemoteAddr)
@@ -74,7 +74,7 @@
 	return err == nil && to == from
 }
 
-// registerQuarantine has the metrics tell how many requests have a standing.
+// registerQuarantine registers gauges of the suspected and the quarantined requests.
 func registerQuarantine(registry prometheus.Registerer, known *quarantine.Table) {
 	for _, standing := range []quarantine.Standing{quarantine.Suspected, quarantine.Quarantined} {
 		registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
@@ -84,20 +84,20 @@
 	}
 }
 
-// registerAsking has the metrics tell how many servers ask for something in their answers, as this node believes.
-func registerAsking(registry prometheus.Registerer, servers *backend.Directory) {
-	for word, asks := range map[string]func(*backend.Member) bool{
+// registerBackpressure registers gauges of the servers that currently signal backpressure, as far as this node knows.
+func registerBackpressure(registry prometheus.Registerer, servers *backend.Directory) {
+	for signal, active := range map[string]func(*backend.Member) bool{
 		"limit":   func(m *backend.Member) bool { return m.Limited() },
 		"rest":    func(m *backend.Member) bool { return m.BackOff(clock.Now()) > 0 },
 		"leaving": func(m *backend.Member) bool { return m.SharedSignals().Leaving },
 	} {
 		registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Namespace: "martenwheel", Name: "servers_asking", Help: "Servers that ask for something in their answers.",
-			ConstLabels: prometheus.Labels{"word": word},
+			ConstLabels: prometheus.Labels{"word": signal},
 		}, func() float64 {
 			n := 0
 			for _, m := range servers.Snapshot().Members() {
-				if asks(m) {
+				if active(m) {
 					n++
 				}
 			}
--- a/pkg/site/site.go
+++ b/pkg/site/site.go
@@ -1,7 +1,7 @@
-// Package site runs one node of a site whose control state lies in a shared
-// store: it carries callers' requests (package relay), takes its part among the
-// nodes (packages coordinator and lease), and stops as planned. What the
-// surroundings speak is given by an adapter.
+// Package site runs one node of a site whose control state is in a shared
+// store. It relays callers' requests (package relay), takes part in the coordination
+// of the nodes (packages coordinator and lease), and shuts down gracefully. An
+// adapter provides the protocols of the platform.
 package site
 
 import (
@@ -38,31 +38,31 @@
 	Self    coordinator.Node
 	Headers relay.Headers
 	Routes  func() *route.Table
-	// Configured is told the version of the configuration at the node that coordinates; may be nil.
+	// Configured is called with the version of the lease holder's configuration; may be nil.
 	Configured func(version uint64)
 	Keys       relay.KeyAge
-	Clock      *storeclock.Clock // of the store
+	Clock      *storeclock.Clock // the store's clock
 	Servers    *backend.Directory
 	Store      lease.Store
-	Tables     []*watch.Table // of the store, which the site keeps up to date
+	Tables     []*watch.Table // tables of the store that the site keeps up to date
 	Orders     coordinator.Orders
-	Mover      relay.Mover // of running streams; nil: none move
-	// DrainTime is how long a server that leaves surely goes on serving; zero: not known.
-	DrainTime time.Duration
-	Turns     time.Duration // between orders of two holders to one server
-	Fenced    bool          // servers refuse orders of lower terms than they have seen
-	Ceiling   coordinator.Ceiling
-	Budget    relay.BudgetConfig
-	// Tolerance is what may run beyond tenants' quotas.
+	Mover      relay.Mover // moves running streams between servers; nil: streams are not moved
+	// DrainTime is how long a draining server keeps serving at least; zero: unknown.
+	DrainTime     time.Duration
+	HandoverPause time.Duration // pause between the orders of two successive lease holders to one server
+	Fenced        bool          // servers refuse orders of lower terms than the highest they have seen
+	Ceiling       coordinator.Ceiling
+	Budget        relay.BudgetConfig
+	// Tolerance is how far tenants' quotas may be exceeded.
 	Tolerance quota.Tolerance
-	// Regions tells the region of each zone; nil: not known.
-	Regions  map[string]string
-	First    bool          // the whole site starts for the first time
-	Grace    time.Duration // of a planned stop
-	Linger   time.Duration // callers may still come for so long after it began
-	Metrics  string        // IP:port; empty: not served
-	Registry *prometheus.Registry
-	Logger   hclog.Logger
+	// Regions maps each zone to its region; nil: unknown.
+	Regions    map[string]string
+	FirstStart bool          // this is the first start of the whole site
+	Grace      time.Duration // time limit for a graceful shutdown
+	Linger     time.Duration // time after the start of a shutdown in which new callers are still served
+	Metrics    string        // IP:port; empty: not served
+	Registry   *prometheus.Registry
+	Logger     hclog.Logger
 
 	member   *coordinator.Member
 	hub      *watch.Hub
@@ -72,12 +72,12 @@
 	watched  atomic.Pointer[watchedNodes]
 }
 
-// Ready tells whether callers may be sent to this node.
+// Ready tells whether this node can serve callers.
 func (s *Site) Ready() bool {
 	return !s.stopping.Load() && s.Routes() != nil && s.Servers.Known()
 }
 
-// Nodes returns the nodes of the site as far as this one knows.
+// Nodes returns the nodes of the site that this node knows.
 func (s *Site) Nodes() []coordinator.Node {
 	if s.member == nil {
 		return nil
@@ -85,13 +85,13 @@
 	return s.member.Nodes()
 }
 
-// listen opens what the node listens on.
+// listen opens the listeners for callers and peers.
 func (s *Site) listen() (net.Listener, *peer.Server, error) {
 	callers, err := net.Listen("tcp", s.Self.Callers)
 	if err != nil {
 		return nil, nil, errors.Wrap(err, "site: callers")
 	}
-	peers, err := peer.Listen(peer.Config{Self: s.ref(), Address: s.Self.Peers, Logger: s.Logger, Counters: s.traffic.counters})
+	peers, err := peer.Listen(peer.Config{Self: s.nodeRef(), Address: s.Self.Peers, Logger: s.Logger, Counters: s.traffic.counters})
 	if err != nil {
 		_ = callers.Close()
 		return nil, nil, errors.Wrap(err, "site: peers")
@@ -99,18 +99,18 @@
 	return callers, peers, nil
 }
 
-// ref is this node as peers know it.
-func (s *Site) ref() api.NodeRef {
+// nodeRef returns the reference by which peers know this node.
+func (s *Site) nodeRef() api.NodeRef {
 	return api.NodeRef{ID: api.NodeID(s.Self.Name), Incarnation: uint64(s.Self.Life), PeerAddress: s.Self.Peers, Zone: s.Self.Zone}
 }
 
-// peerDial bounds the wait for a connection to another node.
-const peerDial = 500 * time.Millisecond
+// peerDialTimeout is the timeout for connecting to another node.
+const peerDialTimeout = 500 * time.Millisecond
 
-// assemble makes the parts.
+// assemble creates the parts of the node and connects them.
 func (s *Site) assemble() (*lease.Lease, *coordinator.Holder, peer.Transport) {
 	transport := peer.NewClient(peer.Config{
-		Self: s.ref(), Logger: s.Logger, Counters: s.traffic.counters, Timeouts: peer.Timeouts{Dial: peerDial, Write: time.Second, Ping: time.Second},
+		Self: s.nodeRef(), Logger: s.Logger, Counters: s.traffic.counters, Timeouts: peer.Timeouts{Dial: peerDialTimeout, Write: time.Second, Ping: time.Second},
 	})
 	l := &lease.Lease{
 		Store: s.Store, IncarnationPrefix: s.Self.Name + "/", Self: s.Self.Name + "/" + strconv.FormatInt(s.Self.Life, 36),
@@ -119,11 +119,11 @@
 	}
 	known := new(quarantine.Table)
 	registerQuarantine(s.Registry, known)
-	registerAsking(s.Registry, s.Servers)
+	registerBackpressure(s.Registry, s.Servers)
 	decider, _ := policy.ByName(policy.NameDemandFirst)
 	holder := &coordinator.Holder{
 		Lease: l, Routes: s.Routes, Servers: s.Servers, Orders: s.Orders, Transport: transport,
-		Clock: s.Clock, Decider: decider, HandoverPause: s.Turns, Fenced: s.Fenced, Ceiling: s.Ceiling, Budget: s.Budget, Tolerance: s.Tolerance, Quarantine: known,
+		Clock: s.Clock, Decider: decider, HandoverPause: s.HandoverPause, Fenced: s.Fenced, Ceiling: s.Ceiling, Budget: s.Budget, Tolerance: s.Tolerance, Quarantine: known,
 		Logger: s.Logger.Named("holder"),
 	}
 	s.member = &coordinator.Member{
@@ -134,61 +134,60 @@
 	holder.Nodes, holder.HolderSilence, holder.KnownScarce = s.member.Nodes, s.member.HolderSilence, s.member.KnownScarce
 	s.hub = &watch.Hub{
 		Self: watchNode(s.Self), Nodes: s.watchNodes, Known: s.member.Known, Transport: transport,
-		Tables: s.Tables, FirstStart: s.First, Logger: s.Logger.Named("watch"),
+		Tables: s.Tables, FirstStart: s.FirstStart, Logger: s.Logger.Named("watch"),
 		NeedsWhole: func() bool { _, held := l.Held(); return held },
 	}
-	holder.Complete = s.tablesWhole
-	s.member.NearestFullNode, s.member.EnsureServers = s.nearest, s.cover
+	holder.Complete = s.tablesComplete
+	s.member.NearestFullNode, s.member.EnsureServers = s.nearestFullNode, s.ensureServers
 	l.Fleet, l.AllowOffline = holder.Fleet, holder.MayContinueOffline
 	l.Quarantine = func(recorded []quarantine.Aged) []quarantine.Aged { return known.MergeStored(clock.Now(), recorded) }
 	l.Quotas = holder.QuotaBalances
-	l.FirstStart, l.TakeoverDelay = s.First, s.leasePatience
+	l.FirstStart, l.TakeoverDelay = s.FirstStart, s.takeoverDelay
 	l.Eager = func() bool { return s.member.Known() && s.hub.Watching() }
 	s.member.Candidate = s.hub.Watching
 	s.relay = &relay.Relay{
 		Headers: s.Headers, Node: s.Self.Name, Zone: s.Self.Zone, Regions: s.Regions, Routes: s.Routes, Keys: s.Keys, Quotas: s.member, Servers: s.Servers, Waker: s.member,
 		Quarantine: s.member, Slots: s.member, Places: s.member, Mover: s.Mover, DrainTime: s.DrainTime,
-		Nodes: s.member.Fleet, Budget: s.Budget, Lender: s.member, BudgetStart: s.budgetBegan(clock.Now()), Logger: s.Logger.Named("relay"),
+		Nodes: s.member.Fleet, Budget: s.Budget, Lender: s.member, BudgetStart: s.budgetStart(clock.Now()), Logger: s.Logger.Named("relay"),
 		Metrics: relay.NewMetrics(s.Registry), Arrived: s.member.Arrived,
 	}
 	return l, holder, transport
 }
 
-// budgetBegan returns from when the budget of repeats counts as unspent by this node: an
-// earlier life of it may have spent its share up to now, unless there was none.
-func (s *Site) budgetBegan(now time.Time) time.Time {
-	if s.First {
+// budgetStart returns the time since which this node's share of the retry budget counts as unspent. An earlier
+// incarnation may have spent it up to now, except at the first start of the site.
+func (s *Site) budgetStart(now time.Time) time.Time {
+	if s.FirstStart {
 		return now.Add(-s.Budget.FillTime())
 	}
 	return now
 }
 
-// weakestPatience is how long a node with hardly any processor leaves a free lease to
-// stronger ones: the holder of a site of 195 nodes spends a good part of a weak one's on
-// beats and plans, and its calls of the store are late then.
-const weakestPatience = 400 * time.Millisecond
+// maxTakeoverDelay is how long a node with next to no CPU leaves a free lease to more powerful nodes. The lease
+// holder of a site of 195 nodes needs a good part of a weak node's CPU for heartbeats and plans, so that its
+// calls to the store are late.
+const maxTakeoverDelay = 400 * time.Millisecond
 
-// leasePatience returns how long this node leaves a free lease to stronger ones.
-func (s *Site) leasePatience() time.Duration {
-	most := wholeCore
+// takeoverDelay returns how long this node leaves a free lease to more powerful nodes.
+func (s *Site) takeoverDelay() time.Duration {
+	most := defaultPower
 	if s.member.Known() {
 		most = s.Self.Power
 		for _, n := range s.member.Nodes() {
 			most = max(most, n.Power)
 		}
 	}
-	return time.Duration(float64(weakestPatience) * max(1-s.Self.Power/max(most, leastPower), 0))
+	return time.Duration(float64(maxTakeoverDelay) * max(1-s.Self.Power/max(most, minPower), 0))
 }
 
-// Powers, in cores: what other nodes are taken to have while none are known, and the
-// least that counts.
+// CPU power in cores.
 const (
-	wholeCore  = 1.0
-	leastPower = 0.01
+	defaultPower = 1.0  // assumed for other nodes while none are known
+	minPower     = 0.01 // lower bound of the most powerful node, to avoid a division by zero
 )
 
-// tablesWhole tells whether this node holds all rows of all tables.
-func (s *Site) tablesWhole() bool {
+// tablesComplete tells whether this node has all rows of all tables.
+func (s *Site) tablesComplete() bool {
 	for _, t := range s.Tables {
 		if !t.Whole() {
 			return false
@@ -197,16 +196,16 @@
 	return true
 }
 
-// nearest returns where a node is reached that knows all servers; empty if this one does.
-func (s *Site) nearest() string {
-	if s.tablesWhole() {
+// nearestFullNode returns the address of a node that knows all servers; empty if this one does.
+func (s *Site) nearestFullNode() string {
+	if s.tablesComplete() {
 		return ""
 	}
 	return s.hub.MainParent()
 }
 
-// cover has this node told of lives of servers that it does not know.
-func (s *Site) cover(ctx context.Context, servers []string) error {
+// ensureServers subscribes this node to the rows of servers that it does not know.
+func (s *Site) ensureServers(ctx context.Context, servers []string) error {
 	keys := make([]string, len(servers))
 	for i, id := range servers {
 		keys[i] = backend.ParseIncarnation(id).Instance
@@ -222,20 +221,20 @@
 	return nil
 }
 
-// watchedNodes is a list of the nodes of the site as the hub needs it.
+// watchedNodes caches the conversion of a list of nodes for the hub.
 type watchedNodes struct {
-	of   []coordinator.Node
-	list []watch.Node
+	source []coordinator.Node
+	list   []watch.Node
 }
 
-// watchNodes returns the nodes of the site as the hub needs them: the same list while they are the
-// same, by which the hub tells that it has nothing to work out.
+// watchNodes returns the nodes of the site in the form of package watch. It returns the same slice while the
+// nodes are unchanged, by which the hub sees that it need not recompute anything.
 func (s *Site) watchNodes() []watch.Node {
 	nodes := s.member.Nodes()
-	if known := s.watched.Load(); known != nil && len(known.of) == len(nodes) && &known.of[0] == &nodes[0] {
+	if known := s.watched.Load(); known != nil && len(known.source) == len(nodes) && &known.source[0] == &nodes[0] {
 		return known.list
 	}
-	next := &watchedNodes{of: nodes, list: make([]watch.Node, len(nodes))}
+	next := &watchedNodes{source: nodes, list: make([]watch.Node, len(nodes))}
 	for i := range nodes {
 		next.list[i] = watchNode(nodes[i])
 	}
@@ -255,14 +254,14 @@
 	return s.member.HandleMessage(ctx, from, message)
 }
 
-// headerTime bounds the wait for a request's head, idleTime how long an unused
+// headerTime is the timeout for reading a request's headers, idleTime how long an unused
 // connection of a caller is kept.
 const (
 	headerTime = 10 * time.Second
 	idleTime   = 2 * time.Minute
 )
 
-// Run serves until ctx ends and the planned stop is over.
+// Run serves until ctx ends and the graceful shutdown is finished.
 func (s *Site) Run(ctx context.Context) error {
 	s.traffic = newPeerTraffic(s.Registry)
 	callers, peers, err := s.listen()
@@ -272,47 +271,48 @@
 	l, holder, transport := s.assemble()
 	peers.Serve(s)
 	defer s.watchSuspension()()
-	life, end := context.WithCancel(context.Background())
-	defer end()
+	background, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	server := &http.Server{
 		Handler: s.relay, ReadHeaderTimeout: headerTime, IdleTimeout: idleTime,
 		ErrorLog: s.Logger.StandardLogger(&hclog.StandardLoggerOptions{ForceLevel: hclog.Debug}),
 	}
 	var tasks conc.WaitGroup
 	tasks.Go(func() { l.Run(ctx) })
-	tasks.Go(func() { holder.Run(life) })
-	tasks.Go(func() { s.member.Run(life) })
-	tasks.Go(func() { s.hub.Run(life) })
-	tasks.Go(func() { s.keepConnectionShares(life) })
-	tasks.Go(func() { s.serveMetrics(life) })
-	tasks.Go(func() { s.traffic.summarize(life, s.Logger) })
+	tasks.Go(func() { holder.Run(background) })
+	tasks.Go(func() { s.member.Run(background) })
+	tasks.Go(func() { s.hub.Run(background) })
+	tasks.Go(func() { s.keepConnectionShares(background) })
+	tasks.Go(func() { s.serveMetrics(background) })
+	tasks.Go(func() { s.traffic.summarize(background, s.Logger) })
 	failed := make(chan error, 1)
 	tasks.Go(func() { failed <- server.Serve(callers) })
 	s.Logger.Info("serving", "callers", s.Self.Callers, "peers", s.Self.Peers, "pid", os.Getpid())
 	select {
 	case err = <-failed:
-		s.Logger.Error("callers can't be served", "error", err)
+		s.Logger.Error("serving callers failed", "error", err)
 	case <-ctx.Done():
 		s.stop(server)
 		err = nil
 	}
-	end()
+	cancel()
 	_ = peers.Close()
 	_ = transport.Close()
 	tasks.Wait()
 	return err
 }
 
-// Times of a planned stop.
+// Times of a graceful shutdown.
 const (
-	stopMargin = 400 * time.Millisecond // left of the grace for the end of the process
-	stopLook   = 50 * time.Millisecond
-	// lastWords is the time for the answers to requests that were ended before their servers
-	// answered to go out, and for unused connections to close.
-	lastWords = 200 * time.Millisecond
+	stopMargin       = 400 * time.Millisecond // part of the grace period reserved for the end of the process
+	stopPollInterval = 50 * time.Millisecond  // interval of checks whether all requests are finished
+	// shutdownTimeout is the time for sending the responses to cancelled requests and for closing unused
+	// connections.
+	shutdownTimeout = 200 * time.Millisecond
 )
 
-// stop lets the requests end and serves those who still come.
+// stop waits for running requests to finish and still serves new ones, within the grace period, and then
+// cancels the rest.
 func (s *Site) stop(server *http.Server) {
 	began := clock.Now()
 	s.stopping.Store(true)
@@ -323,18 +323,18 @@
 		if clock.Since(began) > s.Linger && s.relay.InFlight() == 0 {
 			break
 		}
-		time.Sleep(stopLook)
+		time.Sleep(stopPollInterval)
 	}
 	unfinished := s.relay.InFlight()
 	s.relay.CancelAll()
-	ctx, cancel := context.WithTimeout(context.Background(), lastWords)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	_ = server.Shutdown(ctx) // what is still open then is cut off
+	_ = server.Shutdown(ctx) // connections that are still open are closed below
 	s.Logger.Info("stopped", "unfinished", unfinished, "cut_off", s.relay.InFlight(), "ms", clock.Since(began).Milliseconds())
 	_ = server.Close()
 }
 
-// serveMetrics serves the metrics until ctx ends.
+// serveMetrics serves the metrics and the quarantine list until ctx ends.
 func (s *Site) serveMetrics(ctx context.Context) {
 	if s.Metrics == "" {
 		return
@@ -345,6 +345,6 @@
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	if err := server.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
-		s.Logger.Error("metrics are not served", "error", err)
+		s.Logger.Error("serving metrics failed", "error", err)
 	}
 }
--- a/pkg/site/suspension_test.go
+++ b/pkg/site/suspension_test.go
@@ -20,68 +20,68 @@
 	"martenwheel.dev/pkg/watch"
 )
 
-// suspended is a machine's clocks in virtual time, and its suspensions.
-type suspended struct {
-	mu    sync.Mutex
-	slept time.Duration
+// suspendableClock simulates the clocks of a machine with suspensions, in virtual time.
+type suspendableClock struct {
+	mu           sync.Mutex
+	suspendedFor time.Duration
 }
 
-// steady stands still during suspensions.
-func (s *suspended) steady() time.Time {
+// steady is a monotonic clock that stops during suspensions.
+func (s *suspendableClock) steady() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return time.Now().Add(-s.slept)
+	return time.Now().Add(-s.suspendedFor)
 }
 
-// suspend lets the time pass without the steady clock.
-func (s *suspended) suspend(d time.Duration) {
+// suspend lets time pass while the steady clock is stopped.
+func (s *suspendableClock) suspend(d time.Duration) {
 	time.Sleep(d)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.slept += d
+	s.suspendedFor += d
 }
 
-// away is a store that answers until it is cut off.
-type away struct {
-	mu     sync.Mutex
-	cut    bool
-	stored lease.Stored
+// fakeStore is a lease store that can be disconnected.
+type fakeStore struct {
+	mu           sync.Mutex
+	disconnected bool
+	stored       lease.Stored
 }
 
-// cutOff ends its answers.
-func (a *away) cutOff() {
+// disconnect disconnects the store.
+func (a *fakeStore) disconnect() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.cut = true
+	a.disconnected = true
 }
 
-func (a *away) Read(context.Context) (lease.Stored, error) {
+func (a *fakeStore) Read(context.Context) (lease.Stored, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.cut {
+	if a.disconnected {
 		return lease.Stored{}, context.DeadlineExceeded
 	}
 	return a.stored, nil
 }
 
-func (a *away) Write(_ context.Context, r lease.Record, over lease.Stored) (lease.Stored, error) {
+func (a *fakeStore) Write(_ context.Context, r lease.Record, over lease.Stored) (lease.Stored, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.cut || over.Version != a.stored.Version {
+	if a.disconnected || over.Version != a.stored.Version {
 		return a.stored, lease.ErrConflict
 	}
 	a.stored = lease.Stored{Record: r, Version: over.Version + 1}
 	return a.stored, nil
 }
 
-// TestNoBeliefOutlivesASuspension has a node believe something, suspends its machine for longer
-// than the belief may last, and asks whether the node still believes it as it wakes. With a
-// clock that stands still meanwhile each belief is seen to outlive it.
+// TestNoBeliefOutlivesASuspension checks for each kind of information that expires that it has expired when a
+// machine wakes from a suspension longer than its lifetime. With a clock that stops during the suspension each
+// one is still valid; the test checks that as well.
 func TestNoBeliefOutlivesASuspension(t *testing.T) {
 	const sleep = 20 * time.Second
 	now := func(c clock.Clock) time.Time { return c.Now() }
-	holder := func(t *testing.T, c clock.Clock) (*lease.Lease, *away) {
-		store := &away{}
+	holder := func(t *testing.T, c clock.Clock) (*lease.Lease, *fakeStore) {
+		store := &fakeStore{}
 		l := &lease.Lease{Store: store, Self: "a", Address: "a", Time: c}
 		ctx, stop := context.WithCancel(t.Context())
 		t.Cleanup(stop)
@@ -94,7 +94,7 @@
 	for name, believe := range map[string]func(t *testing.T, c clock.Clock) (still func() bool){
 		"a lease": func(t *testing.T, c clock.Clock) func() bool {
 			l, store := holder(t, c)
-			store.cutOff() // so that it does not renew within the suspension
+			store.disconnect() // so that the lease is not renewed during the suspension
 			return func() bool { _, held := l.Held(); return held }
 		},
 		"a permit of an order": func(t *testing.T, c clock.Clock) func() bool {
@@ -132,28 +132,28 @@
 		"evidence against a request": func(_ *testing.T, c clock.Clock) func() bool {
 			var table quarantine.Table
 			f := quarantine.FingerprintOf("GET", "h", "/", nil)
-			at := now(c).Add(time.Second - quarantine.Lifetime) // nearly over
+			at := now(c).Add(time.Second - quarantine.Lifetime) // shortly before it expires
 			table.Merge(at, quarantine.Evidence{Request: f, Ends: []quarantine.End{{Server: "1", Round: 1}, {Server: "2", Round: 2}, {Server: "3", Round: 3}}})
 			return func() bool { return table.Standing(now(c), f) != quarantine.Free }
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				var machine suspended
+				var machine suspendableClock
 				still := believe(t, machine.steady)
 				machine.suspend(sleep)
 				if !still() {
-					t.Error("a clock that stands still during a suspension shows nothing here")
+					t.Error("it expired with a clock that stops during a suspension, so that the check proves nothing")
 				}
 			})
 			synctest.Test(t, func(t *testing.T) {
 				still := believe(t, time.Now)
 				if !still() {
-					t.Error("it was not believed before the suspension")
+					t.Error("it was not valid before the suspension")
 				}
 				time.Sleep(sleep)
 				if still() {
-					t.Error("it outlived the suspension")
+					t.Error("it is still valid after the suspension")
 				}
 			})
 		})
--- a/pkg/site/traffic.go
+++ b/pkg/site/traffic.go
@@ -14,13 +14,13 @@
 	"martenwheel.dev/pkg/peer"
 )
 
-// How often, and of how many kinds of messages, the traffic between nodes is summed up in the log.
+// Interval of the log lines on the traffic between nodes, and how many kinds of messages each lists.
 const (
 	trafficInterval = 10 * time.Second
 	trafficKinds    = 6
 )
 
-// peerTraffic tells what nodes say to one another, by kind of message, in metrics and the log.
+// peerTraffic reports the traffic between nodes by kind of message, in metrics and the log.
 type peerTraffic struct {
 	counters *peer.Counters
 	bytes    *prometheus.Desc
@@ -45,18 +45,18 @@
 	}
 }
 
-// shortKind is the name of a kind of message without the path of its package.
+// shortKind returns the name of a kind of message without its package path.
 func shortKind(name string) string { return name[strings.LastIndex(name, "/")+1:] }
 
-// kindTraffic is one kind of message in the log.
+// kindTraffic is the traffic of one kind of message in the log.
 type kindTraffic struct {
 	Kind     string `json:"kind"`
 	Sent     uint64 `json:"sent"` // bytes
 	Received uint64 `json:"received"`
 }
 
-// since returns what was said since earlier counts, the kinds with the most bytes first.
-func since(before, now map[string]peer.Traffic) []kindTraffic {
+// trafficSince returns the traffic between two counts, the kinds with the most bytes first.
+func trafficSince(before, now map[string]peer.Traffic) []kindTraffic {
 	var list []kindTraffic
 	for kind, n := range now {
 		one := kindTraffic{shortKind(kind), n.BytesSent - before[kind].BytesSent, n.BytesReceived - before[kind].BytesReceived}
@@ -82,7 +82,7 @@
 		case <-ticker.C:
 		}
 		now := t.counters.ByType()
-		logger.Info("peer traffic", "bytes", since(before, now))
+		logger.Info("peer traffic", "bytes", trafficSince(before, now))
 		before = maps.Clone(now)
 	}
 }
