--- a/cmd/martenwheel-lab/compare.go
+++ b/cmd/martenwheel-lab/compare.go
@@ -10,14 +10,14 @@
 	"martenwheel.dev/pkg/lab"
 )
 
-// mostCompared is how many runs one comparison takes; the command line library
-// needs a place for each.
-const mostCompared = 100
+// maxCompared is the maximum number of runs in one comparison; flaggy needs a positional value for
+// each.
+const maxCompared = 100
 
-// compareCommand returns the subcommand that compares runs.
+// compareCommand returns the "compare" subcommand.
 func compareCommand() command {
 	var out string
-	directories := make([]string, mostCompared)
+	directories := make([]string, maxCompared)
 	c := flaggy.NewSubcommand("compare")
 	c.Description = "Print a table of the runs in DIR DIR... and, with --out, plot them."
 	c.String(&out, "", "out", "Directory for report.html with the frontier of the runs")
@@ -37,7 +37,7 @@
 	}}
 }
 
-// compare prints a table of the runs and plots them if out is given.
+// compare prints a table of the runs, and plots them if out is given.
 func compare(directories []string, out string) (int, error) {
 	if err := lab.Compare(os.Stdout, directories); err != nil {
 		return exitFailed, err
@@ -51,7 +51,7 @@
 	return exitDone, nil
 }
 
-// reportCommand returns the subcommand that writes a run's report anew.
+// reportCommand returns the "report" subcommand, which writes a run's report again.
 func reportCommand() command {
 	var directory string
 	c := flaggy.NewSubcommand("report")
--- a/cmd/martenwheel-lab/main.go
+++ b/cmd/martenwheel-lab/main.go
@@ -1,5 +1,5 @@
-// Command martenwheel-lab runs martenwheel's decisions under virtual time
-// against an emulated platform, and compares the results.
+// Command martenwheel-lab runs martenwheel's decisions in virtual time against an emulated
+// platform, and compares the results.
 package main
 
 import (
@@ -14,14 +14,14 @@
 
 // Exit codes.
 const (
-	exitDone       = 0
-	exitFailed     = 1
-	exitUsage      = 2
-	exitViolations = 3   // the run did what must never happen
-	exitBrokenOff  = 130 // by Ctrl-C; partial results are written
+	exitDone        = 0
+	exitFailed      = 1
+	exitUsage       = 2
+	exitViolations  = 3   // a violation, or a lost, duplicated or mixed-up answer
+	exitInterrupted = 130 // interrupted; partial results are written
 )
 
-// command is a subcommand and what it does.
+// command is a subcommand and the function that runs it.
 type command struct {
 	*flaggy.Subcommand
 	run func(context.Context) (exitCode int, err error)
@@ -36,13 +36,13 @@
     martenwheel-lab compare out/adaptive out/fixed
     martenwheel-lab report out/adaptive
 
-  Exit codes: 0 done, 1 failed, 2 bad usage, 3 a request was lost or something
-  happened that never must, 130 broken off (partial results are written).`
+  Exit codes: 0 done, 1 failed, 2 bad usage, 3 a request was lost or a guarantee
+  was violated, 130 interrupted (partial results are written).`
 
 func main() {
 	commands := []command{runCommand(), compareCommand(), reportCommand()}
 	parser := flaggy.NewParser("martenwheel-lab")
-	parser.Description = "Runs martenwheel's decisions under virtual time against an emulated platform."
+	parser.Description = "Runs martenwheel's decisions in virtual time against an emulated platform."
 	parser.AdditionalHelpAppend = examples
 	parser.DisableShowVersionWithVersion()
 	for _, c := range commands {
--- a/cmd/martenwheel-lab/run.go
+++ b/cmd/martenwheel-lab/run.go
@@ -14,7 +14,7 @@
 	"martenwheel.dev/pkg/policy"
 )
 
-// runFlags are the flags of "run".
+// runFlags holds the flags of the "run" subcommand.
 type runFlags struct {
 	scenario string
 	seed     uint64
@@ -25,7 +25,7 @@
 	out      string
 }
 
-// runCommand returns the subcommand that runs a scenario.
+// runCommand returns the "run" subcommand.
 func runCommand() command {
 	flags := runFlags{seed: 1, policy: policy.Names()[0], faults: string(lab.FaultsNone)}
 	c := flaggy.NewSubcommand("run")
@@ -41,7 +41,7 @@
 	return command{c, func(ctx context.Context) (int, error) { return run(ctx, flags) }}
 }
 
-// run runs a scenario as the flags say.
+// run runs a scenario with the given flags.
 func run(ctx context.Context, flags runFlags) (int, error) {
 	if flags.scenario == "" || flags.out == "" {
 		return exitUsage, errors.New("run needs --scenario and --out; see martenwheel-lab run --help")
@@ -70,23 +70,23 @@
 	return verdict(result), nil
 }
 
-// verdict returns the exit code of a result.
+// verdict returns the exit code for a result. A violation takes precedence over an interrupted run.
 func verdict(result *lab.Result) int {
 	switch requests := result.Requests; {
 	case result.Violations.Sum()+requests.Lost+requests.Duplicated+requests.Mixed > 0:
 		return exitViolations
 	case result.Partial:
-		return exitBrokenOff
+		return exitInterrupted
 	default:
 		return exitDone
 	}
 }
 
-// progressInterval is the time between two lines of progress.
+// progressInterval is the minimum time between two updates of the progress line.
 const progressInterval = 200 * time.Millisecond
 
-// progress returns a function that shows how far a run is, nil if standard
-// error is not a terminal.
+// progress returns a function that prints the progress of a run, or nil if stderr is not a
+// terminal.
 func progress(total time.Duration) func(time.Duration) {
 	info, err := os.Stderr.Stat()
 	if err != nil || info.Mode()&os.ModeCharDevice == 0 {
--- a/cmd/martenwheel-lab/run_test.go
+++ b/cmd/martenwheel-lab/run_test.go
@@ -13,7 +13,7 @@
 		want   int
 	}{
 		{"clean", lab.Result{Requests: lab.Requests{Sent: 2, Served: 1, Refused: 1}}, exitDone},
-		{"broken off", lab.Result{Partial: true}, exitBrokenOff},
+		{"broken off", lab.Result{Partial: true}, exitInterrupted},
 		{"lost", lab.Result{Requests: lab.Requests{Lost: 1}}, exitViolations},
 		{"answered twice", lab.Result{Requests: lab.Requests{Duplicated: 1}}, exitViolations},
 		{"another's answer", lab.Result{Requests: lab.Requests{Mixed: 1}}, exitViolations},
--- a/cmd/martenwheel-standin/main.go
+++ b/cmd/martenwheel-standin/main.go
@@ -1,10 +1,9 @@
-// Command martenwheel-standin runs a stand-in for the platform or for a model
-// engine, for tests and trials.
+// Command martenwheel-standin runs a stand-in for the platform or for a model engine, for tests and
+// experiments.
 //
-// It prints {"address":"IP:port"} as one line on stdout when it is ready, logs
-// JSON lines to stderr, and stops on SIGTERM or an interrupt: an engine leaves,
-// finishes its requests and exits. Exit codes: 0 after a stop, 1 when it could
-// not start, 2 for wrong flags.
+// It prints {"address":"IP:port"} as one line on stdout when it is ready, logs JSON lines to
+// stderr, and stops on SIGTERM or an interrupt: an engine announces that it leaves, finishes its
+// requests and exits. Exit codes: 0 after a stop, 1 if it could not start, 2 for invalid flags.
 package main
 
 import (
@@ -35,7 +34,7 @@
 	os.Exit(run(os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// run starts what the arguments ask for and waits for the signal to stop.
+// run starts the stand-in that the arguments select and waits for a stop signal.
 func run(arguments []string, stdout, stderr io.Writer) int {
 	options := newOptions()
 	if err := options.parse(arguments); err != nil {
@@ -74,14 +73,14 @@
 	announce(stdout, logger, server.Address())
 	<-ctx.Done()
 	logger.Info("leaving")
-	bound, cancel := context.WithTimeout(context.Background(), options.stopWithin)
+	stopContext, cancel := context.WithTimeout(context.Background(), options.stopTimeout)
 	defer cancel()
-	server.Stop(bound)
+	server.Stop(stopContext)
 	logger.Info("stopped")
 	return exitStopped
 }
 
-// announcement is the line on stdout that tells where the stand-in listens.
+// announcement is the line on stdout with the address that the stand-in listens on.
 type announcement struct {
 	Address string `json:"address"`
 }
@@ -93,14 +92,14 @@
 	logger.Info("ready", "address", address)
 }
 
-// options are the command and its flags.
+// options holds the subcommands and their flags.
 type options struct {
 	parser          *flaggy.Parser
 	platformCommand *flaggy.Subcommand
 	engineCommand   *flaggy.Subcommand
 	listen          netip.AddrPort
 	platformAddress netip.AddrPort
-	stopWithin      time.Duration
+	stopTimeout     time.Duration
 	platform        standin.PlatformConfig
 	engine          standin.EngineConfig
 }
@@ -111,7 +110,7 @@
 		platformCommand: flaggy.NewSubcommand("platform"),
 		engineCommand:   flaggy.NewSubcommand("engine"),
 		listen:          netip.MustParseAddrPort("127.0.0.1:0"),
-		stopWithin:      time.Minute,
+		stopTimeout:     time.Minute,
 		platform:        standin.DefaultPlatformConfig(),
 		engine:          standin.DefaultEngineConfig(),
 	}
@@ -164,17 +163,17 @@
 	command.Duration(&e.LoadReportLag, "", "load-lag", "lag of the load reports")
 	command.Duration(&e.CacheEventLag, "", "cache-event-lag", "lag of the cache events")
 	command.Float64(&e.CacheEventGap, "", "cache-event-gap", "share of the cache events that get lost")
-	command.Duration(&o.stopWithin, "", "stop-within", "longest wait for running requests on a stop")
+	command.Duration(&o.stopTimeout, "", "stop-within", "longest wait for running requests on a stop")
 }
 
-// parse reads the arguments and checks them.
+// parse parses and checks the arguments.
 func (o *options) parse(arguments []string) error {
 	if err := o.parser.ParseArgs(arguments); err != nil {
 		return err
 	}
 	if !o.platformCommand.Used && !o.engineCommand.Used {
 		o.parser.ShowHelp()
-		return fmt.Errorf("martenwheel-standin: say platform or engine")
+		return fmt.Errorf("martenwheel-standin: specify platform or engine")
 	}
 	if o.engineCommand.Used && o.engine.ID == "" {
 		return fmt.Errorf("martenwheel-standin engine: --id missing")
--- a/cmd/martenwheel-standin/main_test.go
+++ b/cmd/martenwheel-standin/main_test.go
@@ -14,7 +14,7 @@
 func TestFlags(t *testing.T) {
 	cases := []struct {
 		arguments string
-		wantError string // a part of it; empty for none
+		wantError string // substring of the error; empty for none
 	}{
 		{"platform", ""},
 		{"engine --id=a1 --listen=127.0.0.1:9000 --platform=127.0.0.1:8000 --memory=1000 --unload-time=2s", ""},
@@ -56,7 +56,7 @@
 			}
 			for _, line := range strings.Split(strings.TrimSpace(logs.String()), "\n") {
 				if !json.Valid([]byte(line)) {
-					t.Errorf("log line %q is no JSON", line)
+					t.Errorf("log line %q is not JSON", line)
 				}
 			}
 		})
--- a/cmd/martenwheel/demo.go
+++ b/cmd/martenwheel/demo.go
@@ -14,7 +14,7 @@
 	"martenwheel.dev/pkg/demo"
 )
 
-// newDemoCommand returns the command that shows martenwheel in one process.
+// newDemoCommand returns the "demo" command, which runs a site in a single process.
 func newDemoCommand() cli.Extra {
 	command := flaggy.NewSubcommand("demo")
 	command.Description = "run a small site on 127.0.0.1 with stand-ins for the platform and the engines"
--- a/cmd/martenwheel/main.go
+++ b/cmd/martenwheel/main.go
@@ -1,4 +1,4 @@
-// Command martenwheel is the node of martenwheel and the operators' way in.
+// Command martenwheel runs a node of martenwheel, and is the operators' command line.
 package main
 
 import (
--- a/cmd/martenwheel/node.go
+++ b/cmd/martenwheel/node.go
@@ -16,7 +16,7 @@
 	"martenwheel.dev/platform"
 )
 
-// newNodeCommand returns the command that runs a node in this process.
+// newNodeCommand returns the "node" command, which runs a node in this process.
 func newNodeCommand() cli.Extra {
 	command := flaggy.NewSubcommand("node")
 	command.Description = "run a node; SIGTERM or an interrupt begins a planned stop"
@@ -33,8 +33,8 @@
 	return cli.Extra{Command: command, Run: run}
 }
 
-// runOnPlatform runs a node by the settings file of the users' platform. It logs
-// to stdout.
+// runOnPlatform runs a node configured by the settings file that the hosting platform provides. It
+// logs to stdout.
 func runOnPlatform(streams cli.Streams, path string) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -45,7 +45,7 @@
 	return cli.ExitOK
 }
 
-// runNode prints the node's addresses as one JSON line on stdout when it
+// runNode runs a node. It prints the node's addresses as one JSON line on stdout once the node
 // listens, and logs to stderr.
 func runNode(streams cli.Streams, path string, overrides map[string]string) int {
 	loaded, err := settings.Load(path, overrides)
--- a/e2e/cluster_test.go
+++ b/e2e/cluster_test.go
@@ -23,16 +23,16 @@
 	region      = "uy-south"
 	service     = "assistant"
 	anyPort     = "127.0.0.1:0"
-	speed       = "10" // simulated seconds a second, of the stand-ins
+	speed       = "10" // simulated seconds per second, in the stand-ins
 	engineBytes = 16 << 30
-	waitBound   = 30 * time.Second
+	waitTimeout = 30 * time.Second
 	waitPoll    = 20 * time.Millisecond
 )
 
-// zones of the cluster; each has one node and one engine.
+// zones lists the cluster's zones; each has one node and one engine.
 var zones = []string{"zone-a", "zone-b", "zone-c"}
 
-// siteTree is the tree that the cluster starts with.
+// siteTree is the initial settings tree of the cluster.
 const siteTree = `keep_alive: 1h
 prewarm: false
 load_time: 1s
@@ -49,33 +49,33 @@
           firing-13b: {memory: 8GiB}
 `
 
-// standinAddress is what a stand-in prints when it is ready.
+// standinAddress is the line that a stand-in prints on stdout when it is ready.
 type standinAddress struct {
 	Address string `json:"address"`
 }
 
-// nodeAddresses is what a node prints when it listens.
+// nodeAddresses is the line that a node prints on stdout when it listens.
 type nodeAddresses struct {
 	Callers   string `json:"callers"`
 	Operators string `json:"operators"`
 	Peers     string `json:"peers"`
 }
 
-// engineProcess is a stand-in for an engine.
+// engineProcess is a running stand-in for an engine.
 type engineProcess struct {
 	*process
 	standinAddress
 	id api.ServerID
 }
 
-// nodeProcess is a node.
+// nodeProcess is a running node.
 type nodeProcess struct {
 	*process
 	nodeAddresses
 	id api.NodeID
 }
 
-// cluster is a platform, three engines and three nodes.
+// cluster is a simulated platform with three engines and three nodes.
 type cluster struct {
 	options
 	platform        *process
@@ -84,32 +84,31 @@
 	nodes           []*nodeProcess
 }
 
-// options change the cluster of a test. The zero value changes nothing.
+// options configure the cluster of a test. The zero value is the default cluster.
 type options struct {
-	tree        string   // in place of siteTree
-	engineFlags []string // of all engines
-	// settings returns more settings of a node, as lines of YAML.
+	tree        string   // replaces siteTree, unless empty
+	engineFlags []string // command-line flags for all engines
+	// settings returns additional settings of a node, as lines of YAML.
 	settings func(id api.NodeID) string
 	operator *operatorAccess // nil: plain HTTP without a key
 }
 
-// operatorAccess is what an operator needs besides the address.
+// operatorAccess holds an operator's credentials.
 type operatorAccess struct {
 	client *http.Client
 	key    string
-	flags  []string // of commands
+	flags  []string // command-line flags of martenwheel commands
 }
 
-// startCluster starts all processes, commits the tree and waits until it is in
-// force on every node.
+// startCluster starts all processes, commits the tree and waits until every node has applied it.
 func startCluster(t *testing.T) *cluster {
 	t.Helper()
 	return startClusterWith(t, options{})
 }
 
-func startClusterWith(t *testing.T, with options) *cluster {
+func startClusterWith(t *testing.T, opts options) *cluster {
 	t.Helper()
-	c := &cluster{options: with}
+	c := &cluster{options: opts}
 	var announced standinAddress
 	c.platform = start(t, &announced, "martenwheel-standin", "platform", "--speed", speed, "--machine-lag", "500ms")
 	c.platformAddress = announced.Address
@@ -125,7 +124,7 @@
 	}
 	c.applyTree(t, c.tree)
 	for _, node := range c.nodes {
-		waitFor(t, "the tree is in force on "+string(node.id), func() bool { return c.status(t, node).TreeRevision > 0 })
+		waitFor(t, "the tree is applied on "+string(node.id), func() bool { return c.status(t, node).TreeRevision > 0 })
 	}
 	return c
 }
@@ -140,7 +139,7 @@
 	return e
 }
 
-// startNode starts a node whose settings come from a file and from flags.
+// startNode starts a node that is configured by a settings file and by flags.
 func (c *cluster) startNode(t *testing.T, zone string) *nodeProcess {
 	t.Helper()
 	base := "http://" + c.platformAddress
@@ -170,8 +169,7 @@
 	return n
 }
 
-// replaceNode starts a new process in place of one that ended, and waits until
-// it is ready.
+// replaceNode starts a new process in place of a node that exited, and waits until it is ready.
 func (c *cluster) replaceNode(t *testing.T, old *nodeProcess) *nodeProcess {
 	t.Helper()
 	index := slices.Index(c.nodes, old)
@@ -182,7 +180,7 @@
 	return replacement
 }
 
-// operatorURL returns the URL of a node's listener for operators.
+// operatorURL returns the URL of a node's operator API.
 func (c *cluster) operatorURL(node *nodeProcess) string {
 	if c.operator == nil {
 		return "http://" + node.Operators
@@ -190,7 +188,7 @@
 	return "https://" + node.Operators
 }
 
-// operatorClient returns a client of a node's API for operators.
+// operatorClient returns a client for a node's operator API.
 func (c *cluster) operatorClient(node *nodeProcess) *operator.Client {
 	if c.operator == nil {
 		return operator.NewClient(c.operatorURL(node), "", http.DefaultClient)
@@ -198,7 +196,7 @@
 	return operator.NewClient(c.operatorURL(node), c.operator.key, c.operator.client)
 }
 
-// waitReady waits until all nodes say that they are ready.
+// waitReady waits until all nodes report that they are ready.
 func (c *cluster) waitReady(t *testing.T) {
 	t.Helper()
 	for _, node := range c.nodes {
@@ -206,7 +204,7 @@
 	}
 }
 
-// ready tells whether a node says that it is ready.
+// ready reports whether a node's readiness check succeeds.
 func (c *cluster) ready(node *nodeProcess) bool {
 	client := http.DefaultClient
 	if c.operator != nil {
@@ -220,7 +218,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// command runs a command of martenwheel against a node and returns its output.
+// command runs a martenwheel command against a node and returns its output.
 func (c *cluster) command(t *testing.T, node *nodeProcess, arguments ...string) (string, error) {
 	t.Helper()
 	arguments = append(arguments, "--address", c.operatorURL(node))
@@ -231,7 +229,7 @@
 	return string(output), err
 }
 
-// applyTree commits a tree as an operator does.
+// applyTree commits a tree with the tree apply command.
 func (c *cluster) applyTree(t *testing.T, text string) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "tree.yaml")
@@ -243,7 +241,7 @@
 	}
 }
 
-// setTree changes one setting as an operator does.
+// setTree changes one setting with the tree set command.
 func (c *cluster) setTree(t *testing.T, path, setting string) {
 	t.Helper()
 	if output, err := c.command(t, c.nodes[0], "tree", "set", path, setting); err != nil {
@@ -251,7 +249,7 @@
 	}
 }
 
-// status returns what a node knows of the system.
+// status returns a node's view of the system.
 func (c *cluster) status(t *testing.T, node *nodeProcess) operator.Status {
 	t.Helper()
 	status, err := c.operatorClient(node).Status(t.Context())
@@ -261,7 +259,7 @@
 	return status
 }
 
-// replicas counts the replicas of a model that a node knows of, in any state.
+// replicas counts the replicas of a model in a node's view, in any state.
 func (c *cluster) replicas(t *testing.T, node *nodeProcess, model api.ModelName) int {
 	t.Helper()
 	count := 0
@@ -273,7 +271,7 @@
 	return count
 }
 
-// setFaults sets the faults of one part of a stand-in.
+// setFaults configures the faults that one part of a stand-in injects.
 func setFaults(t *testing.T, address, part string, faults standin.Faults) {
 	t.Helper()
 	body, err := json.Marshal(map[string]standin.Faults{part: faults})
@@ -290,18 +288,18 @@
 	}
 }
 
-// waitFor polls until condition holds; the test fails after waitBound.
-func waitFor(t *testing.T, what string, condition func() bool) {
+// waitFor polls until condition holds and fails the test after waitTimeout.
+func waitFor(t *testing.T, description string, condition func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(waitBound); !condition(); time.Sleep(waitPoll) {
+	for deadline := time.Now().Add(waitTimeout); !condition(); time.Sleep(waitPoll) {
 		if time.Now().After(deadline) {
-			t.Fatalf("waited %s in vain: %s", waitBound, what)
+			t.Fatalf("condition not met within %s: %s", waitTimeout, description)
 		}
 	}
 }
 
-// tellPlatform changes the platform's entry of an engine's machine.
-func (c *cluster) tellPlatform(t *testing.T, e *engineProcess, state platform.MachineState) {
+// setMachineState changes the platform's entry of an engine's machine.
+func (c *cluster) setMachineState(t *testing.T, e *engineProcess, state platform.MachineState) {
 	t.Helper()
 	body, err := json.Marshal(platform.Machine{
 		ID: string(e.id), Address: e.Address, Service: service, Region: region,
@@ -316,6 +314,6 @@
 	}
 	response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		t.Fatalf("tell the platform: %s", response.Status)
+		t.Fatalf("change the machine's entry: %s", response.Status)
 	}
 }
--- a/e2e/faults_test.go
+++ b/e2e/faults_test.go
@@ -20,8 +20,7 @@
 	"martenwheel.dev/pkg/standin"
 )
 
-// owner returns the node that owns the cell, as a node in reach sees it, and
-// another node.
+// owner waits until all nodes agree on the owner of the cell, and returns it and another node.
 func (c *cluster) owner(t *testing.T) (owner, other *nodeProcess) {
 	t.Helper()
 	var ownerID api.NodeID
@@ -39,7 +38,7 @@
 	return owner, other
 }
 
-// agreedOwner returns the owner that all nodes see, or "".
+// agreedOwner returns the owner of the cell if all nodes see the same one, else "".
 func (c *cluster) agreedOwner(t *testing.T) api.NodeID {
 	t.Helper()
 	var agreed api.NodeID
@@ -53,7 +52,7 @@
 	return agreed
 }
 
-// items returns what an engine holds, or nothing if it is out of reach.
+// items returns the models on an engine, or nil if the engine is unreachable.
 func (e *engineProcess) items(t *testing.T) []engine.Item {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
@@ -66,8 +65,8 @@
 	return inventory.Items
 }
 
-// holds tells whether an engine in reach holds a replica of a model, loading
-// and unloading ones included.
+// holds reports whether a reachable engine has a replica of a model, loading and unloading ones
+// included.
 func (e *engineProcess) holds(t *testing.T, model api.ModelName) bool {
 	t.Helper()
 	return slices.ContainsFunc(e.items(t), func(item engine.Item) bool {
@@ -75,7 +74,7 @@
 	})
 }
 
-// loaded counts the replicas of a model on the engines in reach.
+// loaded counts the replicas of a model on the reachable engines.
 func (c *cluster) loaded(t *testing.T, model api.ModelName) int {
 	t.Helper()
 	count := 0
@@ -87,7 +86,8 @@
 	return count
 }
 
-// wantAtMostOneReplica watches the engines until stop is closed.
+// wantAtMostOneReplica polls the engines until stop is closed, and fails the test if a model has
+// more than one replica.
 func (c *cluster) wantAtMostOneReplica(t *testing.T, model api.ModelName, stop <-chan struct{}) {
 	t.Helper()
 	for {
@@ -103,9 +103,9 @@
 	}
 }
 
-// tryWhole sends a request that is not streamed and returns the error.
-func tryWhole(ctx context.Context, node *nodeProcess, model string, options ...option.RequestOption) (string, error) {
-	ctx, cancel := context.WithTimeout(ctx, requestBound)
+// tryUnstreamed sends a request that is not streamed and returns its text or the error.
+func tryUnstreamed(ctx context.Context, node *nodeProcess, model string, options ...option.RequestOption) (string, error) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	client := newClient(node)
 	completion, err := client.Chat.Completions.New(ctx, parameters(model), options...)
@@ -115,18 +115,18 @@
 	return completion.Choices[0].Message.Content, nil
 }
 
-// notRun tells whether an API error says that the request did not run.
+// notRun reports whether an API error states that the request did not run.
 func notRun(err error) bool {
 	var apiError *openai.Error
 	return errors.As(err, &apiError) && strings.Contains(apiError.RawJSON(), `"not_run":true`)
 }
 
-// askUntilServed repeats a request until it is served, as long as each refusal
-// says that it did not run.
+// askUntilServed retries a request until it is served. Every refusal must state that the request
+// did not run.
 func askUntilServed(t *testing.T, node *nodeProcess, model string) {
 	t.Helper()
 	waitFor(t, model+" is served by "+string(node.id), func() bool {
-		_, err := tryWhole(t.Context(), node, model)
+		_, err := tryUnstreamed(t.Context(), node, model)
 		if err != nil && !notRun(err) {
 			t.Fatalf("%s: %v", model, err)
 		}
@@ -134,9 +134,8 @@
 	})
 }
 
-// TestOwnerDiesDuringLoad kills the owner while a load runs that takes longer
-// than the takeover. The waiting
-// request at another node is served, and no second replica is loaded.
+// TestOwnerDiesDuringLoad kills the owner during a load that takes longer than the takeover. The
+// request that waits at another node must be served, and no second replica may be loaded.
 func TestOwnerDiesDuringLoad(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t)
@@ -155,9 +154,9 @@
 	tasks.Wait()
 }
 
-// TestFrozenOwnerWakesUp freezes the owner past its lease while a request needs
-// it. Another node takes over and serves; the frozen one then goes on with what
-// it had in its buffers, and still no second replica is loaded.
+// TestFrozenOwnerWakesUp freezes the owner for longer than its lease while a request depends on it.
+// Another node takes over and serves; the frozen node then resumes with the orders it still has in
+// its buffers, and no second replica may be loaded.
 func TestFrozenOwnerWakesUp(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t)
@@ -167,20 +166,20 @@
 	tasks.Go(func() { c.wantAtMostOneReplica(t, "glaze-7b", stop) })
 
 	requests := pool.New()
-	requests.Go(func() { _, _ = tryWhole(t.Context(), owner, "glaze-7b") }) // its node freezes
+	requests.Go(func() { _, _ = tryUnstreamed(t.Context(), owner, "glaze-7b") }) // may fail because its node freezes
 	requests.Go(func() { askUntilServed(t, other, "glaze-7b") })
 	owner.freeze()
 	c.waitForOtherOwner(t, other, owner.id)
-	owner.thaw()
+	owner.resume()
 	requests.Wait()
 	askUntilServed(t, owner, "glaze-7b")
 	close(stop)
 	tasks.Wait()
 }
 
-// TestTableServiceDown takes the table service away and then kills the owner.
-// Loaded models are served, idle ones are woken, an edit is refused as such, and
-// the settings in force stay.
+// TestTableServiceDown makes the table service unavailable and then kills the owner. Loaded models
+// must still be served, idle models must be loaded, an edit must be refused with the table service
+// as the reason, and the current settings must stay in effect.
 func TestTableServiceDown(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t)
@@ -205,9 +204,9 @@
 	}
 }
 
-// TestBurstCausesOneLoad sends 1,000 requests to all nodes at once for one idle
-// model. All are served, and the model is loaded once, although the load takes
-// long enough for the owner to hear of all of them.
+// TestBurstCausesOneLoad sends 1,000 requests for one idle model to all nodes at once. All must be
+// served, and the model must be loaded once, although the load takes long enough for the owner to
+// receive the demand of all nodes.
 func TestBurstCausesOneLoad(t *testing.T) {
 	t.Parallel()
 	const requests = 1000
@@ -226,14 +225,15 @@
 	}
 }
 
-// burst sends requests for a model to all nodes at once. It returns how many were served, once all ended.
+// burst sends requests for one model to all nodes at once, waits for all of them and returns how
+// many were served.
 func (c *cluster) burst(t *testing.T, requests int) int64 {
 	var served atomic.Int64
 	burst := pool.New()
 	for i := range requests {
 		node := c.nodes[i%len(c.nodes)]
 		burst.Go(func() {
-			if _, err := tryWhole(t.Context(), node, "glaze-7b"); err != nil {
+			if _, err := tryUnstreamed(t.Context(), node, "glaze-7b"); err != nil {
 				t.Errorf("request at %s: %v", node.id, err)
 				return
 			}
@@ -244,32 +244,33 @@
 	return served.Load()
 }
 
-// TestBurstOutlivesAStalledOwner has the owner of the cell stand still during the load, for longer than its term lasts.
-// The next owner inherits the load and keeps those who wait: it refused all that waited at its own node, as if the memory
-// were taken by models in use.
+// TestBurstOutlivesAStalledOwner stops the owner of the cell during a load, for longer than its
+// term. The next owner must take over the load and keep the waiting requests. The failure guarded
+// against: the new owner refused all requests that waited at its own node, as if models in use took
+// the memory.
 func TestBurstOutlivesAStalledOwner(t *testing.T) {
 	t.Parallel()
 	const (
-		requests    = 300
-		ordered     = 500 * time.Millisecond // after the first request
-		standsStill = 2500 * time.Millisecond
+		requests      = 300
+		stallDelay    = 500 * time.Millisecond // after the first request; the load is ordered by then
+		stallDuration = 2500 * time.Millisecond
 	)
 	c := startCluster(t)
 	owner, _ := c.owner(t)
 	setFaults(t, c.platformAddress, standin.PartWeights, standin.Faults{SlowFactor: 20})
 	stall := pool.New()
 	stall.Go(func() {
-		time.Sleep(ordered)
+		time.Sleep(stallDelay)
 		owner.signal(syscall.SIGSTOP)
-		time.Sleep(standsStill)
+		time.Sleep(stallDuration)
 		owner.signal(syscall.SIGCONT)
 	})
 	c.burst(t, requests)
 	stall.Wait()
 }
 
-// TestLeavingEngine stops the engine that holds the only replica while a stream
-// runs on it. The stream ends whole, and the next request is served elsewhere.
+// TestLeavingEngine shuts down the engine with the only replica while a stream runs on it. The
+// stream must complete, and the next request must be served by another engine.
 func TestLeavingEngine(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t)
@@ -278,7 +279,7 @@
 
 	streams := pool.New()
 	started := make(chan struct{})
-	streams.Go(func() { longStream(t, c.nodes[0], "glaze-7b", started) })
+	streams.Go(func() { runLongStream(t, c.nodes[0], "glaze-7b", started) })
 	<-started
 	holder.signal(syscall.SIGTERM)
 	streams.Wait()
@@ -290,35 +291,34 @@
 	}
 }
 
-// TestStoppingNode stops a node while a stream runs through it. The stream ends
-// whole, and the other nodes go on.
+// TestStoppingNode shuts down a node while it relays a stream. The stream must complete, and the
+// other nodes must go on serving.
 func TestStoppingNode(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t)
 	askUntilServed(t, c.nodes[0], "glaze-7b")
 	streams := pool.New()
 	started := make(chan struct{})
-	streams.Go(func() { longStream(t, c.nodes[0], "glaze-7b", started) })
+	streams.Go(func() { runLongStream(t, c.nodes[0], "glaze-7b", started) })
 	<-started
 	c.nodes[0].stop(t)
 	streams.Wait()
 	askUntilServed(t, c.nodes[1], "firing-13b")
 }
 
-// TestVanishedEngine kills the engine that holds the only replica, with no
-// notice. Once the platform lists the machine as gone, the model is served
-// elsewhere.
+// TestVanishedEngine kills the engine with the only replica without notice. Once the platform lists
+// the machine as gone, the model must be served by another engine.
 func TestVanishedEngine(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t)
 	askUntilServed(t, c.nodes[0], "glaze-7b")
 	holder := c.holder(t, "glaze-7b")
 	holder.kill()
-	c.tellPlatform(t, holder, platform.MachineGone)
+	c.setMachineState(t, holder, platform.MachineGone)
 	askUntilServed(t, c.nodes[1], "glaze-7b")
 }
 
-// holder returns the engine that holds a model.
+// holder returns the engine that has a replica of a model.
 func (c *cluster) holder(t *testing.T, model api.ModelName) *engineProcess {
 	t.Helper()
 	for _, replica := range c.status(t, c.nodes[1]).Replicas {
@@ -332,11 +332,11 @@
 	return nil
 }
 
-// longStream runs a stream of some seconds and checks that it ends whole.
-// started is closed with the first token.
-func longStream(t *testing.T, node *nodeProcess, model string, started chan<- struct{}) {
+// runLongStream runs a stream of several seconds and checks that it completes. It closes started with
+// the first token.
+func runLongStream(t *testing.T, node *nodeProcess, model string, started chan<- struct{}) {
 	const tokens = 1000
-	ctx, cancel := context.WithTimeout(t.Context(), requestBound)
+	ctx, cancel := context.WithTimeout(t.Context(), requestTimeout)
 	defer cancel()
 	client := newClient(node)
 	request := parameters(model)
--- a/e2e/measure_test.go
+++ b/e2e/measure_test.go
@@ -16,9 +16,9 @@
 	"martenwheel.dev/pkg/standin"
 )
 
-var measure = flag.Bool("measure", false, "run the measurements, which prove nothing and take minutes")
+var measure = flag.Bool("measure", false, "run the measurements, which check nothing and take minutes")
 
-// skipUnlessMeasuring skips a measurement in ordinary runs.
+// skipUnlessMeasuring skips a measurement unless -measure is set.
 func skipUnlessMeasuring(t *testing.T) {
 	t.Helper()
 	if !*measure {
@@ -26,18 +26,18 @@
 	}
 }
 
-// report logs the median and the extremes of durations.
-func report(t *testing.T, what string, durations []time.Duration) {
+// report logs the median, minimum and maximum of durations.
+func report(t *testing.T, label string, durations []time.Duration) {
 	t.Helper()
 	slices.Sort(durations)
-	t.Logf("%s: n=%d, median %s, least %s, most %s", what, len(durations),
+	t.Logf("%s: n=%d, median %s, least %s, most %s", label, len(durations),
 		durations[len(durations)/2].Round(time.Millisecond),
 		durations[0].Round(time.Millisecond),
 		durations[len(durations)-1].Round(time.Millisecond))
 }
 
-// TestMeasureTakeover measures the time from the death of the owner until
-// another node shows a new one.
+// TestMeasureTakeover measures the time from the death of the owner until another node sees a new
+// owner.
 func TestMeasureTakeover(t *testing.T) {
 	skipUnlessMeasuring(t)
 	const runs = 7
@@ -50,7 +50,7 @@
 		setFaults(t, c.platformAddress, standin.PartTable, table.faults)
 		var takeovers []time.Duration
 		for range runs {
-			c.waitForWholeGroup(t)
+			c.waitForCompleteGroup(t)
 			owner, other := c.owner(t)
 			killed := time.Now()
 			owner.kill()
@@ -62,20 +62,20 @@
 	}
 }
 
-// waitForWholeGroup waits until the cell's group has had three live members for
-// a while.
-func (c *cluster) waitForWholeGroup(t *testing.T) {
+// waitForCompleteGroup waits until the cell's quorum group has all three members, and then for it to
+// settle.
+func (c *cluster) waitForCompleteGroup(t *testing.T) {
 	t.Helper()
 	const settled = 3 * time.Second
-	waitFor(t, "the group is whole", func() bool {
+	waitFor(t, "the group is complete", func() bool {
 		cells := c.status(t, c.nodes[0]).Cells
 		return len(cells) == 1 && len(cells[0].Members) == len(zones)
 	})
 	time.Sleep(settled)
 }
 
-// TestMeasureEdit measures the time from the request and from the acceptance
-// of an edit until it is in force on the last node.
+// TestMeasureEdit measures how long an edit takes to be applied on the last node, both from the
+// request and from its acceptance.
 func TestMeasureEdit(t *testing.T) {
 	skipUnlessMeasuring(t)
 	const runs = 30
@@ -90,20 +90,20 @@
 		}
 		accepted := time.Now()
 		for _, node := range c.nodes {
-			for present := ""; present != value; present, _ = c.inForce(t, node) {
+			for present := ""; present != value; present, _ = c.keepAlive(t, node) {
 				time.Sleep(time.Millisecond)
 			}
 		}
-		inForce := time.Now()
-		fromRequest = append(fromRequest, inForce.Sub(asked))
-		fromAcceptance = append(fromAcceptance, inForce.Sub(accepted))
+		appliedAt := time.Now()
+		fromRequest = append(fromRequest, appliedAt.Sub(asked))
+		fromAcceptance = append(fromAcceptance, appliedAt.Sub(accepted))
 	}
-	report(t, "edit, from the request to in force on the last node", fromRequest)
-	report(t, "edit, from its acceptance to in force on the last node", fromAcceptance)
+	report(t, "edit, from the request until applied on the last node", fromRequest)
+	report(t, "edit, from its acceptance until applied on the last node", fromAcceptance)
 }
 
-// TestMeasureLeaving measures the time from the stop signal of an engine to the
-// last request that it had to refuse.
+// TestMeasureLeaving measures the time from the stop signal of an engine to the last request that
+// it had to refuse.
 func TestMeasureLeaving(t *testing.T) {
 	skipUnlessMeasuring(t)
 	const runs = 5
@@ -123,7 +123,7 @@
 					case <-stop:
 						return
 					default:
-						askWhole(t, node, "glaze-7b", fmt.Sprintf("%s%d-%d", prefix, caller, i))
+						askUnstreamed(t, node, "glaze-7b", fmt.Sprintf("%s%d-%d", prefix, caller, i))
 					}
 				}
 			})
@@ -142,8 +142,8 @@
 	report(t, "from the stop signal of an engine to the last request that it got", last)
 }
 
-// lastRepeat returns the time from since to the end of the last request that
-// took more than one attempt.
+// lastRepeat returns the time from since to the end of the last request that took more than one
+// attempt.
 func (c *cluster) lastRepeat(t *testing.T, prefix string, since time.Time) time.Duration {
 	t.Helper()
 	last := time.Duration(0)
@@ -161,19 +161,19 @@
 	return last
 }
 
-// TestMeasureColdStart measures what the time to the first token of an idle
-// model has beyond the load on the engine.
+// TestMeasureColdStart measures the time to the first token of an idle model, and how much of it is
+// spent outside the load on the engine.
 func TestMeasureColdStart(t *testing.T) {
 	skipUnlessMeasuring(t)
 	const models = 12
-	tree := "weight_load_rate: 100\n" + // no wait for the weight store's rate
+	tree := "weight_load_rate: 100\n" + // high enough that loads don't wait for the weight store's rate limit
 		strings.Replace(narrowTree, "          glaze-7b: {memory: 4GiB}\n", "", 1)
 	for i := range models {
 		tree += fmt.Sprintf("          cold-%d: {memory: 2GiB}\n", i)
 	}
 	c := startClusterWith(t, options{tree: tree})
 	askUntilServed(t, c.nodes[0], "cold-0")
-	var first, loads, beyond []time.Duration
+	var first, loads, overheads []time.Duration
 	for i := 1; i < models; i++ {
 		model := fmt.Sprintf("cold-%d", i)
 		var load time.Duration
@@ -188,18 +188,17 @@
 		took := time.Since(asked)
 		stream.Close()
 		watch.Wait()
-		first, loads, beyond = append(first, took), append(loads, load), append(beyond, took-load)
+		first, loads, overheads = append(first, took), append(loads, load), append(overheads, took-load)
 	}
 	report(t, "cold start, to the first token", first)
-	report(t, "cold start, load as the engines show it", loads)
-	report(t, "cold start, beyond the load", beyond)
+	report(t, "cold start, load time seen in the engines' inventories", loads)
+	report(t, "cold start, time outside the load", overheads)
 }
 
-// loadDuration watches the engines until a model has been loaded, and returns
-// how long that took.
+// loadDuration polls the engines until a model is loaded and returns how long the load took.
 func (c *cluster) loadDuration(t *testing.T, model api.ModelName) time.Duration {
 	began := time.Time{}
-	for deadline := time.Now().Add(waitBound); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		for _, e := range c.engines {
 			if began.IsZero() && e.holds(t, model) {
 				began = time.Now()
--- a/e2e/once_test.go
+++ b/e2e/once_test.go
@@ -15,7 +15,7 @@
 	"martenwheel.dev/pkg/traffic"
 )
 
-// unsafeRequest returns the options of a request that is unsafe to repeat.
+// unsafeRequest returns the options of a request that must not run twice.
 func unsafeRequest(key string) []option.RequestOption {
 	return []option.RequestOption{
 		option.WithHeader("X-Unsafe-To-Repeat", "true"),
@@ -23,13 +23,13 @@
 	}
 }
 
-// askOnceUntilServed repeats an unsafe request under its key until it is
-// answered. A refusal must come from the API; it may leave the outcome open,
-// since the key is there for that.
-func askOnceUntilServed(t *testing.T, node *nodeProcess, key string) {
-	deadline := time.Now().Add(waitBound)
+// askUnsafeUntilServed retries an unsafe request under its idempotency key until it is answered. A
+// failed attempt must be an API error, but its outcome may be unknown: the key makes the retry
+// safe.
+func askUnsafeUntilServed(t *testing.T, node *nodeProcess, key string) {
+	deadline := time.Now().Add(waitTimeout)
 	for {
-		_, err := tryWhole(t.Context(), node, "glaze-7b", unsafeRequest(key)...)
+		_, err := tryUnstreamed(t.Context(), node, "glaze-7b", unsafeRequest(key)...)
 		if err == nil {
 			return
 		}
@@ -38,22 +38,22 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Errorf("key %s at %s is not answered within %s: %v", key, node.id, waitBound, err)
+			t.Errorf("key %s at %s: not answered within %s: %v", key, node.id, waitTimeout, err)
 			return
 		}
 		time.Sleep(5 * waitPoll)
 	}
 }
 
-// wantKeysRunOnce sends each of some new keys through all nodes at once. All
-// callers get an answer, and each key runs once.
+// wantKeysRunOnce sends the requests of several new keys through all nodes at once. Every caller
+// must get an answer, and each key must run once.
 func (c *cluster) wantKeysRunOnce(t *testing.T, nodes []*nodeProcess, prefix string) {
 	t.Helper()
 	const keys = 15
 	callers := pool.New()
 	for i := range keys {
 		for _, node := range nodes {
-			callers.Go(func() { askOnceUntilServed(t, node, fmt.Sprintf("%s-%d", prefix, i)) })
+			callers.Go(func() { askUnsafeUntilServed(t, node, fmt.Sprintf("%s-%d", prefix, i)) })
 		}
 	}
 	callers.Wait()
@@ -65,7 +65,7 @@
 	}
 }
 
-// executionsOf counts how often the engines began the request with a key.
+// executionsOf counts how often the engines started the request with a key.
 func (c *cluster) executionsOf(t *testing.T, key string) int {
 	t.Helper()
 	count := 0
@@ -75,9 +75,9 @@
 	return count
 }
 
-// TestUnsafeRunsOnce sends unsafe requests under the same keys through all
-// nodes at once: with all well, with the table service down, and then with a
-// keeper killed, too.
+// TestUnsafeRunsOnce sends unsafe requests with the same keys through all nodes at once: in normal
+// operation, with the table service down, and then also with one node, and so one keeper of claims,
+// killed.
 func TestUnsafeRunsOnce(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t)
@@ -89,9 +89,8 @@
 	c.wantKeysRunOnce(t, c.nodes[:2], "no-table-no-keeper")
 }
 
-// TestUnsafeNodeDiesMidway kills the node that an unsafe request runs through.
-// Repeats through another node never run it again, also once the group has
-// replaced the dead keeper.
+// TestUnsafeNodeDiesMidway kills the node that relays a running unsafe request. Retries through
+// another node must not run it again, also after the quorum group has replaced the dead keeper.
 func TestUnsafeNodeDiesMidway(t *testing.T) {
 	t.Parallel()
 	const key = "pump-7"
@@ -100,7 +99,7 @@
 	caller := pool.New()
 	caller.Go(func() {
 		request := append(unsafeRequest(key), option.WithJSONSet("max_tokens", 4000))
-		_, _ = tryWhole(t.Context(), c.nodes[0], "glaze-7b", request...) // its node dies
+		_, _ = tryUnstreamed(t.Context(), c.nodes[0], "glaze-7b", request...) // fails because its node is killed
 	})
 	waitFor(t, "the request runs", func() bool { return c.executionsOf(t, key) == 1 })
 	c.nodes[0].kill()
@@ -114,61 +113,60 @@
 	}
 }
 
-// wantNeverServedAgain repeats a key whose outcome is unknown. No answer may
-// claim that the request ran now, or that it never ran.
+// wantNeverServedAgain retries a key whose outcome is unknown. No answer may claim that the request
+// ran now, or that it never ran.
 func (c *cluster) wantNeverServedAgain(t *testing.T, node *nodeProcess, key string, times int) {
 	t.Helper()
 	for range times {
 		request := append(unsafeRequest(key), option.WithJSONSet("max_tokens", 4000))
-		_, err := tryWhole(t.Context(), node, "glaze-7b", request...)
+		_, err := tryUnstreamed(t.Context(), node, "glaze-7b", request...)
 		refusal, _ := refusalOf(err)
 		if refusal == nil {
-			t.Errorf("repeat of %s at %s: %v, want a refusal", key, node.id, err)
+			t.Errorf("repeat of %s at %s: %v, want an API error", key, node.id, err)
 			return
 		}
-		unavailable := refusal.StatusCode == http.StatusServiceUnavailable && notRun(err) // keepers abstain
+		unavailable := refusal.StatusCode == http.StatusServiceUnavailable && notRun(err) // allowed while the keepers abstain from granting claims
 		if refusal.StatusCode != http.StatusConflict && !unavailable {
-			t.Errorf("repeat of %s at %s: %v, want a conflict", key, node.id, err)
+			t.Errorf("repeat of %s at %s: %v, want status 409", key, node.id, err)
 		}
 		time.Sleep(waitPoll)
 	}
 }
 
-// TestUnsafeNodeFreezesBeforeDispatch freezes a node after its claim on a key
-// was granted and before the request was sent, since the model is busy. Repeats
-// through another node don't run it; the frozen node goes on later and runs it
-// at most once.
+// TestUnsafeNodeFreezesBeforeDispatch freezes a node after its claim on a key was granted but
+// before the request is sent, because the model is busy. Retries through another node must not run
+// it; the frozen node resumes later and runs it at most once.
 func TestUnsafeNodeFreezesBeforeDispatch(t *testing.T) {
 	t.Parallel()
 	const key = "valve-3"
 	c := startClusterWith(t, options{tree: narrowTree})
 	askUntilServed(t, c.nodes[0], "glaze-7b")
-	streaming, leave := context.WithCancel(t.Context())
-	defer leave()
-	rest := beginStream(streaming, t, c.nodes[0], 8000)
+	streamContext, cancelStream := context.WithCancel(t.Context())
+	defer cancelStream()
+	finishStream := beginStream(streamContext, t, c.nodes[0], 8000)
 	caller := pool.New()
 	var answered atomic.Bool
 	caller.Go(func() {
-		_, err := tryWhole(t.Context(), c.nodes[0], "glaze-7b", unsafeRequest(key)...)
+		_, err := tryUnstreamed(t.Context(), c.nodes[0], "glaze-7b", unsafeRequest(key)...)
 		answered.Store(err == nil)
 	})
-	waitFor(t, "the request waits", func() bool { return c.waiting(t, c.nodes[0], "glaze-7b") == 1 })
+	waitFor(t, "the request is queued", func() bool { return c.waiting(t, c.nodes[0], "glaze-7b") == 1 })
 	c.nodes[0].freeze()
 	for range 10 {
-		if _, err := tryWhole(t.Context(), c.nodes[1], "glaze-7b", unsafeRequest(key)...); err == nil {
-			t.Error("the key was answered through another node while the first holds the claim")
+		if _, err := tryUnstreamed(t.Context(), c.nodes[1], "glaze-7b", unsafeRequest(key)...); err == nil {
+			t.Error("the key was served through another node while the first node holds the claim")
 		} else if refusal, _ := refusalOf(err); refusal == nil || refusal.Code != string(traffic.ReasonKeyInUse) {
-			t.Errorf("repeat: %v, want that the key is in use", refusal.RawJSON())
+			t.Errorf("repeat: %v, want an error that the key is in use", refusal.RawJSON())
 		}
 	}
 	if count := c.executionsOf(t, key); count != 0 {
-		t.Errorf("key %s ran %d times while its claim waited", key, count)
+		t.Errorf("key %s ran %d times while its request was queued", key, count)
 	}
-	c.nodes[0].thaw()
-	leave()
-	_ = rest() // cancelled
+	c.nodes[0].resume()
+	cancelStream()
+	_ = finishStream() // cancelled above
 	caller.Wait()
-	askOnceUntilServed(t, c.nodes[1], key)
+	askUnsafeUntilServed(t, c.nodes[1], key)
 	if count := c.executionsOf(t, key); count != 1 {
 		t.Errorf("key %s ran %d times (answered at first: %t)", key, count, answered.Load())
 	}
--- a/e2e/pages_test.go
+++ b/e2e/pages_test.go
@@ -14,8 +14,8 @@
 	declaredTest = regexp.MustCompile(`(?m)^func ((?:Test|Fuzz)[A-Z]\w*)\(`)
 )
 
-// TestProofsNameTestsThatExist checks each test that the pages of proofs name.
-// A name that ends in a star or in dots stands for all that begin so.
+// TestProofsNameTestsThatExist checks that each test named in docs/PROOFS.md and docs/proofs
+// exists. A name that ends in "*" or "." is a prefix.
 func TestProofsNameTestsThatExist(t *testing.T) {
 	declared := make(map[string]bool)
 	err := filepath.WalkDir("..", func(path string, entry fs.DirEntry, err error) error {
@@ -42,14 +42,14 @@
 		}
 		for _, match := range namedTest.FindAllSubmatch(text, -1) {
 			name, abbreviated := string(match[1]), len(match[2]) > 0
-			if !declared[name] && !(abbreviated && anyBeginsWith(declared, name)) {
+			if !declared[name] && !(abbreviated && anyHasPrefix(declared, name)) {
 				t.Errorf("%s names %s, which does not exist", page, name)
 			}
 		}
 	}
 }
 
-func anyBeginsWith(names map[string]bool, prefix string) bool {
+func anyHasPrefix(names map[string]bool, prefix string) bool {
 	for name := range names {
 		if strings.HasPrefix(name, prefix) {
 			return true
--- a/e2e/path_test.go
+++ b/e2e/path_test.go
@@ -11,11 +11,10 @@
 	"github.com/pkg/errors"
 )
 
-// requestBound is the longest that one request of a test may take.
-const requestBound = 30 * time.Second
+// requestTimeout is the timeout of one request.
+const requestTimeout = 30 * time.Second
 
-// newClient returns the published client library for the API, without retries
-// of its own.
+// newClient returns a client of the published OpenAI library, with its retries disabled.
 func newClient(node *nodeProcess) openai.Client {
 	return openai.NewClient(
 		option.WithBaseURL("http://"+node.Callers+"/v1/"),
@@ -39,19 +38,19 @@
 	return request
 }
 
-// askWhole sends a request that is not streamed and returns its text.
-func askWhole(t *testing.T, node *nodeProcess, model, requestID string) string {
+// askUnstreamed sends a request that is not streamed and returns its text; errors fail the test.
+func askUnstreamed(t *testing.T, node *nodeProcess, model, requestID string) string {
 	t.Helper()
-	content, err := wholeAnswer(t.Context(), node, model, requestID)
+	content, err := unstreamedAnswer(t.Context(), node, model, requestID)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return content
 }
 
-// wholeAnswer is askWhole for other goroutines than the test's.
-func wholeAnswer(ctx context.Context, node *nodeProcess, model, requestID string) (string, error) {
-	ctx, cancel := context.WithTimeout(ctx, requestBound)
+// unstreamedAnswer is askUnstreamed for goroutines other than the test's, which must not call t.Fatal.
+func unstreamedAnswer(ctx context.Context, node *nodeProcess, model, requestID string) (string, error) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	client := newClient(node)
 	completion, err := client.Chat.Completions.New(ctx, parameters(model), option.WithHeader("X-Request-Id", requestID))
@@ -67,7 +66,7 @@
 // askStreamed sends a streamed request and returns its text.
 func askStreamed(t *testing.T, node *nodeProcess, model, requestID string) string {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), requestBound)
+	ctx, cancel := context.WithTimeout(t.Context(), requestTimeout)
 	defer cancel()
 	client := newClient(node)
 	stream := client.Chat.Completions.NewStreaming(ctx, parameters(model), option.WithHeader("X-Request-Id", requestID))
@@ -85,10 +84,9 @@
 	return text
 }
 
-// TestWholePath sends requests through three nodes as separate processes: to an
-// idle and to a loaded model, streamed and not, and to an adapter; then an edit
-// of the keep-alive unloads the replicas, and the same request is found in the
-// logs of the node and of the owner.
+// TestWholePath sends requests through three nodes that run as separate processes: to an idle and
+// to a loaded model, streamed and not, and to an adapter. A shorter keep-alive then unloads the
+// replicas, and one request must appear in the logs of the node, the engine and the owner.
 func TestWholePath(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t)
@@ -96,13 +94,13 @@
 	if text := askStreamed(t, c.nodes[0], "glaze-7b", "idle-streamed"); text == "" {
 		t.Error("idle model, streamed: no text")
 	}
-	if text := askWhole(t, c.nodes[1], "glaze-7b", "loaded-whole"); text == "" {
+	if text := askUnstreamed(t, c.nodes[1], "glaze-7b", "loaded-whole"); text == "" {
 		t.Error("loaded model, whole: no text")
 	}
 	if text := askStreamed(t, c.nodes[2], "glaze-7b:studio-3", "adapter-streamed"); text == "" {
 		t.Error("idle adapter on a loaded base, streamed: no text")
 	}
-	if text := askWhole(t, c.nodes[2], "firing-13b", "idle-whole"); text == "" {
+	if text := askUnstreamed(t, c.nodes[2], "firing-13b", "idle-whole"); text == "" {
 		t.Error("idle model, whole: no text")
 	}
 	if count := c.replicas(t, c.nodes[0], "glaze-7b"); count != 1 {
@@ -111,7 +109,7 @@
 
 	c.setTree(t, "/", "keep_alive=1s")
 	for _, node := range c.nodes {
-		waitFor(t, "all replicas are unloaded in the view of "+string(node.id), func() bool {
+		waitFor(t, "all replicas are unloaded as seen by "+string(node.id), func() bool {
 			return len(c.status(t, node).Replicas) == 0
 		})
 	}
@@ -119,7 +117,7 @@
 	wantOneRevision(t, c)
 }
 
-// wantOneRevision checks that the status of any node shows the revision of each.
+// wantOneRevision checks that every node's status shows all nodes at the same tree revision.
 func wantOneRevision(t *testing.T, c *cluster) {
 	t.Helper()
 	for _, asked := range c.nodes {
@@ -135,8 +133,8 @@
 	}
 }
 
-// wantRequestLogged checks that a request can be followed over processes, and
-// that all logs are JSON lines.
+// wantRequestLogged checks that a request can be traced across processes, and that all logs are
+// JSON lines.
 func wantRequestLogged(t *testing.T, c *cluster, requestID string) {
 	t.Helper()
 	served := 0
@@ -159,12 +157,12 @@
 		loads += countLines(t, node.process, "load ordered", requestID)
 	}
 	if atEngines != 1 || loads != 1 {
-		t.Errorf("request %s is in %d log lines of engines and in %d about loads, want 1 each", requestID, atEngines, loads)
+		t.Errorf("request %s is in %d log lines of engines and in %d about load orders, want 1 each", requestID, atEngines, loads)
 	}
 }
 
-// countLines counts the log lines with a message about a request. Other
-// processes know it by an ID that begins with the caller's.
+// countLines counts a process's log lines with a message about a request. Other processes log an ID
+// that begins with the caller's request ID.
 func countLines(t *testing.T, p *process, message, requestID string) int {
 	t.Helper()
 	count := 0
--- a/e2e/process_test.go
+++ b/e2e/process_test.go
@@ -15,15 +15,15 @@
 	"time"
 )
 
-// stopBound is the longest that a process may take for a planned stop.
-const stopBound = 30 * time.Second
+// stopTimeout is the timeout of a graceful shutdown.
+const stopTimeout = 30 * time.Second
 
 const (
-	parallelFlag   = "test.parallel"
-	clustersAtOnce = "4"
+	parallelFlag        = "test.parallel"
+	maxParallelClusters = "4"
 )
 
-// programs is the directory of the programs under test.
+// programs is the directory of the executables under test.
 var programs string
 
 func TestMain(m *testing.M) {
@@ -48,17 +48,17 @@
 	return m.Run()
 }
 
-// limitParallel lets a few clusters run at once, unless a flag says otherwise.
+// limitParallel sets the number of clusters that run in parallel, unless the flag is given.
 func limitParallel() {
 	flag.Parse()
 	given := false
 	flag.Visit(func(f *flag.Flag) { given = given || f.Name == parallelFlag })
 	if !given {
-		_ = flag.Set(parallelFlag, clustersAtOnce) // the testing package defines it
+		_ = flag.Set(parallelFlag, maxParallelClusters) // can't fail: the testing package defines the flag
 	}
 }
 
-// process is a running program that printed its addresses on stdout.
+// process is a running program that has printed its addresses on stdout.
 type process struct {
 	command *exec.Cmd
 	logs    *logBuffer
@@ -96,7 +96,7 @@
 		t.Fatalf("%s printed %q: %v", program, line, err)
 	}
 	go func() {
-		_ = p.command.Wait() // the state tells how it ended
+		_ = p.command.Wait() // ignored: ProcessState holds the exit status
 		close(p.exited)
 	}()
 	return p
@@ -104,23 +104,23 @@
 
 // signal sends a signal to the process.
 func (p *process) signal(signal syscall.Signal) {
-	_ = p.command.Process.Signal(signal) // it may have ended
+	_ = p.command.Process.Signal(signal) // ignored: the process may have exited
 }
 
-// kill ends the process at once and waits for its end.
+// kill sends SIGKILL and waits until the process has exited.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.exited
 }
 
-// stop asks for a planned stop and waits for its end.
+// stop sends SIGTERM and waits until the process has exited.
 func (p *process) stop(t *testing.T) {
 	t.Helper()
 	p.signal(syscall.SIGTERM)
 	select {
 	case <-p.exited:
-	case <-time.After(stopBound):
-		t.Errorf("%s did not stop within %s", p.command.Path, stopBound)
+	case <-time.After(stopTimeout):
+		t.Errorf("%s did not stop within %s", p.command.Path, stopTimeout)
 	}
 }
 
@@ -137,7 +137,7 @@
 		}
 		var line logLine
 		if err := json.Unmarshal(text, &line); err != nil {
-			t.Errorf("log line is no JSON object: %q", text)
+			t.Errorf("log line is not a JSON object: %q", text)
 			continue
 		}
 		lines = append(lines, line)
@@ -145,7 +145,7 @@
 	return lines
 }
 
-// logBuffer collects what a process writes.
+// logBuffer collects the stderr output of a process.
 type logBuffer struct {
 	mutex sync.Mutex
 	data  bytes.Buffer
@@ -157,7 +157,7 @@
 	return b.data.Write(data)
 }
 
-// Bytes returns a copy of what was written, up to the last whole line.
+// Bytes returns a copy of the output up to the last complete line.
 func (b *logBuffer) Bytes() []byte {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -165,7 +165,7 @@
 	return data[:bytes.LastIndexByte(data, '\n')+1]
 }
 
-// String returns what was written.
+// String returns the output up to the last complete line.
 func (b *logBuffer) String() string {
 	return string(b.Bytes())
 }
--- a/e2e/rolling_test.go
+++ b/e2e/rolling_test.go
@@ -12,7 +12,7 @@
 	"github.com/sourcegraph/conc/pool"
 )
 
-// nodeList is the nodes that callers know of, as a load balancer would.
+// nodeList holds the nodes that callers use, as a load balancer would.
 type nodeList struct {
 	mutex sync.Mutex
 	nodes []*nodeProcess
@@ -25,7 +25,7 @@
 	l.nodes = nodes
 }
 
-// pick returns the nodes in turn.
+// pick returns the next node, round-robin.
 func (l *nodeList) pick() *nodeProcess {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -33,7 +33,7 @@
 	return l.nodes[l.next%len(l.nodes)]
 }
 
-// load is the steady load of a test.
+// load generates a steady load during a test.
 type load struct {
 	nodes    nodeList
 	stop     chan struct{}
@@ -43,16 +43,16 @@
 	streamed atomic.Int64
 }
 
-// startLoad lets whole requests and streams run at all nodes until end.
+// startLoad sends streamed and other requests to all nodes until end is called.
 func startLoad(t *testing.T, c *cluster) *load {
-	const wholeCallers, streamCallers = 8, 4
+	const unstreamedCallers, streamCallers = 8, 4
 	l := &load{stop: make(chan struct{}), callers: pool.New()}
 	l.nodes.set(c.nodes)
-	for range wholeCallers {
-		l.callers.Go(func() { l.repeat(func() { l.whole(t) }) })
+	for range unstreamedCallers {
+		l.callers.Go(func() { l.repeat(func() { l.unstreamedRequest(t) }) })
 	}
 	for range streamCallers {
-		l.callers.Go(func() { l.repeat(func() { l.stream(t) }) })
+		l.callers.Go(func() { l.repeat(func() { l.streamedRequest(t) }) })
 	}
 	return l
 }
@@ -68,15 +68,16 @@
 	}
 }
 
-// end stops the load and waits for what runs.
+// end stops the load and waits for the running requests.
 func (l *load) end() {
 	close(l.stop)
 	l.callers.Wait()
 }
 
-// whole sends one request, which must be served or surely not run.
-func (l *load) whole(t *testing.T) {
-	_, err := tryWhole(t.Context(), l.nodes.pick(), "glaze-7b")
+// unstreamedRequest sends one request that is not streamed. It must be served, or fail in a way that proves
+// that it did not run.
+func (l *load) unstreamedRequest(t *testing.T) {
+	_, err := tryUnstreamed(t.Context(), l.nodes.pick(), "glaze-7b")
 	switch {
 	case err == nil:
 		l.served.Add(1)
@@ -88,15 +89,15 @@
 	}
 }
 
-// surelyNotRun tells whether a request was refused as not run, or never left
-// since nobody listens.
+// surelyNotRun reports whether a request was refused as not run, or could not be sent because the
+// connection was refused.
 func surelyNotRun(err error) bool {
 	return notRun(err) || errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// stream reads one stream, which must end whole if it began.
-func (l *load) stream(t *testing.T) {
-	ctx, cancel := context.WithTimeout(t.Context(), requestBound)
+// streamedRequest sends one streamed request. Once it has begun, it must complete.
+func (l *load) streamedRequest(t *testing.T) {
+	ctx, cancel := context.WithTimeout(t.Context(), requestTimeout)
 	defer cancel()
 	client := newClient(l.nodes.pick())
 	stream := client.Chat.Completions.NewStreaming(ctx, streamOf(400))
@@ -119,8 +120,8 @@
 	}
 }
 
-// TestRollingReplacement replaces all nodes one after the other under a steady
-// load. No stream is cut, and each request is served or refused as not run.
+// TestRollingReplacement replaces all nodes one by one under a steady load. No stream may be cut,
+// and each request must be served or refused as not run.
 func TestRollingReplacement(t *testing.T) {
 	t.Parallel()
 	c := startClusterWith(t, options{tree: doubleTree})
@@ -129,7 +130,7 @@
 	for _, old := range c.nodes {
 		before := l.served.Load() + l.streamed.Load()
 		old.stop(t)
-		l.nodes.set(c.without(old))
+		l.nodes.set(c.nodesWithout(old))
 		c.replaceNode(t, old)
 		l.nodes.set(c.nodes)
 		waitFor(t, "the load goes on", func() bool { return l.served.Load()+l.streamed.Load() > before+50 })
@@ -141,11 +142,11 @@
 	}
 }
 
-// without returns the nodes but one.
-func (c *cluster) without(out *nodeProcess) []*nodeProcess {
+// nodesWithout returns all nodes but one.
+func (c *cluster) nodesWithout(excluded *nodeProcess) []*nodeProcess {
 	var rest []*nodeProcess
 	for _, node := range c.nodes {
-		if node != out {
+		if node != excluded {
 			rest = append(rest, node)
 		}
 	}
--- a/e2e/security_test.go
+++ b/e2e/security_test.go
@@ -21,10 +21,10 @@
 	"martenwheel.dev/pkg/security/securitytest"
 )
 
-// authority issues the certificates of a site.
+// authority is the certificate authority of a site.
 type authority struct {
 	*securitytest.Authority
-	file string // its certificate
+	file string // path of its certificate
 }
 
 func newAuthority(t *testing.T, name string) *authority {
@@ -41,8 +41,8 @@
 	}
 }
 
-// issue writes a node's certificate and key and returns the settings for them.
-// trusted is who the node takes other nodes' certificates from.
+// issue writes a node's certificate and key and returns the settings for them. The node accepts
+// peers whose certificates come from trusted.
 func (a *authority) issue(t *testing.T, id api.NodeID, trusted *authority) string {
 	t.Helper()
 	onLoopback := func(c *x509.Certificate) { c.IPAddresses = []net.IP{net.IPv4(127, 0, 0, 1)} }
@@ -60,7 +60,7 @@
 	return &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: a.Pool(), MinVersion: tls.VersionTLS12}}}
 }
 
-// newKeyFile writes a key file with one key and returns both.
+// newKeyFile writes a key file with one new key, and returns the key and the path.
 func newKeyFile(t *testing.T, name string) (key, file string) {
 	t.Helper()
 	key, line, err := security.GenerateKey(name)
@@ -74,12 +74,12 @@
 	return key, file
 }
 
-// TestKeysAndCertificates runs a cluster with TLS on all listeners and keys for
-// callers and operators. Who has the right ones gets through; who lacks one
-// does not; a node of another authority is no peer; no key shows in any log.
+// TestKeysAndCertificates runs a cluster with TLS on all listeners and with API keys for callers
+// and operators. Only requests with the right key may pass, a node with a certificate from another
+// authority must not become a peer, and no key may appear in a log.
 func TestKeysAndCertificates(t *testing.T) {
 	t.Parallel()
-	site, stranger := newAuthority(t, "site"), newAuthority(t, "stranger")
+	site, foreign := newAuthority(t, "site"), newAuthority(t, "stranger")
 	callerKey, callersFile := newKeyFile(t, "pump-7")
 	operatorKey, operatorsFile := newKeyFile(t, "ada")
 	operatorKeyFile := filepath.Join(t.TempDir(), "ada.key")
@@ -95,7 +95,7 @@
 			flags:  []string{"--key-file", operatorKeyFile, "--ca-file", site.file},
 		},
 	})
-	c.owner(t) // the nodes talk with each other
+	c.owner(t) // the nodes can reach each other
 
 	t.Run("callers", func(t *testing.T) { testCallerAccess(t, c, site, callerKey, operatorKey) })
 	t.Run("operators", func(t *testing.T) { testOperatorAccess(t, c, site, callerKey) })
@@ -111,7 +111,7 @@
 			}
 		}
 	})
-	t.Run("strange node", func(t *testing.T) { testStrangeNode(t, c, stranger, keys) })
+	t.Run("strange node", func(t *testing.T) { testForeignNode(t, c, foreign, keys) })
 	for _, node := range c.nodes {
 		for _, key := range []string{callerKey, operatorKey} {
 			if strings.Contains(node.logs.String(), key) {
@@ -124,7 +124,7 @@
 func testCallerAccess(t *testing.T, c *cluster, site *authority, callerKey, operatorKey string) {
 	for name, access := range map[string]struct {
 		key    string
-		status int // zero: served
+		status int // 0: served
 	}{
 		"right key":      {callerKey, 0},
 		"wrong key":      {callerKey + "x", http.StatusUnauthorized},
@@ -142,7 +142,7 @@
 		case access.status == 0 && err != nil:
 			t.Errorf("%s: %v", name, err)
 		case access.status != 0 && (refusal == nil || refusal.StatusCode != access.status || !notRun(err)):
-			t.Errorf("%s: %v, want status %d and not run", name, err, access.status)
+			t.Errorf("%s: %v, want status %d, marked as not run", name, err, access.status)
 		}
 	}
 }
@@ -151,16 +151,16 @@
 	for _, key := range []string{"", callerKey} {
 		client := operator.NewClient(c.operatorURL(c.nodes[0]), key, site.client())
 		if _, err := client.Edit(t.Context(), keepAliveEdit(0, "9m")); !isUnauthorized(err) {
-			t.Errorf("edit with the key of another: %v, want unauthorized", err)
+			t.Errorf("edit without an operator's key: %v, want unauthorized", err)
 		}
 		if _, err := client.Status(t.Context()); !isUnauthorized(err) {
-			t.Errorf("status with the key of another: %v, want unauthorized", err)
+			t.Errorf("status without an operator's key: %v, want unauthorized", err)
 		}
 	}
 	c.setTree(t, "/", "keep_alive=9m")
-	c.waitInForce(t, "9m")
+	c.waitKeepAlive(t, "9m")
 	if _, err := operator.NewClient(c.operatorURL(c.nodes[0]), "", http.DefaultClient).Status(t.Context()); err == nil {
-		t.Error("a certificate of an unknown authority is trusted")
+		t.Error("a client trusts a certificate from an unknown authority")
 	}
 }
 
@@ -169,14 +169,13 @@
 	return ok && refused.Detail.Code == operator.CodeUnauthorized
 }
 
-// testStrangeNode starts a node with a certificate of another authority, with
-// the cluster's nodes as seeds. It must not become a member, nor get the tree
-// from them.
-func testStrangeNode(t *testing.T, c *cluster, stranger *authority, keys string) {
-	outside := &cluster{platform: c.platform, platformAddress: c.platformAddress, nodes: c.nodes, options: c.options}
-	outside.settings = func(id api.NodeID) string { return keys + stranger.issue(t, id, stranger) }
-	node := outside.startNode(t, "zone-x")
-	waitFor(t, "the strange node is refused by its seeds", func() bool {
+// testForeignNode starts a node whose certificate comes from another authority, with the cluster's
+// nodes as seeds. It must not become a member, nor get the tree from them.
+func testForeignNode(t *testing.T, c *cluster, foreignAuthority *authority, keys string) {
+	foreignCluster := &cluster{platform: c.platform, platformAddress: c.platformAddress, nodes: c.nodes, options: c.options}
+	foreignCluster.settings = func(id api.NodeID) string { return keys + foreignAuthority.issue(t, id, foreignAuthority) }
+	node := foreignCluster.startNode(t, "zone-x")
+	waitFor(t, "the foreign node is refused by its seeds", func() bool {
 		for _, line := range node.lines(t) {
 			text := fmt.Sprint(line)
 			if strings.Contains(text, "certificate") || strings.Contains(text, "unknown authority") {
--- a/e2e/traffic_test.go
+++ b/e2e/traffic_test.go
@@ -22,7 +22,7 @@
 	"martenwheel.dev/pkg/standin"
 )
 
-// narrowTree lets one request at a time run on the only replica.
+// narrowTree allows one replica with one running request.
 const narrowTree = `keep_alive: 1h
 prewarm: false
 load_time: 1s
@@ -51,7 +51,7 @@
           glaze-7b: {memory: 4GiB}
 `
 
-// getJSON reads a stand-in's own API.
+// getJSON reads from a stand-in's control API.
 func getJSON[Answer any](t *testing.T, address, path string) Answer {
 	t.Helper()
 	var answer Answer
@@ -66,8 +66,7 @@
 	return answer
 }
 
-// executions counts how often the engines in reach began requests whose key or
-// ID begins with prefix.
+// executions counts how often the engines started requests whose key or ID begins with prefix.
 func (c *cluster) executions(t *testing.T, prefix string) int {
 	t.Helper()
 	count := 0
@@ -81,8 +80,8 @@
 	return count
 }
 
-// running counts the requests that run on an engine. The engine's reports lag,
-// so that it waits for one that shows the moment of the call or a later one.
+// running counts the requests that run on an engine. Load reports lag, so it waits for one that
+// covers the moment of the call.
 func running(t *testing.T, e *engineProcess) int {
 	t.Helper()
 	lag := standin.DefaultEngineConfig().LoadReportLag
@@ -99,8 +98,8 @@
 	return count
 }
 
-// beginStream starts a stream of tokens and returns after its first event. The
-// stream goes on until it is read to its end or the context ends.
+// beginStream starts a stream of tokens and returns after its first event, with a function that
+// reads the rest. The stream runs until it is read to its end or the context ends.
 func beginStream(ctx context.Context, t *testing.T, node *nodeProcess, tokens int64) func() error {
 	t.Helper()
 	client := newClient(node)
@@ -123,54 +122,54 @@
 	}
 }
 
-// TestCallersThatLeave lets callers leave while their requests wait and while
-// a stream runs. The waiting ones never run, and the stream is cancelled at the
-// engine long before its end.
+// TestCallersThatLeave disconnects callers while their requests are queued and while a stream runs.
+// The queued requests must never run, and the stream must be cancelled on the engine long before
+// its end.
 func TestCallersThatLeave(t *testing.T) {
 	t.Parallel()
 	const (
-		slowTokens = "10" // simulated tokens a second; with the speed 100 a second
-		longer     = 8000 // tokens: longer than waitBound
+		slowTokens       = "10" // simulated tokens per second; at this speed, 100 per second
+		longStreamTokens = 8000 // tokens; takes longer than waitTimeout
 	)
 	c := startClusterWith(t, options{tree: narrowTree, engineFlags: []string{"--tokens", slowTokens}})
 	askUntilServed(t, c.nodes[0], "glaze-7b")
 	holder := c.holder(t, "glaze-7b")
 
-	streaming, leaveStream := context.WithCancel(t.Context())
-	defer leaveStream()
-	rest := beginStream(streaming, t, c.nodes[0], longer)
-	waiting, leaveQueue := context.WithCancel(t.Context())
+	streamContext, cancelStream := context.WithCancel(t.Context())
+	defer cancelStream()
+	finishStream := beginStream(streamContext, t, c.nodes[0], longStreamTokens)
+	queueContext, cancelQueued := context.WithCancel(t.Context())
 	callers := pool.New()
 	for i := range 10 {
 		callers.Go(func() {
-			_, err := tryWhole(waiting, c.nodes[0], "glaze-7b",
+			_, err := tryUnstreamed(queueContext, c.nodes[0], "glaze-7b",
 				option.WithHeader("X-Request-Id", fmt.Sprintf("left-%d", i)),
-				option.WithHeader("X-Deadline-Ms", strconv.FormatInt((4*waitBound).Milliseconds(), 10)))
+				option.WithHeader("X-Deadline-Ms", strconv.FormatInt((4*waitTimeout).Milliseconds(), 10)))
 			if err == nil {
-				t.Error("a request was served although its caller had left")
+				t.Error("a request was served although its caller had disconnected")
 			}
 		})
 	}
-	waitFor(t, "the requests wait", func() bool { return c.waiting(t, c.nodes[0], "glaze-7b") == 10 })
-	leaveQueue()
+	waitFor(t, "the requests are queued", func() bool { return c.waiting(t, c.nodes[0], "glaze-7b") == 10 })
+	cancelQueued()
 	callers.Wait()
-	waitFor(t, "the requests wait no more", func() bool { return c.waiting(t, c.nodes[0], "glaze-7b") == 0 })
+	waitFor(t, "the queue is empty", func() bool { return c.waiting(t, c.nodes[0], "glaze-7b") == 0 })
 	if running(t, holder) != 1 {
-		t.Error("the stream doesn't run any more")
+		t.Error("the stream no longer runs")
 	}
 
-	leaveStream()
-	if rest() == nil {
-		t.Error("the stream ended although its caller had left")
+	cancelStream()
+	if finishStream() == nil {
+		t.Error("the stream completed although its caller had disconnected")
 	}
 	waitFor(t, "the stream is cancelled at the engine", func() bool { return running(t, holder) == 0 })
-	askUntilServed(t, c.nodes[0], "glaze-7b") // comes after the others in the queue
+	askUntilServed(t, c.nodes[0], "glaze-7b") // queued after the cancelled requests
 	if count := c.executions(t, "left-"); count != 0 {
-		t.Errorf("%d requests ran whose callers had left", count)
+		t.Errorf("%d requests ran although their callers had disconnected", count)
 	}
 }
 
-// waiting counts the requests for a model that wait at a node.
+// waiting counts the queued requests for a model at a node.
 func (c *cluster) waiting(t *testing.T, node *nodeProcess, model api.ModelName) int {
 	t.Helper()
 	for _, queue := range c.status(t, node).Queues {
@@ -181,31 +180,32 @@
 	return 0
 }
 
-// TestUrgentRequestsPassAFlood floods one model with requests of low priority.
-// Urgent ones that come after are served before most of the flood.
+// TestUrgentRequestsPassAFlood floods one model with requests of low priority. Urgent requests that
+// arrive later must be served before most of the flood.
 func TestUrgentRequestsPassAFlood(t *testing.T) {
 	t.Parallel()
 	const flood, urgent = 120, 10
 	c := startClusterWith(t, options{tree: narrowTree})
 	askUntilServed(t, c.nodes[0], "glaze-7b")
-	// The callers wait for so long: the node is not to refuse what it expects before that.
-	patience := option.WithHeader("X-Deadline-Ms", strconv.FormatInt(requestBound.Milliseconds(), 10))
+	// A long deadline, so that the node doesn't refuse requests that it expects to miss a shorter
+	// one.
+	deadlineHeader := option.WithHeader("X-Deadline-Ms", strconv.FormatInt(requestTimeout.Milliseconds(), 10))
 	var floodServed atomic.Int64
 	callers := pool.New()
 	for range flood {
 		callers.Go(func() {
-			if _, err := tryWhole(t.Context(), c.nodes[0], "glaze-7b", option.WithHeader("X-Priority", "-10"), patience); err != nil {
+			if _, err := tryUnstreamed(t.Context(), c.nodes[0], "glaze-7b", option.WithHeader("X-Priority", "-10"), deadlineHeader); err != nil {
 				t.Errorf("flood: %v", err)
 			}
 			floodServed.Add(1)
 		})
 	}
-	waitFor(t, "the flood waits", func() bool { return c.waiting(t, c.nodes[0], "glaze-7b") > flood/2 })
+	waitFor(t, "the flood is queued", func() bool { return c.waiting(t, c.nodes[0], "glaze-7b") > flood/2 })
 	before := floodServed.Load()
 	urgentCallers := pool.New()
 	for range urgent {
 		urgentCallers.Go(func() {
-			if _, err := tryWhole(t.Context(), c.nodes[0], "glaze-7b", option.WithHeader("X-Priority", "10"), patience); err != nil {
+			if _, err := tryUnstreamed(t.Context(), c.nodes[0], "glaze-7b", option.WithHeader("X-Priority", "10"), deadlineHeader); err != nil {
 				t.Errorf("urgent: %v", err)
 			}
 		})
@@ -217,10 +217,10 @@
 	callers.Wait()
 }
 
-// TestBrokenAnswersReachNobody lets an engine cut, truncate or mix up answers
-// to many marked requests at once. What counts as served is whole and one's own.
-// An engine that is told to do all at once cuts before it mixes, so each fault
-// has its own round.
+// TestBrokenAnswersReachNobody makes an engine cut off, truncate or mix up its answers to many
+// concurrent requests, each with a marked prompt. An answer that counts as served must be complete
+// and belong to its request. Each fault has its own round, because an engine with several of them
+// cuts answers before it mixes any.
 func TestBrokenAnswersReachNobody(t *testing.T) {
 	t.Parallel()
 	const broken = 8 // answers in each round
@@ -236,8 +236,8 @@
 	}
 }
 
-// askWhileBroken sends marked requests, whole and streamed, through all nodes
-// while an engine has faults that break a number of answers.
+// askWhileBroken sends requests with marked prompts, streamed and not, through all nodes while an
+// engine breaks a number of answers.
 func (c *cluster) askWhileBroken(t *testing.T, holder *engineProcess, faults standin.Faults, broken int) {
 	const requests = 60
 	setFaults(t, holder.Address, standin.PartRequests, faults)
@@ -254,19 +254,19 @@
 	callers.Wait()
 	left := getJSON[map[string]standin.Faults](t, holder.Address, standin.PathFaults)[standin.PartRequests]
 	if left != (standin.Faults{}) {
-		t.Errorf("not all answers were broken that should be: %+v", left)
+		t.Errorf("some faults were not injected: %+v", left)
 	}
 	if served.Load() < int64(requests-broken) {
 		t.Errorf("%d of %d requests are served, though only %d answers were broken", served.Load(), requests, broken)
 	}
 }
 
-// askMarked sends a request whose answer carries the mark of its prompt. It
-// returns false for an explicit error, and fails the test for an answer that
-// looks whole and isn't, or that holds another's.
+// askMarked sends a request whose answer must carry the mark of its prompt. It returns false for an
+// explicit error. It fails the test if an incomplete answer counts as served, or if an answer
+// carries tokens of another request.
 func askMarked(t *testing.T, node *nodeProcess, prompt string, streamed bool) bool {
 	const tokens = 40
-	ctx, cancel := context.WithTimeout(t.Context(), requestBound)
+	ctx, cancel := context.WithTimeout(t.Context(), requestTimeout)
 	defer cancel()
 	client := newClient(node)
 	request := openai.CompletionNewParams{
@@ -293,7 +293,7 @@
 		}
 	}
 	if err == nil && len(words) != tokens {
-		t.Errorf("an answer that counts as whole has %d tokens of %d", len(words), tokens)
+		t.Errorf("an answer that counts as complete has %d tokens, want %d", len(words), tokens)
 	}
 	return err == nil
 }
@@ -314,18 +314,17 @@
 	return text, stream.Err()
 }
 
-// refusalOf returns the API's error with its advice when to come back.
+// refusalOf returns the API error and its Retry-After time.
 func refusalOf(err error) (apiError *openai.Error, retryAfter time.Duration) {
 	if !errors.As(err, &apiError) || apiError.Response == nil {
 		return nil, 0
 	}
-	seconds, _ := strconv.Atoi(apiError.Response.Header.Get("Retry-After")) // absent counts as zero
+	seconds, _ := strconv.Atoi(apiError.Response.Header.Get("Retry-After")) // a missing header counts as zero
 	return apiError, time.Duration(seconds) * time.Second
 }
 
-// TestHopelessRequestIsRefusedAtOnce asks for a model whose load takes longer
-// than the deadline. The refusal comes long before the deadline and says when
-// to come back.
+// TestHopelessRequestIsRefusedAtOnce requests a model whose load takes longer than the deadline.
+// The refusal must arrive long before the deadline, with a usable Retry-After.
 func TestHopelessRequestIsRefusedAtOnce(t *testing.T) {
 	t.Parallel()
 	const deadline = 20 * time.Second
@@ -334,27 +333,27 @@
 	setFaults(t, c.platformAddress, standin.PartWeights, standin.Faults{SlowFactor: 1000})
 	for _, node := range c.nodes {
 		began := time.Now()
-		_, err := tryWhole(t.Context(), node, "glaze-7b", option.WithHeader("X-Deadline-Ms", strconv.FormatInt(deadline.Milliseconds(), 10)))
+		_, err := tryUnstreamed(t.Context(), node, "glaze-7b", option.WithHeader("X-Deadline-Ms", strconv.FormatInt(deadline.Milliseconds(), 10)))
 		took := time.Since(began)
 		refusal, retryAfter := refusalOf(err)
 		if refusal == nil || !notRun(err) || refusal.StatusCode != http.StatusServiceUnavailable {
-			t.Fatalf("%s answers %v, want a refusal that did not run", node.id, err)
+			t.Fatalf("%s answers %v, want a refusal marked as not run", node.id, err)
 		}
 		if took > deadline/2 {
-			t.Errorf("%s refuses after %s of %s", node.id, took, deadline)
+			t.Errorf("%s refuses after %s, with a deadline of %s", node.id, took, deadline)
 		}
 		if retryAfter < deadline || retryAfter > 10*time.Minute {
-			t.Errorf("%s says to come back after %s for a load of two minutes", node.id, retryAfter)
+			t.Errorf("%s gives Retry-After %s for a load of two minutes", node.id, retryAfter)
 		}
 	}
 }
 
-// TestSlowWeightStore slows the weight store down ten times without notice.
-// Each request is served, or refused by its deadline with advice; a caller that
-// follows the advice is served.
+// TestSlowWeightStore slows the weight store down to a tenth without notice. Each request must be
+// served, or refused by its deadline with a Retry-After; a caller that waits that long must be
+// served in the end.
 func TestSlowWeightStore(t *testing.T) {
 	t.Parallel()
-	const late = 5 * time.Second // of an answer on a busy machine
+	const tolerance = 5 * time.Second // for delays on a busy machine
 	c := startCluster(t)
 	c.owner(t)
 	setFaults(t, c.platformAddress, standin.PartWeights, standin.Faults{SlowFactor: 10})
@@ -365,35 +364,35 @@
 			callers.Go(func() {
 				for round := range 10 {
 					began := time.Now()
-					_, err := tryWhole(t.Context(), node, model, option.WithHeader("X-Deadline-Ms", strconv.FormatInt(deadline.Milliseconds(), 10)))
+					_, err := tryUnstreamed(t.Context(), node, model, option.WithHeader("X-Deadline-Ms", strconv.FormatInt(deadline.Milliseconds(), 10)))
 					if err == nil {
 						return
 					}
 					refusal, retryAfter := refusalOf(err)
 					if refusal == nil || !notRun(err) || retryAfter == 0 {
-						t.Errorf("%s for %s: %v after %s, want a refusal with advice", model, deadline, err, time.Since(began))
+						t.Errorf("%s for %s: %v after %s, want a refusal with Retry-After", model, deadline, err, time.Since(began))
 						return
 					}
-					if took := time.Since(began); took > deadline+late {
+					if took := time.Since(began); took > deadline+tolerance {
 						t.Errorf("%s is refused after %s with a deadline of %s", model, took, deadline)
 					}
-					t.Logf("%s, deadline %s, round %d: refused, come back after %s", model, deadline, round, retryAfter)
+					t.Logf("%s, deadline %s, round %d: refused, Retry-After %s", model, deadline, round, retryAfter)
 					time.Sleep(retryAfter)
 				}
-				t.Errorf("%s for %s: not served by a caller that followed the advice", model, deadline)
+				t.Errorf("%s for %s: not served although the caller followed Retry-After", model, deadline)
 			})
 		}
 	}
 	callers.Wait()
 }
 
-// TestLeavingEngineGetsNoNewWork stops an engine while a long stream runs on
-// it. Once the nodes know, no request is sent there, not even to be refused,
-// and the stream ends whole.
+// TestLeavingEngineGetsNoNewWork shuts down an engine while a long stream runs on it. Once the
+// nodes know, they must not send it any request, not even one that it would refuse, and the stream
+// must complete.
 func TestLeavingEngineGetsNoNewWork(t *testing.T) {
 	t.Parallel()
 	c := startClusterWith(t, options{tree: doubleTree, engineFlags: []string{"--tokens", "20"}})
-	waitFor(t, "two replicas are ready in all views", func() bool {
+	waitFor(t, "all nodes see two ready replicas", func() bool {
 		for _, node := range c.nodes {
 			if c.readyReplicas(t, node, "glaze-7b") != 2 {
 				return false
@@ -401,7 +400,7 @@
 		}
 		return true
 	})
-	rest := beginStream(t.Context(), t, c.nodes[0], 1500)
+	finishStream := beginStream(t.Context(), t, c.nodes[0], 1500)
 	var leaving *engineProcess
 	waitFor(t, "the stream shows in a load report", func() bool {
 		for _, e := range c.engines {
@@ -413,13 +412,13 @@
 	})
 	leaving.signal(syscall.SIGTERM)
 	for _, node := range c.nodes {
-		waitFor(t, string(node.id)+" knows that the engine leaves", func() bool { return c.knowsLeaving(t, node, leaving) })
+		waitFor(t, string(node.id)+" knows that the engine is leaving", func() bool { return c.knowsLeaving(t, node, leaving) })
 	}
-	// Several at once: on a slow machine one after the other would outlast the stream.
+	// Sent concurrently: on a slow machine, sequential requests would take longer than the stream.
 	callers := pool.New().WithMaxGoroutines(6)
 	for i := range 60 {
 		callers.Go(func() {
-			if _, err := wholeAnswer(t.Context(), c.nodes[i%len(c.nodes)], "glaze-7b", fmt.Sprintf("after-%d", i)); err != nil {
+			if _, err := unstreamedAnswer(t.Context(), c.nodes[i%len(c.nodes)], "glaze-7b", fmt.Sprintf("after-%d", i)); err != nil {
 				t.Error(err)
 			}
 		})
@@ -427,9 +426,9 @@
 	callers.Wait()
 	c.wantOneAttemptEach(t, "after-", 60)
 	if running(t, leaving) != 1 {
-		t.Error("the stream was over too early to show anything")
+		t.Error("the stream ended before the other requests, so they prove nothing")
 	}
-	if err := rest(); err != nil {
+	if err := finishStream(); err != nil {
 		t.Errorf("the stream on the leaving engine: %v", err)
 	}
 }
@@ -455,8 +454,8 @@
 	return false
 }
 
-// wantOneAttemptEach checks in the nodes' logs that each of count requests was
-// sent to one engine only.
+// wantOneAttemptEach checks in the nodes' logs that each of count requests was sent to one engine
+// only.
 func (c *cluster) wantOneAttemptEach(t *testing.T, prefix string, count int) {
 	t.Helper()
 	var lines []logLine
@@ -471,8 +470,7 @@
 	}
 }
 
-// requestLines returns the nodes' log lines of requests whose ID begins with
-// prefix.
+// requestLines returns the nodes' log lines of requests whose ID begins with prefix.
 func (c *cluster) requestLines(t *testing.T, prefix string) []logLine {
 	t.Helper()
 	var found []logLine
--- a/e2e/tree_test.go
+++ b/e2e/tree_test.go
@@ -15,7 +15,7 @@
 	"martenwheel.dev/pkg/tree"
 )
 
-// keepAliveEdit returns a change of the root's keep-alive.
+// keepAliveEdit returns an edit that sets the root's keep-alive.
 func keepAliveEdit(base tree.Revision, value string) operator.EditRequest {
 	return operator.EditRequest{
 		ID:    uuid.NewString(),
@@ -24,8 +24,8 @@
 	}
 }
 
-// inForce returns the value of the root's keep-alive at a node, and its revision.
-func (c *cluster) inForce(t *testing.T, node *nodeProcess) (string, tree.Revision) {
+// keepAlive returns the value of the root's keep-alive at a node, and the node's tree revision.
+func (c *cluster) keepAlive(t *testing.T, node *nodeProcess) (string, tree.Revision) {
 	t.Helper()
 	explained, err := c.operatorClient(node).Explain(t.Context(), "/")
 	if err != nil {
@@ -40,23 +40,23 @@
 	return "", 0
 }
 
-// waitInForce waits until all nodes have a value in force.
-func (c *cluster) waitInForce(t *testing.T, value string) {
+// waitKeepAlive waits until all nodes have applied a value of the root's keep-alive.
+func (c *cluster) waitKeepAlive(t *testing.T, value string) {
 	t.Helper()
 	for _, node := range c.nodes {
-		waitFor(t, "keep_alive="+value+" is in force on "+string(node.id), func() bool {
-			present, _ := c.inForce(t, node)
+		waitFor(t, "keep_alive="+value+" is applied on "+string(node.id), func() bool {
+			present, _ := c.keepAlive(t, node)
 			return present == value
 		})
 	}
 }
 
-// TestRacingOperators edits the same key through two nodes at once, from the
-// same revision. One wins; the other gets a conflict that says all.
+// TestRacingOperators edits the same key through two nodes at once, based on the same revision. One
+// edit must win; the other must get a conflict with the key, both values and the winning revision.
 func TestRacingOperators(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t)
-	_, base := c.inForce(t, c.nodes[0])
+	_, base := c.keepAlive(t, c.nodes[0])
 	for round := range 5 {
 		values := []string{fmt.Sprintf("%dm", 10+round), fmt.Sprintf("%dm", 20+round)}
 		answers := make([]operator.EditAnswer, len(values))
@@ -73,11 +73,11 @@
 			winner = 1
 		}
 		if refusals[winner] != nil {
-			t.Fatalf("both are refused: %v, %v", refusals[0], refusals[1])
+			t.Fatalf("both edits were refused: %v, %v", refusals[0], refusals[1])
 		}
 		base = answers[winner].Revision
 		wantConflict(t, refusals[1-winner], values[1-winner], values[winner], base)
-		c.waitInForce(t, values[winner])
+		c.waitKeepAlive(t, values[winner])
 	}
 }
 
@@ -94,10 +94,9 @@
 	}
 }
 
-// TestLostAnswerOfCommit lets the table service lose all answers from some
-// moment of an edit on, a later one each round, until operators were told that
-// the outcome is unknown. Each change is repeated through all nodes under its
-// ID, and applies once.
+// TestLostAnswerOfCommit makes the table service lose all its answers from some moment during an
+// edit, a later moment each round, until two edits ended with their outcome unknown. Each edit is
+// retried through all nodes with its ID, and must be applied once.
 func TestLostAnswerOfCommit(t *testing.T) {
 	t.Parallel()
 	const (
@@ -123,14 +122,15 @@
 		}
 		c.repeatUntilAccepted(t, edit)
 		c.wantOnceInHistory(t, edit)
-		c.waitInForce(t, edit.Edits[0].Value)
+		c.waitKeepAlive(t, edit.Edits[0].Value)
 	}
 	if unknown == 0 {
-		t.Errorf("no answer of a commit was lost in %d rounds", rounds)
+		t.Errorf("no edit ended with an unknown outcome in %d rounds", rounds)
 	}
 }
 
-// repeatUntilAccepted sends a change through each node in turn.
+// repeatUntilAccepted retries an edit through each node in turn; all must accept it as the same
+// revision.
 func (c *cluster) repeatUntilAccepted(t *testing.T, edit operator.EditRequest) {
 	t.Helper()
 	var first operator.EditAnswer
@@ -166,8 +166,9 @@
 	}
 }
 
-// wantNoStepBack watches a node's revision until stop is closed.
-func (c *cluster) wantNoStepBack(t *testing.T, node *nodeProcess, stop <-chan struct{}) {
+// wantNoRevisionRollback polls a node's tree revision until stop is closed, and fails the test if it
+// decreases.
+func (c *cluster) wantNoRevisionRollback(t *testing.T, node *nodeProcess, stop <-chan struct{}) {
 	t.Helper()
 	highest := tree.Revision(0)
 	for {
@@ -187,29 +188,29 @@
 	}
 }
 
-// TestEditNeverReverts makes an edit while the table service serves stale
-// reads, then takes the whole platform's storage away and restarts a node. The
-// edit comes in force everywhere and no node ever goes back. A restarted node has
-// the newest tree when it says that it is ready, from its peers alone while the
-// platform is down, and also beside a stale replica.
+// TestEditNeverReverts makes an edit while the table service serves stale reads, then makes all
+// storage of the platform unavailable and restarts a node. The edit must be applied everywhere, and
+// no node may go back to an older revision. A restarted node must have the newest tree by the time
+// it is ready: from its peers alone while the platform is down, and also if the table service
+// serves stale reads.
 func TestEditNeverReverts(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t)
-	askUntilServed(t, c.nodes[0], "firing-13b") // from now on the engines are on record
+	askUntilServed(t, c.nodes[0], "firing-13b") // from here on, the engines are recorded
 	stop := make(chan struct{})
 	watch := pool.New()
 	for _, node := range c.nodes[:2] {
-		watch.Go(func() { c.wantNoStepBack(t, node, stop) })
+		watch.Go(func() { c.wantNoRevisionRollback(t, node, stop) })
 	}
 	setFaults(t, c.platformAddress, standin.PartTable, standin.Faults{StaleReads: true})
 	c.setTree(t, "/", "keep_alive=47m")
-	c.waitInForce(t, "47m")
+	c.waitKeepAlive(t, "47m")
 
 	setFaults(t, c.platformAddress, standin.PartTable, standin.Faults{Refuse: true})
 	setFaults(t, c.platformAddress, standin.PartObjects, standin.Faults{Refuse: true})
 	c.nodes[2].kill()
 	restarted := c.replaceNode(t, c.nodes[2])
-	if value, revision := c.inForce(t, restarted); value != "47m" {
+	if value, revision := c.keepAlive(t, restarted); value != "47m" {
 		t.Errorf("the restarted node has keep_alive=%s at revision %d, want 47m", value, revision)
 	}
 	askUntilServed(t, restarted, "glaze-7b")
@@ -217,11 +218,11 @@
 	setFaults(t, c.platformAddress, standin.PartObjects, standin.Faults{})
 	setFaults(t, c.platformAddress, standin.PartTable, standin.Faults{StaleReads: true})
 	c.setTree(t, "/", "keep_alive=48m")
-	c.waitInForce(t, "48m")
+	c.waitKeepAlive(t, "48m")
 	c.nodes[2].stop(t)
 	restarted = c.replaceNode(t, c.nodes[2])
-	if value, revision := c.inForce(t, restarted); value != "48m" {
-		t.Errorf("the node started beside a stale replica has keep_alive=%s at revision %d, want 48m", value, revision)
+	if value, revision := c.keepAlive(t, restarted); value != "48m" {
+		t.Errorf("the node started with stale reads has keep_alive=%s at revision %d, want 48m", value, revision)
 	}
 	close(stop)
 	watch.Wait()
--- a/pkg/cli/check.go
+++ b/pkg/cli/check.go
@@ -40,8 +40,8 @@
 	return command{parser: parser, run: run}
 }
 
-// isSettings tells whether a file has an entry that only settings of a process
-// have. All other files are taken for trees.
+// isSettings reports whether a file has an entry that only the settings of a process have. All
+// other files are treated as trees.
 func isSettings(data []byte) bool {
 	root, err := document.Read(data)
 	if err != nil || root == nil || root.Kind != yaml.MappingNode {
@@ -55,8 +55,8 @@
 	return false
 }
 
-// onlyInSettings tells whether name begins a setting of a process and none of
-// the tree.
+// onlyInSettings reports whether name is a top-level entry of the settings of a process and not a
+// key of the tree.
 func onlyInSettings(name string) bool {
 	if _, inTree := tree.FindKey(name); inTree {
 		return false
--- a/pkg/cli/cli_test.go
+++ b/pkg/cli/cli_test.go
@@ -31,7 +31,7 @@
             memory: 16GiB
 `
 
-// fixedStatus is a state of the system.
+// fixedStatus provides a fixed state of the system.
 type fixedStatus struct{}
 
 func (fixedStatus) Ready() error { return nil }
@@ -47,7 +47,7 @@
 	}
 }
 
-// startNode serves the API for operators and returns its URL.
+// startNode serves the operator API and returns its URL.
 func startNode(t *testing.T, trees *operatortest.Trees) string {
 	t.Helper()
 	server := operator.New(operator.Config{
@@ -73,7 +73,7 @@
 	return "http://" + listener.Addr().String()
 }
 
-// newTrees returns the sample tree.
+// newTrees returns a store that holds the sample tree.
 func newTrees(t *testing.T) *operatortest.Trees {
 	t.Helper()
 	initial, err := tree.Parse([]byte(sampleTree))
@@ -83,7 +83,7 @@
 	return operatortest.NewTrees(initial)
 }
 
-// writeFile writes a file of its own and returns its name.
+// writeFile writes text to a new file and returns its path.
 func writeFile(t *testing.T, text string) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "file.yaml")
@@ -93,7 +93,7 @@
 	return file
 }
 
-// result is what a command did.
+// result is the outcome of a command.
 type result struct {
 	code     int
 	out, err string
@@ -112,7 +112,7 @@
 	edited := writeFile(t, "revision: 1\n"+strings.Replace(sampleTree, "16GiB", "8GiB", 1))
 	steps := []struct {
 		command string
-		out     string // part of the output
+		out     string // expected part of the output; empty if the command must fail
 	}{
 		{"tree set /assistant keep_alive=5m", "accepted as revision 1"},
 		{"tree explain /assistant/llama/glaze-7b", "keep_alive          5m        /assistant"},
@@ -144,11 +144,11 @@
 func TestExitCodes(t *testing.T) {
 	conflict := &tree.ConflictError{Path: "/assistant", Key: "keep_alive", Yours: `"5m"`, Theirs: `"6m"`, Author: "ben", Revision: 4}
 	cases := []struct {
-		name    string
-		command string
-		fail    error
-		code    int
-		err     string
+		name     string
+		command  string
+		failWith error
+		code     int
+		err      string
 	}{
 		{"findings", "tree set /assistant keep_alive=5", nil, ExitRefused, `/assistant keep_alive: "5" has no unit`},
 		{"no assignment", "tree set /assistant keep_alive", nil, ExitUsage, "is not KEY=VALUE"},
@@ -163,7 +163,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			trees := newTrees(t)
-			trees.Fail(test.fail)
+			trees.Fail(test.failWith)
 			args := strings.Fields(test.command)
 			if len(args) > 1 {
 				args = append(args, "--address", startNode(t, trees))
@@ -181,7 +181,7 @@
 	listener.Close()
 	got := execute("tree", "set", "/a", "keep_alive=5m", "--address", "http://"+listener.Addr().String())
 	if got.code != ExitUnreachable || strings.Contains(got.err, "outcome is unknown") {
-		t.Errorf("nobody listens: %+v", got)
+		t.Errorf("no listener: %+v", got)
 	}
 }
 
@@ -238,18 +238,18 @@
 	flaggy.PanicInsteadOfExit = true
 	defer func() { flaggy.PanicInsteadOfExit = false }()
 	for _, line := range []string{"status --flog x", "tree set /a", "tree set /a keep_alive=1m surplus", "bogus"} {
-		if code := exitOf(strings.Fields(line)); code != ExitUsage {
+		if code := exitCodeOf(strings.Fields(line)); code != ExitUsage {
 			t.Errorf("%s: exit code %d, want %d", line, code, ExitUsage)
 		}
 	}
-	if code := exitOf([]string{"tree", "get", "--help"}); code != ExitOK {
+	if code := exitCodeOf([]string{"tree", "get", "--help"}); code != ExitOK {
 		t.Errorf("--help: exit code %d", code)
 	}
 }
 
-// exitOf runs a command line and returns its exit code, also if flaggy ends the
-// process, which it then tells by a panic.
-func exitOf(args []string) (code int) {
+// exitCodeOf runs a command line and returns its exit code. When flaggy exits the process, it panics
+// instead, with the exit code in the message.
+func exitCodeOf(args []string) (code int) {
 	defer func() {
 		if reason := recover(); reason != nil {
 			if _, err := fmt.Sscanf(fmt.Sprint(reason), "Panic instead of exit with code: %d", &code); err != nil {
--- a/pkg/cli/connection.go
+++ b/pkg/cli/connection.go
@@ -22,14 +22,14 @@
 	callTimeout    = 30 * time.Second
 )
 
-// connection holds the flags that say which node to ask.
+// connection holds the flags that select the node to connect to.
 type connection struct {
 	address string
 	keyFile string
 	caFile  string
 }
 
-// bind adds the flags to a command.
+// bind adds the flags to a subcommand.
 func (c *connection) bind(subcommand *flaggy.Subcommand) {
 	c.address = defaultAddress
 	subcommand.String(&c.address, "a", "address", "URL of a node's listener for operators")
@@ -37,8 +37,9 @@
 	subcommand.String(&c.caFile, "", "ca-file", "authorities to check the node's certificate against, PEM")
 }
 
-// call makes a client and gives it to use, and reports what goes wrong.
-func (c *connection) call(streams Streams, use func(ctx context.Context, client *operator.Client) error) int {
+// call passes a client of the node to use, prints the error if there is one, and returns the exit
+// code.
+func (c *connection) call(streams Streams, fn func(ctx context.Context, client *operator.Client) error) int {
 	client, err := c.client()
 	if err != nil {
 		fmt.Fprintln(streams.Err, err)
@@ -46,10 +47,10 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	return report(streams, use(ctx, client))
+	return report(streams, fn(ctx, client))
 }
 
-// client returns a client of the node.
+// client returns a client for the node's operator API.
 func (c *connection) client() (*operator.Client, error) {
 	key := ""
 	if c.keyFile != "" {
@@ -74,7 +75,7 @@
 	return operator.NewClient(c.address, key, &http.Client{Transport: transport}), nil
 }
 
-// report writes err and returns its exit code.
+// report prints err, if it is not nil, and returns its exit code.
 func report(streams Streams, err error) int {
 	if err == nil {
 		return ExitOK
@@ -103,7 +104,7 @@
 	}
 }
 
-// reportFindings writes findings, one a line.
+// reportFindings prints findings, one per line.
 func reportFindings(streams Streams, found []findings.Finding) int {
 	for _, finding := range found {
 		fmt.Fprintln(streams.Err, finding)
--- a/pkg/cli/document_test.go
+++ b/pkg/cli/document_test.go
@@ -13,28 +13,28 @@
 	"martenwheel.dev/pkg/tree"
 )
 
-// settingsPage is the page with the tables of all settings.
+// settingsPage is the documentation page with the tables of all settings.
 const settingsPage = "../../docs/operations/settings.md"
 
-// update rewrites the tables: go test -run Page -update
+// update makes the test rewrite the tables: go test -run Page -update
 var update = flag.Bool("update", false, "rewrite the tables of "+settingsPage)
 
-// processTable is the table of the settings of a process.
+// processTable returns the table of the settings of a process.
 func processTable() string {
 	var table strings.Builder
 	table.WriteString("| Setting | Flag | Unit | Default | Range | Meaning |\n|---|---|---|---|---|---|\n")
 	for _, field := range settings.Fields {
-		initial := cell(field.Default)
+		defaultValue := cell(field.Default)
 		if field.Required {
-			initial = "required"
+			defaultValue = "required"
 		}
 		fmt.Fprintf(&table, "| `%s` | `--%s` | %s | %s | %s | %s |\n",
-			field.Name, field.Flag(), field.Unit, initial, field.Range, field.Description)
+			field.Name, field.Flag(), field.Unit, defaultValue, field.Range, field.Description)
 	}
 	return table.String()
 }
 
-// treeTable is the table of the settings of the tree.
+// treeTable returns the table of the settings in the tree.
 func treeTable() string {
 	var table strings.Builder
 	table.WriteString("| Setting | Unit | Default | Range | Where | Meaning |\n|---|---|---|---|---|---|\n")
@@ -49,7 +49,7 @@
 	return table.String()
 }
 
-// cell marks a default as code.
+// cell formats a default as code.
 func cell(text string) string {
 	if text == "" {
 		return "empty"
@@ -57,13 +57,13 @@
 	return "`" + text + "`"
 }
 
-// replaceSection puts content between the markers of a section of a page.
+// replaceSection replaces the content between the markers of a section of a page.
 func replaceSection(t *testing.T, page, name, content string) string {
 	t.Helper()
 	begin, end := "<!-- begin "+name+" -->\n", "<!-- end "+name+" -->"
 	before, rest, found := strings.Cut(page, begin)
-	_, after, closed := strings.Cut(rest, end)
-	if !found || !closed {
+	_, after, foundEnd := strings.Cut(rest, end)
+	if !found || !foundEnd {
 		t.Fatalf("%s has no section %s", settingsPage, name)
 	}
 	return before + begin + content + end + after
@@ -83,7 +83,7 @@
 		return
 	}
 	if want != string(data) {
-		t.Errorf("the tables of %s are not those of the code; run: go test -run Page -update ./pkg/cli", settingsPage)
+		t.Errorf("the tables of %s do not match the code; run: go test -run Page -update ./pkg/cli", settingsPage)
 	}
 }
 
@@ -94,7 +94,7 @@
 	}
 	blocks := strings.Split(string(data), "```yaml\n")[1:]
 	if len(blocks) != 2 {
-		t.Fatalf("got %d examples, want one of a process and one of the tree", len(blocks))
+		t.Fatalf("got %d examples, want one settings file of a process and one tree", len(blocks))
 	}
 	for index, check := range []func(example []byte) error{
 		func(example []byte) error { _, err := settings.Parse("example", example, nil); return err },
@@ -109,6 +109,6 @@
 
 func TestPoliciesOfTheTreeAreThoseThatExist(t *testing.T) {
 	if !slices.Equal(tree.Policies, policy.Names()) {
-		t.Errorf("the tree allows %v, there are %v", tree.Policies, policy.Names())
+		t.Errorf("the tree allows the policies %v, but %v exist", tree.Policies, policy.Names())
 	}
 }
--- a/pkg/cli/status.go
+++ b/pkg/cli/status.go
@@ -60,7 +60,7 @@
 
 func printNodes(out io.Writer, status operator.Status) error {
 	return printTable(out, "NODE\tSTATE\tZONE\tREGION\tADDRESS\tTREE", status.Nodes, func(node operator.NodeStatus) string {
-		revision := "-" // not known to the answering node
+		revision := "-" // unknown to the answering node
 		if node.TreeRevision > 0 {
 			revision = fmt.Sprint(node.TreeRevision)
 		}
--- a/pkg/cli/tree.go
+++ b/pkg/cli/tree.go
@@ -14,7 +14,7 @@
 	"martenwheel.dev/pkg/tree"
 )
 
-// newTreeCommand returns the command "tree" with its subcommands.
+// newTreeCommand returns the "tree" command with its subcommands.
 func newTreeCommand() command {
 	parent := newSubcommand("tree", "read and edit the tree of settings")
 	children := []command{
@@ -36,7 +36,7 @@
 	return command{parser: parent, run: run}
 }
 
-// addPath adds the argument that names a node of the tree.
+// addPath adds the argument for the path of a node in the tree.
 func addPath(parser *flaggy.Subcommand, path *string) {
 	parser.AddPositionalValue(path, "path", 1, true, "node of the tree")
 }
@@ -69,7 +69,7 @@
 	return command{parser: parser, run: run}
 }
 
-// printTree prints the tree in force.
+// printTree prints the current tree.
 func printTree(ctx context.Context, out io.Writer, client *operator.Client) error {
 	current, err := client.Tree(ctx)
 	if err != nil {
@@ -106,7 +106,7 @@
 	return command{parser: parser, run: run}
 }
 
-// readTreeFile reads a tree and reports its findings.
+// readTreeFile parses a tree file, prints its findings and returns the exit code.
 func readTreeFile(streams Streams, file string) (*tree.Tree, int) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -117,7 +117,7 @@
 	return wanted, report(streams, err)
 }
 
-// printTable prints rows under a header; cells are separated by tabs.
+// printTable prints rows under a header, with cells separated by tabs.
 func printTable[Row any](out io.Writer, header string, rows []Row, format func(Row) string) error {
 	writer := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(writer, header)
--- a/pkg/cli/tree_changes.go
+++ b/pkg/cli/tree_changes.go
@@ -45,7 +45,7 @@
 	return command{parser: parser, run: run}
 }
 
-// diffEdits returns the edits toward wanted or, if it is nil, between revisions.
+// diffEdits returns the edits that lead to wanted or, if it is nil, from one revision to another.
 func diffEdits(ctx context.Context, client *operator.Client, wanted *tree.Tree, from, to tree.Revision) ([]tree.Edit, error) {
 	if wanted != nil {
 		_, edits, err := editsToward(ctx, client, wanted)
@@ -80,7 +80,7 @@
 	return command{parser: parser, run: run}
 }
 
-// describeEdit writes an edit in one line.
+// describeEdit formats an edit as one line.
 func describeEdit(edit tree.Edit) string {
 	switch {
 	case edit.Remove:
@@ -94,9 +94,9 @@
 	}
 }
 
-// editsToward returns the edits that were made to the tree in a file, and the
-// revision that they were made to. Without a revision in the file, that is the
-// tree in force.
+// editsToward returns the edits that lead from the revision given in a tree file to the file's
+// content, and that revision. Without a revision in the file, the current tree is the starting
+// point.
 func editsToward(ctx context.Context, client *operator.Client, wanted *tree.Tree) (tree.Revision, []tree.Edit, error) {
 	read := client.Tree
 	if wanted.Revision() > 0 {
--- a/pkg/cli/tree_edit.go
+++ b/pkg/cli/tree_edit.go
@@ -13,18 +13,18 @@
 	"martenwheel.dev/pkg/tree"
 )
 
-// editTries bounds how often a change whose answer was lost is sent. It is sent
-// under the same ID, so it applies once.
-const editTries = 3
+// maxEditAttempts is how often a change is sent whose answer got lost. All attempts have the same ID, so
+// the change applies once.
+const maxEditAttempts = 3
 
-// changeFlags are the flags of all commands that edit the tree.
+// changeFlags holds the flags of all commands that edit the tree.
 type changeFlags struct {
 	node connection
 	id   string
 	base uint64
 }
 
-// bind adds the flags to a command.
+// bind adds the flags to a subcommand.
 func (f *changeFlags) bind(parser *flaggy.Subcommand) {
 	f.node.bind(parser)
 	parser.String(&f.id, "", "id", "ID of the change, to repeat one whose outcome is unknown")
@@ -38,7 +38,7 @@
 	})
 }
 
-// send sends edits as one change, again if its answer is lost.
+// send sends edits as one change, and retries if the answer gets lost.
 func (f *changeFlags) send(ctx context.Context, streams Streams, client *operator.Client, base tree.Revision, edits []tree.Edit) error {
 	request := operator.EditRequest{ID: f.id, Base: base, Edits: edits}
 	if request.ID == "" {
@@ -48,13 +48,13 @@
 		answer operator.EditAnswer
 		err    error
 	)
-	for range editTries {
+	for range maxEditAttempts {
 		answer, err = client.Edit(ctx, request)
 		if err == nil {
 			fmt.Fprintf(streams.Out, "accepted as revision %d\n", answer.Revision)
 			return nil
 		}
-		if !inDoubt(err) {
+		if !outcomeUnknown(err) {
 			return err
 		}
 	}
@@ -62,8 +62,8 @@
 	return err
 }
 
-// inDoubt tells whether a change may have been accepted although err came.
-func inDoubt(err error) bool {
+// outcomeUnknown reports whether the change may have been accepted despite err.
+func outcomeUnknown(err error) bool {
 	var refused *operator.RequestError
 	if errors.As(err, &refused) {
 		return refused.Detail.Code == operator.CodeOutcomeUnknown
--- a/pkg/cli/version.go
+++ b/pkg/cli/version.go
@@ -6,7 +6,7 @@
 	"runtime/debug"
 )
 
-// Version returns the version that the program was built from.
+// Version returns the module version and VCS revision that the program was built from.
 func Version() string {
 	info, known := debug.ReadBuildInfo()
 	if !known {
--- a/pkg/demo/demo.go
+++ b/pkg/demo/demo.go
@@ -1,6 +1,5 @@
-// Package demo shows martenwheel at work in one process: stand-ins for the
-// platform and for three engines, three nodes in three zones, and two requests
-// to idle models.
+// Package demo runs martenwheel in a single process: stand-ins for the platform and for three
+// engines, three nodes in three zones, and two requests to idle models.
 package demo
 
 import (
@@ -15,23 +14,22 @@
 	"github.com/pkg/errors"
 )
 
-// Options of a demonstration.
+// Options are the options of a demonstration.
 type Options struct {
 	Once    bool // stop after the first answers
 	Version string
-	Out     io.Writer // gets the steps, in words
-	Logs    io.Writer // gets the nodes' logs as JSON lines
+	Out     io.Writer // receives the progress as text
+	Logs    io.Writer // receives the nodes' logs as JSON lines
 }
 
-// Bounds of the demonstration's steps.
+// Timeouts and poll interval.
 const (
-	readyBound   = 30 * time.Second
-	readyPoll    = 100 * time.Millisecond
-	requestBound = time.Minute
+	readyTimeout   = 30 * time.Second
+	readyPoll      = 100 * time.Millisecond
+	requestTimeout = time.Minute
 )
 
-// Run starts the site, sends the requests and, unless options.Once is set, goes
-// on serving until ctx ends. The error says what went wrong.
+// Run starts the site, sends the requests and, unless options.Once is set, serves until ctx ends.
 func Run(ctx context.Context, options Options) error {
 	d := &demonstration{options: options, started: time.Now()}
 	d.step("starting: platform, 3 engines and 3 nodes on 127.0.0.1")
@@ -40,20 +38,20 @@
 		return err
 	}
 	defer site.close()
-	if err := d.show(ctx, site); err != nil {
+	if err := d.sendRequests(ctx, site); err != nil {
 		return err
 	}
 	if options.Once {
 		d.step("done")
 		return nil
 	}
-	d.invite(site)
+	d.printHints(site)
 	<-ctx.Done()
 	d.step("stopping")
 	return nil
 }
 
-// demonstration prints the steps with the time since its start.
+// demonstration prints its progress with the time since the start.
 type demonstration struct {
 	options Options
 	started time.Time
@@ -64,8 +62,8 @@
 	fmt.Fprintf(d.options.Out, "%7.3fs  %s\n", elapsed, fmt.Sprintf(format, arguments...))
 }
 
-// show waits for the nodes and sends one request of each kind.
-func (d *demonstration) show(ctx context.Context, site *site) error {
+// sendRequests waits for the nodes and sends a streamed and an unstreamed request.
+func (d *demonstration) sendRequests(ctx context.Context, site *site) error {
 	if err := d.waitReady(ctx, site); err != nil {
 		return err
 	}
@@ -73,12 +71,12 @@
 	if err := d.askStreamed(ctx, site.nodes[0].Addresses().Callers, "glaze-7b"); err != nil {
 		return err
 	}
-	return d.askWhole(ctx, site.nodes[1].Addresses().Callers, "glaze-7b:studio-3")
+	return d.askUnstreamed(ctx, site.nodes[1].Addresses().Callers, "glaze-7b:studio-3")
 }
 
-// waitReady polls the nodes' readiness.
+// waitReady waits until all nodes are ready.
 func (d *demonstration) waitReady(ctx context.Context, site *site) error {
-	ctx, cancel := context.WithTimeout(ctx, readyBound)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for _, node := range site.nodes {
 		for node.Ready() != nil {
@@ -92,7 +90,8 @@
 	return nil
 }
 
-// askStreamed sends a streamed request and prints the tokens as they come.
+// askStreamed sends a streamed request and prints when the first token and the end of the stream
+// arrive.
 func (d *demonstration) askStreamed(ctx context.Context, address, model string) error {
 	d.step("request to idle model %s at node %s, streamed", model, address)
 	response, err := post(ctx, address, body(model, true))
@@ -119,8 +118,8 @@
 	return errors.Errorf("the stream of %s ended without [DONE] after %d events (%v)", model, events, lines.Err())
 }
 
-// askWhole sends a request that is not streamed and prints the answer.
-func (d *demonstration) askWhole(ctx context.Context, address, model string) error {
+// askUnstreamed sends a request that is not streamed and prints the answer.
+func (d *demonstration) askUnstreamed(ctx context.Context, address, model string) error {
 	d.step("request to idle adapter %s at node %s, not streamed", model, address)
 	response, err := post(ctx, address, body(model, false))
 	if err != nil {
@@ -135,8 +134,8 @@
 	return nil
 }
 
-// invite prints how to try it by hand.
-func (d *demonstration) invite(site *site) {
+// printHints prints commands for sending requests by hand.
+func (d *demonstration) printHints(site *site) {
 	addresses := site.nodes[0].Addresses()
 	d.step("serving until interrupted; try:")
 	fmt.Fprintf(d.options.Out, `
@@ -148,12 +147,12 @@
 `, addresses.Callers, body("firing-13b", true), addresses.Operators, addresses.Operators)
 }
 
-// body returns a request of the OpenAI-style API.
+// body returns the JSON body of a chat completion request.
 func body(model string, stream bool) string {
 	return fmt.Sprintf(`{"model":"%s","stream":%t,"max_tokens":16,"messages":[{"role":"user","content":"When may I glaze?"}]}`, model, stream)
 }
 
-// post sends a request and checks the status of the answer.
+// post sends a request and checks the status of the response.
 func post(ctx context.Context, address, body string) (*http.Response, error) {
 	url := "http://" + address + "/v1/chat/completions"
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(body))
@@ -161,14 +160,14 @@
 		return nil, errors.Wrap(err, "make a request")
 	}
 	request.Header.Set("Content-Type", "application/json")
-	client := http.Client{Timeout: requestBound}
+	client := http.Client{Timeout: requestTimeout}
 	response, err := client.Do(request)
 	if err != nil {
 		return nil, errors.Wrap(err, "send a request")
 	}
 	if response.StatusCode != http.StatusOK {
 		defer response.Body.Close()
-		answer, _ := io.ReadAll(response.Body) // only for the message
+		answer, _ := io.ReadAll(response.Body) // used only in the error message
 		return nil, errors.Errorf("answer %s: %s", response.Status, answer)
 	}
 	return response, nil
--- a/pkg/demo/site.go
+++ b/pkg/demo/site.go
@@ -18,35 +18,34 @@
 	"martenwheel.dev/pkg/tree"
 )
 
-// The place and size of the demonstration's site.
+// Location and sizes of the demonstration's site.
 const (
-	region        = "local"
-	service       = "assistant"
-	anyPort       = "127.0.0.1:0"
-	engineMemory  = 24 << 30
-	engineSpeed   = 1.0
-	drainTime     = 5 * time.Second
-	firstEditID   = "demo-site"
-	tablePassword = "standin"
+	region       = "local"
+	service      = "assistant"
+	anyPort      = "127.0.0.1:0"
+	engineMemory = 24 << 30
+	engineSpeed  = 1.0
+	drainTime    = 5 * time.Second
+	firstEditID  = "demo-site"
+	secretKey    = "standin"
 )
 
-// zones of the site; each has a node and a server.
+// zones lists the site's zones; each has one node and one engine.
 var zones = []string{"zone-a", "zone-b", "zone-c"}
 
 //go:embed site.yaml
 var siteTree []byte
 
-// site is a small site in this process: the platform, one engine and one node
-// in each zone.
+// site is a small site in this process: the platform, and one engine and one node in each zone.
 type site struct {
-	platform *standin.PlatformServer
-	engines  []*standin.EngineServer
-	nodes    []*node.Node
-	running  conc.WaitGroup
-	stops    []func() // of the nodes, in the order of their start
+	platform  *standin.PlatformServer
+	engines   []*standin.EngineServer
+	nodes     []*node.Node
+	running   conc.WaitGroup
+	stopFuncs []func() // one per node, in start order
 }
 
-// startSite starts all parts. The nodes' logs go to logs as JSON lines.
+// startSite starts all parts of the site. The nodes write their logs to logs as JSON lines.
 func startSite(ctx context.Context, version string, logs io.Writer) (*site, error) {
 	s := &site{}
 	nodesContext := ctx
@@ -65,11 +64,11 @@
 	return s, nil
 }
 
-// close stops the nodes as planned, one after the other as an operator would: a
-// node that stops hands over to those that stay, and waits long for others that
-// are stopping too. Then it stops the stand-ins.
+// close shuts the nodes down one after the other, as an operator would: a node that shuts down
+// hands over to the remaining ones, and would wait long for nodes that shut down at the same time.
+// Then it stops the stand-ins.
 func (s *site) close() {
-	for _, stop := range s.stops {
+	for _, stop := range s.stopFuncs {
 		stop()
 	}
 	for _, engine := range s.engines {
@@ -105,7 +104,7 @@
 	return nil
 }
 
-// writeTree commits the site's tree, as an operator would.
+// writeTree commits the site's tree to the store.
 func (s *site) writeTree(ctx context.Context) error {
 	endpoints := s.endpoints()
 	objects, err := s3objects.New(s3objects.Config{
@@ -135,27 +134,27 @@
 	return errors.Wrap(err, "commit the first tree")
 }
 
-// endpoints returns the settings by which nodes reach the platform.
+// endpoints returns the settings for connecting to the platform.
 func (s *site) endpoints() settings.Platform {
 	base := "http://" + s.platform.Address()
 	platform := settings.Default().Platform
 	platform.Table.Endpoint = base
-	platform.Table.SecretKey = tablePassword
+	platform.Table.SecretKey = secretKey
 	platform.Objects.Endpoint = base
-	platform.Objects.SecretKey = tablePassword
+	platform.Objects.SecretKey = secretKey
 	platform.Machines.Endpoint = base
 	return platform
 }
 
-// run runs a node until its own stop is called, which waits for its end.
+// run runs a node until its stop function is called, which waits until the node has stopped.
 func (s *site) run(ctx context.Context, started *node.Node) {
 	ctx, cancel := context.WithCancel(ctx)
 	ended := make(chan struct{})
 	s.running.Go(func() {
 		defer close(ended)
-		_ = started.Run(ctx) // its error is in the node's log
+		_ = started.Run(ctx) // the node logs its error
 	})
-	s.stops = append(s.stops, func() {
+	s.stopFuncs = append(s.stopFuncs, func() {
 		cancel()
 		<-ended
 	})
--- a/pkg/lab/bounds.go
+++ b/pkg/lab/bounds.go
@@ -6,31 +6,30 @@
 	"time"
 )
 
-// bounds works out from the whole trace what no policy is expected to beat.
+// bounds computes reference values from the whole trace that no policy is expected to beat.
 //
-// Cold start: the 99th percentile over the wakes if each of them paid exactly
-// the time of its load from an empty weight store, an adapter's base being
-// loaded. It leaves out the caches and keep-alive, by which a policy can be
-// faster, and waiting for the store, memory or the base, by which it is slower.
+// Cold start: the 99th percentile over the wakes if each of them took exactly the time of a load
+// from an idle weight store, with an adapter's base already loaded. This leaves out caches and
+// keep-alive, which can make a policy faster, and waiting for the store, for memory or for the
+// base, which makes it slower.
 //
-// Idle hours: a policy that knows all arrivals holds a model over a gap or
-// unloads it and loads it again just in time, whichever holds its memory for
-// less: min(gap, load time). No request then waits for a load. Requests run at
-// the speed of a lone stream on one replica. It leaves out the limits of
-// memory and of the weight store, and faster loads from caches; a policy that
-// lets requests wait rather than load ahead may hold less.
-func (w *world) bounds() Bounds {
-	loads := make([]time.Duration, 0, len(w.trace.wakes))
-	for _, wake := range w.trace.wakes {
-		if wake.at > w.endedAt {
+// Idle hours: a policy that knows all arrivals either holds a model between two uses, or unloads it
+// and loads it again just in time, whichever holds its memory for less time: min(gap, load time).
+// No request then waits for a load. Requests run at the speed of a single stream on one replica.
+// This leaves out the limits of memory and of the weight store, and faster loads from caches. A
+// policy that makes requests wait instead of loading ahead of time may hold less.
+func (sim *simulation) bounds() Bounds {
+	loads := make([]time.Duration, 0, len(sim.trace.wakes))
+	for _, wake := range sim.trace.wakes {
+		if wake.at > sim.endedAt {
 			break
 		}
-		loads = append(loads, w.models[wake.model].settings.LoadTime)
+		loads = append(loads, sim.models[wake.model].settings.LoadTime)
 	}
 	idle := 0.0
-	for i, spans := range w.busySpans() {
-		m := w.models[i]
-		share := float64(m.holdBytes) / w.meter.acceleratorBytes[m.service]
+	for i, spans := range sim.busySpans() {
+		m := sim.models[i]
+		share := float64(m.holdBytes) / sim.meter.acceleratorBytes[m.service]
 		idle += share * leastHolding(spans, m.settings.LoadTime).Hours()
 	}
 	return Bounds{
@@ -39,21 +38,21 @@
 	}
 }
 
-// span is a time during which a model serves.
+// span is a period in which a model serves requests.
 type span struct{ from, to time.Duration }
 
-// busySpans returns for each model when it would serve if it were always
-// loaded. A base serves while its adapters do.
-func (w *world) busySpans() [][]span {
-	spans := make([][]span, len(w.models))
-	for _, a := range w.trace.arrivals {
-		if a.at > w.endedAt {
+// busySpans returns, for each model, when it would serve requests if it were always loaded. A base
+// also serves while its adapters do.
+func (sim *simulation) busySpans() [][]span {
+	spans := make([][]span, len(sim.models))
+	for _, a := range sim.trace.arrivals {
+		if a.at > sim.endedAt {
 			break
 		}
-		alone := float64(a.prompt)/promptTokensPerSecond + float64(a.output)/tokensPerSecond
-		busy := span{a.at, a.at + time.Duration(alone*float64(time.Second))}
+		soloSeconds := float64(a.prompt)/promptTokensPerSecond + float64(a.output)/tokensPerSecond
+		busy := span{a.at, a.at + time.Duration(soloSeconds*float64(time.Second))}
 		spans[a.model] = append(spans[a.model], busy)
-		if base := w.models[a.model].base; base >= 0 {
+		if base := sim.models[a.model].base; base >= 0 {
 			spans[base] = append(spans[base], busy)
 		}
 	}
@@ -63,8 +62,8 @@
 	return spans
 }
 
-// leastHolding returns the least time for which a model must be held without
-// serving, so that it is loaded when wanted.
+// leastHolding returns the minimum time for which a model must be held without serving, so that it
+// is always loaded when a request arrives.
 func leastHolding(spans []span, load time.Duration) time.Duration {
 	total, busyUntil := time.Duration(0), -load
 	for _, s := range spans {
--- a/pkg/lab/cache.go
+++ b/pkg/lab/cache.go
@@ -5,33 +5,33 @@
 	"slices"
 )
 
-// checkpointCache is one tier of a server's checkpoint caches. The least
-// recently used checkpoint goes first.
+// checkpointCache is one tier of a server's checkpoint cache, with least-recently-used eviction.
 type checkpointCache struct {
 	capacity uint64
 	used     uint64
-	entries  map[int]cacheEntry // by model
-	uses     uint64
+	entries  map[int]cacheEntry // by model index
+	useCount uint64
 }
 
 // cacheEntry is a cached checkpoint.
 type cacheEntry struct {
-	bytes uint64
-	use   uint64 // larger is later
+	bytes   uint64
+	lastUse uint64 // value of the cache's use counter at the last use
 }
 
-// newCheckpointCache returns an empty cache.
+// newCheckpointCache returns an empty cache of the given capacity.
 func newCheckpointCache(gigabytes float64) *checkpointCache {
 	return &checkpointCache{capacity: uint64(gigabytes * gigabyte), entries: make(map[int]cacheEntry)}
 }
 
-// has tells whether the model's checkpoint is cached.
+// has reports whether the model's checkpoint is cached.
 func (c *checkpointCache) has(model int) bool {
 	_, ok := c.entries[model]
 	return ok
 }
 
-// put caches a checkpoint, or notes its use, and lets others go to make room.
+// put caches a checkpoint or records its use, and evicts others if needed. A checkpoint larger than
+// the cache is ignored.
 func (c *checkpointCache) put(m *model) {
 	if m.weightBytes > c.capacity {
 		return
@@ -39,8 +39,8 @@
 	if !c.has(m.index) {
 		c.used += m.weightBytes
 	}
-	c.uses++
-	c.entries[m.index] = cacheEntry{m.weightBytes, c.uses}
+	c.useCount++
+	c.entries[m.index] = cacheEntry{m.weightBytes, c.useCount}
 	for c.used > c.capacity {
 		oldest := c.oldest()
 		c.used -= c.entries[oldest].bytes
@@ -50,10 +50,10 @@
 
 // oldest returns the least recently used model.
 func (c *checkpointCache) oldest() int {
-	oldest, first := -1, uint64(0)
+	oldest, oldestUse := -1, uint64(0)
 	for index, entry := range c.entries {
-		if oldest < 0 || entry.use < first {
-			oldest, first = index, entry.use
+		if oldest < 0 || entry.lastUse < oldestUse {
+			oldest, oldestUse = index, entry.lastUse
 		}
 	}
 	return oldest
--- a/pkg/lab/calls.go
+++ b/pkg/lab/calls.go
@@ -10,27 +10,27 @@
 	"martenwheel.dev/pkg/platform"
 )
 
-// callFailure is how a call of a process to an engine or the platform failed.
+// callFailure tells how a call from a process to an engine or to the platform failed.
 type callFailure int
 
-// The ways in which a call fails.
+// Kinds of call failures.
 const (
-	callUnreached callFailure = iota + 1 // surely not carried out
-	callUnknown                          // perhaps carried out
+	callNotDelivered   callFailure = iota + 1 // the call was certainly not carried out
+	callOutcomeUnknown                        // the call may have been carried out
 )
 
-// Times after which a call is given up.
+// Timeouts of calls.
 const (
 	connectTimeout = time.Second
 	answerTimeout  = 2 * time.Second
 )
 
-// platformZone stands for the platform, which every zone reaches.
+// platformZone stands for the platform, which is reachable from every zone.
 const platformZone = -1
 
 // engineError returns the error of a failed call to an engine.
 func (f callFailure) engineError() error {
-	if f == callUnreached {
+	if f == callNotDelivered {
 		return errors.WithStack(engine.ErrUnreachable)
 	}
 	return errors.WithStack(engine.ErrUnknownOutcome)
@@ -38,59 +38,58 @@
 
 // platformError returns the error of a failed call to the platform.
 func (f callFailure) platformError() error {
-	if f == callUnreached {
+	if f == callNotDelivered {
 		return errors.WithStack(platform.ErrUnavailable)
 	}
 	return errors.WithStack(platform.ErrUnknownOutcome)
 }
 
-// call carries something out at another party after a one-way delay. Carry
-// returns what the process does with the answer, and false if it was refused
-// without effect. Exactly one of answer and failed happens, unless the process
-// dies.
-func (p *process) call(zone int, delay func() time.Duration, carry func() (answer func(), ok bool), failed func(callFailure)) {
-	w := p.plane.world
-	if zone != platformZone && !w.network.reaches(p.node.zone, zone) {
-		p.later(connectTimeout, func() { failed(callUnreached) })
+// call runs execute at another party after a one-way delay. execute returns what the process does
+// with the answer, and false if the call was refused without effect. Exactly one of answer and
+// failed is called, unless the process dies.
+func (p *process) call(zone int, delay func() time.Duration, execute func() (answer func(), ok bool), failed func(callFailure)) {
+	sim := p.plane.sim
+	if zone != platformZone && !sim.network.reaches(p.node.zone, zone) {
+		p.schedule(connectTimeout, func() { failed(callNotDelivered) })
 		return
 	}
-	w.clock.after(delay(), func() {
-		answer, ok := carry()
+	sim.clock.after(delay(), func() {
+		answer, ok := execute()
 		switch {
 		case !ok:
-			p.later(delay(), func() { failed(callUnreached) })
-		case zone != platformZone && !w.network.reaches(p.node.zone, zone), zone == platformZone && p.plane.platform.losesAnswer():
-			p.later(answerTimeout, func() { failed(callUnknown) })
+			p.schedule(delay(), func() { failed(callNotDelivered) })
+		case zone != platformZone && !sim.network.reaches(p.node.zone, zone), zone == platformZone && p.plane.platform.dropsAnswer():
+			p.schedule(answerTimeout, func() { failed(callOutcomeUnknown) })
 		default:
-			p.later(delay(), answer)
+			p.schedule(delay(), answer)
 		}
 	})
 }
 
-// callEngine calls an engine. A frozen engine carries the call out when it
-// thaws, long after the process gave up.
-func (p *process) callEngine(e *emulatedEngine, carry func() control.Event, failed func(callFailure) control.Event) {
-	delay := func() time.Duration { return p.plane.world.network.delay(p.node.zone, e.zone) }
+// callEngine calls an engine. A frozen engine carries the call out when it resumes, after the
+// process has timed out.
+func (p *process) callEngine(e *emulatedEngine, execute func() control.Event, failed func(callFailure) control.Event) {
+	delay := func() time.Duration { return p.plane.sim.network.delay(p.node.zone, e.zone) }
 	fail := func(failure callFailure) { p.step(failed(failure)) }
 	p.call(e.zone, delay, func() (func(), bool) {
 		if !e.alive {
 			return nil, false
 		}
 		if e.frozen {
-			e.handle(func() { carry() })
-			return func() { p.later(answerTimeout, func() { fail(callUnknown) }) }, true
+			e.handle(func() { execute() })
+			return func() { p.schedule(answerTimeout, func() { fail(callOutcomeUnknown) }) }, true
 		}
-		event := carry()
+		event := execute()
 		return func() { p.step(event) }, true
 	}, fail)
 }
 
-// orderEngine gives an order to an engine.
+// orderEngine sends an order to an engine.
 func (p *process) orderEngine(e control.OrderEngine) {
 	target := p.plane.engines[e.Server]
 	if target == nil {
-		p.later(0, func() {
-			p.step(control.OrderAnswered{Server: e.Server, Order: e.Order, Err: callUnreached.engineError()})
+		p.schedule(0, func() {
+			p.step(control.OrderAnswered{Server: e.Server, Order: e.Order, Err: callNotDelivered.engineError()})
 		})
 		return
 	}
@@ -101,12 +100,12 @@
 	})
 }
 
-// readInventory fences an engine and reads its inventory.
+// readInventory raises the fence of an engine and reads its inventory.
 func (p *process) readInventory(e control.ReadInventory) {
 	target := p.plane.engines[e.Server]
 	if target == nil {
-		p.later(0, func() {
-			p.step(control.InventoryAnswered{Server: e.Server, Request: e.Request, Err: callUnreached.engineError()})
+		p.schedule(0, func() {
+			p.step(control.InventoryAnswered{Server: e.Server, Request: e.Request, Err: callNotDelivered.engineError()})
 		})
 		return
 	}
@@ -140,7 +139,7 @@
 	})
 }
 
-// commitRecord commits a transaction of the table service.
+// commitRecord commits a transaction to the table service.
 func (p *process) commitRecord(e control.CommitRecord) {
 	p.call(platformZone, p.plane.platform.delay, func() (func(), bool) {
 		if p.plane.platform.down {
--- a/pkg/lab/catalog.go
+++ b/pkg/lab/catalog.go
@@ -10,27 +10,26 @@
 	"martenwheel.dev/pkg/tree"
 )
 
-// gigabyte is the unit of the scenario's sizes.
+// gigabyte is the unit of sizes in scenarios, in bytes.
 const gigabyte = 1e9
 
-// model is a model or adapter of a run.
+// model is a model or an adapter in a run.
 type model struct {
 	index       int
 	name        api.ModelName
-	base        int // index of the base, -1 if it is not an adapter
+	base        int // index of the base model; -1 for a base model
 	adapters    []int
 	service     int
 	settings    tree.Settings
-	weightBytes uint64 // of the checkpoint
-	holdBytes   uint64 // accelerator memory of a replica, with KV cache
+	weightBytes uint64 // size of the checkpoint
+	holdBytes   uint64 // accelerator memory of a replica, KV cache included
 	unsafe      bool
 	arrival     *Arrival
-	rate        float64 // requests a second, mean over the day
+	rate        float64 // mean requests per second over the day
 }
 
-// makeCatalog draws the models and adapters of the scenario, bases before their
-// adapters.
-func makeCatalog(scenario *Scenario, random *rand.Rand) []*model {
+// generateCatalog generates the models and adapters of the scenario, bases before their adapters.
+func generateCatalog(scenario *Scenario, random *rand.Rand) []*model {
 	var models []*model
 	for i := range scenario.Services {
 		service := &scenario.Services[i]
@@ -47,11 +46,11 @@
 	return models
 }
 
-// makeBase returns base model number of a service. Kinds of sizes are dealt
-// out by their shares, so that each seed has the same total.
+// makeBase returns the base model with a number within its service. Sizes are assigned by their
+// shares without randomness, so that the total is the same for each seed.
 func makeBase(scenario *Scenario, serviceIndex, number, index int) *model {
 	service := &scenario.Services[serviceIndex]
-	size := pickShare(service.Sizes, func(s Size) float64 { return s.Share }, spread(number))
+	size := pickByShare(service.Sizes, func(s Size) float64 { return s.Share }, lowDiscrepancy(number))
 	m := &model{
 		index: index, base: -1, service: serviceIndex,
 		name:        api.ModelName(fmt.Sprintf("%s-m%02d", service.Name, number)),
@@ -63,7 +62,7 @@
 	return m
 }
 
-// makeAdapter returns adapter number of a service, on base.
+// makeAdapter returns the adapter with a number within its service, on base.
 func makeAdapter(scenario *Scenario, base *model, number, index int) *model {
 	service := &scenario.Services[base.service]
 	bytes := uint64(service.AdapterGigabytes * gigabyte)
@@ -79,7 +78,7 @@
 	return m
 }
 
-// treeSettings returns the effective settings of a model of the service.
+// treeSettings returns the effective tree settings of a model of the service.
 func (s *Service) treeSettings(weights, kv uint64) tree.Settings {
 	return tree.Settings{
 		MemoryBytes:     weights,
@@ -98,12 +97,12 @@
 // adapterStartup is the time to attach an adapter's weights to its base.
 const adapterStartup = 100 * time.Millisecond
 
-// storeLoadTime returns how long a load from an empty weight store takes.
+// storeLoadTime returns how long a load from an idle weight store takes.
 func (s *Scenario) storeLoadTime(bytes uint64, base bool) time.Duration {
 	return transferTime(bytes, s.WeightStore.GigabytesPerSecond) + s.startup(base)
 }
 
-// startup returns the time of a load after the checkpoint has arrived.
+// startup returns how long a load takes once the checkpoint has arrived.
 func (s *Scenario) startup(base bool) time.Duration {
 	if base {
 		return s.WeightStore.Startup
@@ -111,13 +110,13 @@
 	return adapterStartup
 }
 
-// transferTime returns the time to move bytes at a speed.
+// transferTime returns how long the transfer of a number of bytes takes.
 func transferTime(bytes uint64, gigabytesPerSecond float64) time.Duration {
 	return time.Duration(float64(bytes) / gigabyte / gigabytesPerSecond * float64(time.Second))
 }
 
-// assignArrivals deals popularity by Zipf's law in a random order, and the
-// shapes of arrivals and unsafe requests by their shares.
+// assignArrivals assigns each model its popularity, by Zipf's law in random order, and its arrival
+// pattern and unsafe requests by their shares.
 func assignArrivals(service *Service, models []*model, random *rand.Rand) {
 	total := 0.0
 	for rank := range models {
@@ -127,21 +126,21 @@
 		m := models[position]
 		share := math.Pow(float64(rank+1), -service.PopularityExponent) / total
 		m.rate = service.RequestsPerSecond * share
-		m.arrival = pickShare(service.Arrivals, func(a Arrival) float64 { return a.Share }, spread(rank))
+		m.arrival = pickByShare(service.Arrivals, func(a Arrival) float64 { return a.Share }, lowDiscrepancy(rank))
 		m.unsafe = random.Float64() < service.UnsafeShare
 		m.settings.UnsafeToRepeat = m.unsafe
 	}
 }
 
-// spread returns the numbers of a low-discrepancy sequence between 0 and 1.
-func spread(number int) float64 {
+// lowDiscrepancy returns an element of a low-discrepancy sequence between 0 and 1.
+func lowDiscrepancy(number int) float64 {
 	_, fraction := math.Modf(float64(number+1) * math.Phi)
 	return fraction
 }
 
-// pickShare returns the item at position, between 0 and 1, of the items laid
-// side by side with widths in proportion to their shares.
-func pickShare[T any](items []T, share func(T) float64, position float64) *T {
+// pickByShare returns the item at position (0 to 1) if the items are laid side by side with widths in
+// proportion to their shares.
+func pickByShare[T any](items []T, share func(T) float64, position float64) *T {
 	total := 0.0
 	for _, item := range items {
 		total += share(item)
--- a/pkg/lab/clock.go
+++ b/pkg/lab/clock.go
@@ -7,34 +7,34 @@
 	"martenwheel.dev/pkg/indexedheap"
 )
 
-// epoch is the virtual time at which each run begins: midnight of a Monday.
+// epoch is the virtual time at which each run begins: midnight on a Monday.
 var epoch = time.Date(2026, 1, 5, 0, 0, 0, 0, time.UTC)
 
-// clock is the virtual time of a run and what happens at which moment. Events
-// of the same moment happen in the order in which they were added.
+// clock is the virtual clock and event queue of a run. Events at the same time run in the order in
+// which they were added.
 type clock struct {
 	elapsed  time.Duration
 	sequence uint64
 	queue    indexedheap.Heap[*event]
 }
 
-// event is something that happens at one moment.
+// event is a function scheduled for a point in virtual time.
 type event struct {
 	at       time.Duration
 	sequence uint64
 	run      func()
-	index    int // in the queue; negative when it is not there
+	index    int // position in the queue; negative if not queued
 }
 
-// now returns the virtual time.
+// now returns the current virtual time.
 func (c *clock) now() time.Time { return epoch.Add(c.elapsed) }
 
-// after adds an event that happens after delay.
+// after schedules run after delay.
 func (c *clock) after(delay time.Duration, run func()) *event {
 	return c.at(c.elapsed+max(delay, 0), run)
 }
 
-// at adds an event that happens at the moment at, at once if that has passed.
+// at schedules run for the elapsed time at, or for the present if that has passed.
 func (c *clock) at(at time.Duration, run func()) *event {
 	c.sequence++
 	e := &event{at: max(at, c.elapsed), sequence: c.sequence, run: run}
@@ -42,15 +42,15 @@
 	return e
 }
 
-// cancel removes an event that has not happened yet; nil is allowed.
+// cancel removes an event that has not run yet; e may be nil.
 func (c *clock) cancel(e *event) {
 	if e != nil && e.index >= 0 {
 		heap.Remove(&c.queue, e.index)
 	}
 }
 
-// step lets the next event happen if it is due before end. It tells whether
-// there was one.
+// step runs the next event if it is due by end, and reports whether there was one. If not, it
+// advances the clock to end.
 func (c *clock) step(end time.Duration) bool {
 	if len(c.queue) == 0 || c.queue[0].at > end {
 		c.elapsed = max(c.elapsed, end)
--- a/pkg/lab/distributed.go
+++ b/pkg/lab/distributed.go
@@ -10,49 +10,49 @@
 	"martenwheel.dev/pkg/tree"
 )
 
-// distributedPlane is the real control plane: each node runs a control.Machine
-// with real membership, quorum groups and owners. The emulator carries out the
-// machines' effects against the emulated engines and platform.
+// distributedPlane is the real control plane: each node runs a control.Machine with real
+// membership, quorum groups and owners. The emulator executes the machines' effects against the
+// emulated engines and platform.
 type distributedPlane struct {
-	world     *world
+	sim       *simulation
 	policy    string
-	processes []*process // by node
+	processes []*process // by node index
 	addresses map[string]*process
 	engines   map[api.ServerID]*emulatedEngine
 	platform  *emulatedPlatform
 }
 
-// process is the life of a node as far as its control side goes.
+// process is the control-plane part of a node.
 type process struct {
-	plane    *distributedPlane
-	node     *node
-	ref      api.NodeRef
-	machine  *control.Machine
-	settings *tree.Tree
-	floor    tree.Revision // highest in force in any life of the node
+	plane           *distributedPlane
+	node            *node
+	ref             api.NodeRef
+	machine         *control.Machine
+	settings        *tree.Tree
+	highestRevision tree.Revision // highest revision in effect in any incarnation of the node
 }
 
-// peerPort is the port of the emulated nodes' listeners for other nodes.
+// peerPort is the port of the emulated nodes' peer listeners.
 const peerPort = 7000
 
-// newDistributedPlane returns a plane whose nodes have not started.
-func newDistributedPlane(w *world, policyName string) (*distributedPlane, error) {
-	settings, err := makeTree(w.scenario, w.models, policyName)
+// newDistributedPlane returns a control plane whose nodes have not started yet.
+func newDistributedPlane(sim *simulation, policyName string) (*distributedPlane, error) {
+	settings, err := makeTree(sim.scenario, sim.models, policyName)
 	if err != nil {
 		return nil, err
 	}
 	plane := &distributedPlane{
-		world: w, policy: policyName, platform: newEmulatedPlatform(w, settings),
+		sim: sim, policy: policyName, platform: newEmulatedPlatform(sim, settings),
 		addresses: make(map[string]*process), engines: make(map[api.ServerID]*emulatedEngine),
 	}
-	for _, e := range w.engines {
+	for _, e := range sim.engines {
 		plane.engines[e.id] = e
 	}
-	for i, n := range w.nodes {
+	for i, n := range sim.nodes {
 		p := &process{plane: plane, node: n}
 		p.ref = api.NodeRef{
 			ID: n.id, PeerAddress: fmt.Sprintf("10.100.0.%d:%d", i+1, peerPort),
-			Zone: w.scenario.Zones[n.zone], Region: w.scenario.Region,
+			Zone: sim.scenario.Zones[n.zone], Region: sim.scenario.Region,
 		}
 		plane.processes = append(plane.processes, p)
 		plane.addresses[p.ref.PeerAddress] = p
@@ -61,69 +61,70 @@
 }
 
 // nodeStarted implements controlPlane.
-func (d *distributedPlane) nodeStarted(n *node) { d.processes[n.index].boot() }
+func (d *distributedPlane) nodeStarted(n *node) { d.processes[n.index].start() }
 
-// report implements controlPlane: demand goes to the node's own machine.
+// report implements controlPlane. It passes the demand to the node's own machine.
 func (d *distributedPlane) report(n *node, _ int, demand api.ModelDemand) {
 	p := d.processes[n.index]
-	p.later(0, func() { p.step(control.DemandReported{Demand: demand}) })
+	p.schedule(0, func() { p.step(control.DemandReported{Demand: demand}) })
 }
 
-// itemChanged implements controlPlane; owners learn of it by inventories.
+// itemChanged implements controlPlane. It does nothing, because owners learn of changes from
+// inventories.
 func (d *distributedPlane) itemChanged(*emulatedEngine, *model) {}
 
-// engineChanged implements controlPlane; owners learn of it by the list of
-// machines and by inventories.
-func (d *distributedPlane) engineChanged(*emulatedEngine) { d.platform.listMachines() }
+// engineChanged implements controlPlane. Owners learn of the change from the list of machines and
+// from inventories.
+func (d *distributedPlane) engineChanged(*emulatedEngine) { d.platform.recordMachines() }
 
-// healed implements controlPlane; the machines' own repair is what heals.
-func (d *distributedPlane) healed() {}
+// zonesReconnected implements controlPlane. It does nothing, because the machines recover by themselves.
+func (d *distributedPlane) zonesReconnected() {}
 
-// boot starts a life of the process.
-func (p *process) boot() {
-	w := p.plane.world
-	p.ref.Incarnation = uint64(p.node.lives + 1)
+// start starts a new incarnation of the process.
+func (p *process) start() {
+	sim := p.plane.sim
+	p.ref.Incarnation = uint64(p.node.incarnation + 1)
 	p.settings = nil
 	seeds := make([]string, 0, len(p.plane.processes))
 	for _, other := range p.plane.processes {
 		seeds = append(seeds, other.ref.PeerAddress)
 	}
 	p.machine = control.New(control.Config{
-		Self: p.ref, Seeds: seeds, Seed: w.random.Uint64(),
+		Self: p.ref, Seeds: seeds, Seed: sim.random.Uint64(),
 		Decider: func(name string) policy.Decider {
 			decider, _ := policy.ByName(name)
 			return decider
 		},
 	})
-	p.later(time.Duration(w.random.Int64N(int64(control.TickInterval))), p.tick)
+	p.schedule(time.Duration(sim.random.Int64N(int64(control.TickInterval))), p.tick)
 }
 
-// later lets this life of the process do something after a delay.
-func (p *process) later(delay time.Duration, do func()) {
-	life := p.node.lives
-	p.plane.world.clock.after(delay, func() {
+// schedule schedules do after a delay. It is dropped if the process dies before.
+func (p *process) schedule(delay time.Duration, do func()) {
+	incarnation := p.node.incarnation
+	p.plane.sim.clock.after(delay, func() {
 		p.node.handle(func() {
-			if p.node.lives == life {
+			if p.node.incarnation == incarnation {
 				do()
 			}
 		})
 	})
 }
 
-// tick gives the machine its ticks. A frozen process misses those that it would
-// have had meanwhile.
+// tick steps the machine at every TickInterval. The chain of ticks stops while the process is
+// frozen, so it misses those ticks.
 func (p *process) tick() {
 	p.step(control.Tick{})
-	p.later(control.TickInterval, p.tick)
+	p.schedule(control.TickInterval, p.tick)
 }
 
-// step gives the machine an event and carries out what it wants done.
+// step passes an event to the machine and executes the resulting effects.
 func (p *process) step(event control.Event) {
-	p.carryOut(p.machine.Step(p.plane.world.clock.now(), event))
+	p.execute(p.machine.Step(p.plane.sim.clock.now(), event))
 }
 
-// carryOut carries out the machine's effects.
-func (p *process) carryOut(effects []control.Effect) {
+// execute executes the machine's effects.
+func (p *process) execute(effects []control.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case control.SendPeer:
@@ -153,40 +154,40 @@
 		return
 	}
 	received := control.PeerReceived{From: p.ref, Message: e.Message}
-	p.plane.world.network.send(p.node.zone, target.node.zone, func() {
-		life := target.node.lives
+	p.plane.sim.network.send(p.node.zone, target.node.zone, func() {
+		incarnation := target.node.incarnation
 		target.node.handle(func() {
-			if target.node.lives == life {
+			if target.node.incarnation == incarnation {
 				target.step(received)
 			}
 		})
 	})
 }
 
-// useTree gives the machine a tree, and the judge what is in force now.
-func (p *process) useTree(settings *tree.Tree) {
+// applyTree passes a tree to the machine and counts a violation if the revision in effect went back.
+func (p *process) applyTree(settings *tree.Tree) {
 	if settings == nil {
 		return
 	}
-	effects := p.machine.SetTree(p.plane.world.clock.now(), settings)
+	effects := p.machine.SetTree(p.plane.sim.clock.now(), settings)
 	revision := p.machine.TreeRevision()
-	if revision < p.floor {
-		p.plane.world.judge.violations.TreeReverts++
+	if revision < p.highestRevision {
+		p.plane.sim.checker.violations.TreeReverts++
 	}
-	p.floor = max(p.floor, revision)
+	p.highestRevision = max(p.highestRevision, revision)
 	if settings.Revision() == revision {
 		p.settings = settings
 	}
-	p.carryOut(effects)
+	p.execute(effects)
 }
 
-// fetchTree gets a tree from a peer or from the platform.
+// fetchTree fetches a tree from a peer or from the platform.
 func (p *process) fetchTree(e control.FetchTree) {
-	w := p.plane.world
+	sim := p.plane.sim
 	if e.Peer == "" {
 		p.call(platformZone, p.plane.platform.delay, func() (func(), bool) {
 			settings, ok := p.plane.platform.newestTree()
-			return func() { p.useTree(settings) }, ok
+			return func() { p.applyTree(settings) }, ok
 		}, func(callFailure) {})
 		return
 	}
@@ -194,17 +195,17 @@
 	if source == nil {
 		return
 	}
-	w.network.send(p.node.zone, source.node.zone, func() {
+	sim.network.send(p.node.zone, source.node.zone, func() {
 		source.node.handle(func() {
 			settings := source.settings
-			w.network.send(source.node.zone, p.node.zone, func() {
-				p.later(0, func() { p.useTree(settings) })
+			sim.network.send(source.node.zone, p.node.zone, func() {
+				p.schedule(0, func() { p.applyTree(settings) })
 			})
 		})
 	})
 }
 
-// publishView hands a view to the node's router, for the models that changed.
+// publishView updates the node's router from a view, for the models that changed.
 func (p *process) publishView(view api.CellView) {
 	leaving := make(map[api.ServerID]bool, len(view.Servers))
 	for _, server := range view.Servers {
@@ -212,7 +213,7 @@
 	}
 	replicas := make(map[int][]replicaView)
 	for _, replica := range view.Replicas {
-		m := p.plane.world.byName[replica.Model]
+		m := p.plane.sim.byName[replica.Model]
 		e := p.plane.engines[replica.Server]
 		if m == nil || e == nil {
 			continue
@@ -221,8 +222,8 @@
 			server: e, state: replica.State, leaving: leaving[replica.Server], readyBy: replica.ReadyBy.Sub(epoch),
 		})
 	}
-	for _, m := range p.plane.world.models {
-		if api.MakeCellName(p.plane.world.scenario.Services[m.service].Name, p.ref.Region) != view.Cell {
+	for _, m := range p.plane.sim.models {
+		if api.MakeCellName(p.plane.sim.scenario.Services[m.service].Name, p.ref.Region) != view.Cell {
 			continue
 		}
 		if !sameReplicas(p.node.views[m.index], replicas[m.index]) {
@@ -231,14 +232,14 @@
 	}
 }
 
-// sameReplicas tells whether two views of a model say the same.
+// sameReplicas reports whether two views of a model are equal, apart from failed attempts.
 func sameReplicas(a, b []replicaView) bool {
 	if len(a) != len(b) {
 		return false
 	}
 	for i := range a {
 		x, y := a[i], b[i]
-		x.avoid, y.avoid = 0, 0
+		x.avoidUntil, y.avoidUntil = 0, 0
 		if x != y {
 			return false
 		}
--- a/pkg/lab/emulator_test.go
+++ b/pkg/lab/emulator_test.go
@@ -12,14 +12,14 @@
 	cases := []struct {
 		name     string
 		fetches  int
-		urgent   int // number of the only urgent fetch, -1 for none
+		urgent   int // index of the only urgent fetch; -1 for none
 		slowdown float64
-		want     string // when each fetch is done, in tenths of a second
+		want     string // when each fetch completes, in tenths of a second
 	}{
 		{"one at full speed", 1, -1, 1, "[20]"},
 		{"starts are limited", 2, -1, 1, "[20 25]"},
-		// The third starts at 1 s: three share the speed of two until the first
-		// is done at 2.5 s, with 0.5 and 1 GB left of the others.
+		// The third fetch starts at 1 s. Three then share the bandwidth of two until the first
+		// completes at 2.5 s, when the others have 0.5 and 1 GB left.
 		{"beyond full speed all are slower", 3, -1, 1, "[25 30 35]"},
 		{"urgent ones start first", 3, 2, 1, "[25 35 30]"},
 		{"slow", 1, -1, 5, "[100]"},
@@ -36,7 +36,7 @@
 			for c.step(time.Minute) {
 			}
 			if got := fmt.Sprint(done); got != test.want {
-				t.Errorf("done at %s, want %s", got, test.want)
+				t.Errorf("completed at %s, want %s", got, test.want)
 			}
 		})
 	}
@@ -54,7 +54,7 @@
 	}
 	cache.put(&model{index: 4, weightBytes: 11 * gigabyte})
 	if cache.has(4) || cache.used != 8*gigabyte {
-		t.Error("took a checkpoint larger than the cache")
+		t.Error("cached a checkpoint larger than the cache")
 	}
 }
 
@@ -83,22 +83,22 @@
 
 func TestTraceDependsOnTheSeedOnly(t *testing.T) {
 	scenario := loadScenario(t, "delta-piney", "duration=6h")
-	make := func(seed uint64) *trace {
-		return makeTrace(scenario, makeCatalog(scenario, newRandom(seed, streamCatalog)), newRandom(seed, streamTrace))
+	generate := func(seed uint64) *trace {
+		return generateTrace(scenario, generateCatalog(scenario, newRandom(seed, streamCatalog)), newRandom(seed, streamTrace))
 	}
-	one, again, other := make(1), make(1), make(2)
-	if fmt.Sprint(one.arrivals) != fmt.Sprint(again.arrivals) {
-		t.Error("the same seed gave another trace")
+	first, repeated, other := generate(1), generate(1), generate(2)
+	if fmt.Sprint(first.arrivals) != fmt.Sprint(repeated.arrivals) {
+		t.Error("the same seed gave a different trace")
 	}
-	if fmt.Sprint(one.arrivals) == fmt.Sprint(other.arrivals) {
-		t.Error("another seed gave the same trace")
+	if fmt.Sprint(first.arrivals) == fmt.Sprint(other.arrivals) {
+		t.Error("different seeds gave the same trace")
 	}
-	if len(one.wakes) == 0 {
-		t.Error("no idle model was wanted")
+	if len(first.wakes) == 0 {
+		t.Error("the trace has no wakes")
 	}
-	for i := 1; i < len(one.arrivals); i++ {
-		if one.arrivals[i].at < one.arrivals[i-1].at {
-			t.Fatal("the trace is not in order")
+	for i := 1; i < len(first.arrivals); i++ {
+		if first.arrivals[i].at < first.arrivals[i-1].at {
+			t.Fatal("the trace is not ordered by time")
 		}
 	}
 }
@@ -107,7 +107,7 @@
 	cases := []struct {
 		name string
 		set  []string
-		want []string // in the error
+		want []string // parts of the error message
 	}{
 		{"no assignment", []string{"nodes"}, []string{"--set nodes", "path=value"}},
 		{"several at once", []string{"services.nobody.servers=1", "services.booking.caches=x"},
@@ -124,7 +124,7 @@
 			}
 			for _, part := range test.want {
 				if !strings.Contains(err.Error(), part) {
-					t.Errorf("%q lacks %q", err, part)
+					t.Errorf("error %q does not contain %q", err, part)
 				}
 			}
 		})
--- a/pkg/lab/engine.go
+++ b/pkg/lab/engine.go
@@ -9,8 +9,8 @@
 	"martenwheel.dev/pkg/platform"
 )
 
-// Speeds of the emulated engines. A stream in a batch of n gets
-// tokensPerSecond/(1+(n-1)*batchSlowdown); reading a prompt is slowed in the
+// Speeds of the emulated engines. Each stream in a batch of n generates
+// tokensPerSecond/(1+(n-1)*batchSlowdown) tokens per second; reading a prompt slows down in the
 // same way.
 const (
 	tokensPerSecond       = 70.0
@@ -19,11 +19,10 @@
 	unloadTime            = 400 * time.Millisecond
 )
 
-// emulatedEngine is one server with its engine process. It judges orders by
-// their fence alone, as the platform promises; it is not trusted to know
-// whether an order is wise, which the judge checks.
+// emulatedEngine is one server with its engine process. It accepts orders by their fence alone, as
+// the platform guarantees. It does not check whether an order makes sense; the checker does.
 type emulatedEngine struct {
-	world    *world
+	sim      *simulation
 	id       api.ServerID
 	address  string
 	service  int
@@ -33,38 +32,39 @@
 	disk     *checkpointCache
 	caches   *Caches
 
-	instance  string
-	lives     int
-	machines  int // machines so far, the present one among them
-	alive     bool
-	frozen    bool
-	backlog   []func()      // what came while it was frozen
-	gone      bool          // the machine was taken away
-	leavingAt time.Duration // -1 while it stays
-	fence     api.Fence
-	lastOrder string // with the last accepted fence
-	used      uint64
-	items     []*item // by model, nil if absent
+	instance     string
+	incarnation  int
+	machineCount int // number of machines so far, the present one included
+	alive        bool
+	frozen       bool
+	deferred     []func()      // calls that arrived while the engine was frozen
+	gone         bool          // the machine was taken away
+	leavingAt    time.Duration // when it announced that it leaves; -1 if it stays
+	fence        api.Fence
+	lastOrder    string // ID of the order that set the fence
+	used         uint64
+	items        []*item // by model index; nil if absent
 }
 
 // item is a model or adapter on an engine.
 type item struct {
-	model   *model
-	state   engine.ItemState
-	orderID string
-	fence   api.Fence
-	urgent  bool
-	since   time.Duration
-	fetch   *fetch
-	timer   *event
-	batch   *sharedRate // of the base; adapters run in their base's batch
-	running []*run
-	queued  []*run
-	active  int           // running requests of the model and its adapters
-	metered time.Duration // up to when the hours are counted
+	model        *model
+	state        engine.ItemState
+	orderID      string
+	fence        api.Fence
+	urgent       bool
+	since        time.Duration
+	fetch        *fetch
+	timer        *event
+	batch        *sharedRate // the base's batch, which its adapters share
+	running      []*run
+	queued       []*run
+	active       int           // running requests of the model and its adapters
+	meteredUntil time.Duration // hours are counted up to here
 }
 
-// order carries out a fenced order.
+// order executes an order if its fence is newer than the engine's. The last accepted order may be
+// repeated.
 func (e *emulatedEngine) order(order engine.Order) engine.OrderResult {
 	if order.Instance != "" && order.Instance != e.instance {
 		return engine.OrderResult{Status: engine.OrderWrongInstance, Fence: e.fence, Instance: e.instance}
@@ -76,16 +76,16 @@
 		}
 		return engine.OrderResult{Status: status, Fence: e.fence, Instance: e.instance}
 	}
-	status := e.carryOut(order)
+	status := e.execute(order)
 	if status == engine.OrderAccepted {
 		e.fence, e.lastOrder = order.Fence, order.ID
 	}
 	return engine.OrderResult{Status: status, Fence: e.fence, Instance: e.instance}
 }
 
-// carryOut does what a fresh order asks for.
-func (e *emulatedEngine) carryOut(order engine.Order) engine.OrderStatus {
-	m := e.world.byName[order.Model]
+// execute executes an order whose fence has been checked.
+func (e *emulatedEngine) execute(order engine.Order) engine.OrderStatus {
+	m := e.sim.byName[order.Model]
 	if m == nil {
 		return engine.OrderUnknownModel
 	}
@@ -99,7 +99,7 @@
 	}
 }
 
-// load begins a load.
+// load starts a load.
 func (e *emulatedEngine) load(m *model, order engine.Order) engine.OrderStatus {
 	if e.leavingAt >= 0 {
 		return engine.OrderLeaving
@@ -111,24 +111,24 @@
 		return engine.OrderUnknownModel
 	}
 	if e.used+m.holdBytes > e.capacity {
-		e.world.judge.violations.Memory++
+		e.sim.checker.violations.Memory++
 		return engine.OrderNoMemory
 	}
 	it := &item{
 		model: m, state: engine.ItemLoading, orderID: order.ID, fence: order.Fence,
-		urgent: order.Urgent, since: e.world.clock.elapsed, metered: e.world.clock.elapsed,
+		urgent: order.Urgent, since: e.sim.clock.elapsed, meteredUntil: e.sim.clock.elapsed,
 	}
 	e.items[m.index] = it
 	e.used += m.holdBytes
-	e.world.judge.loadBegan(m)
+	e.sim.checker.loadBegan(m)
 	e.fetchCheckpoint(it)
 	return engine.OrderAccepted
 }
 
-// fetchCheckpoint gets the checkpoint from the nearest place that has it.
+// fetchCheckpoint gets the checkpoint from the fastest tier that has it.
 func (e *emulatedEngine) fetchCheckpoint(it *item) {
-	c, m := e.world.clock, it.model
-	startup := e.world.scenario.startup(m.base < 0)
+	c, m := e.sim.clock, it.model
+	startup := e.sim.scenario.startup(m.base < 0)
 	finish := func() {
 		it.timer = c.after(startup, func() { e.loaded(it) })
 	}
@@ -138,32 +138,32 @@
 	case e.disk.has(m.index):
 		it.timer = c.after(transferTime(m.weightBytes, e.caches.DiskGigabytesPerSecond), finish)
 	default:
-		it.fetch = e.world.store.fetch(m.weightBytes, it.urgent, finish)
+		it.fetch = e.sim.store.fetch(m.weightBytes, it.urgent, finish)
 	}
 }
 
-// loaded makes an item ready.
+// loaded marks an item as ready.
 func (e *emulatedEngine) loaded(it *item) {
 	it.state = engine.ItemReady
-	it.since = e.world.clock.elapsed
+	it.since = e.sim.clock.elapsed
 	it.fetch, it.timer = nil, nil
 	e.memory.put(it.model)
 	e.disk.put(it.model)
 	if it.model.base < 0 {
-		it.batch = &sharedRate{clock: e.world.clock, rate: batchRate, updated: e.world.clock.elapsed}
+		it.batch = &sharedRate{clock: e.sim.clock, rate: batchRate, updated: e.sim.clock.elapsed}
 	} else {
 		it.batch = e.items[it.model.base].batch
 	}
-	e.world.judge.ready(it.model)
-	e.world.plane.itemChanged(e, it.model)
+	e.sim.checker.ready(it.model)
+	e.sim.plane.itemChanged(e, it.model)
 }
 
-// batchRate returns the tokens a second of each stream in a batch.
+// batchRate returns the tokens per second of each stream in a batch.
 func batchRate(streams int) float64 {
 	return tokensPerSecond / (1 + float64(streams-1)*batchSlowdown)
 }
 
-// unload lets a model's running requests finish, then frees its memory.
+// unload refuses a model's queued requests, lets the running ones finish and then frees its memory.
 func (e *emulatedEngine) unload(m *model) engine.OrderStatus {
 	it := e.items[m.index]
 	if it == nil {
@@ -181,66 +181,66 @@
 		e.stopLoad(it)
 	}
 	it.state = engine.ItemUnloading
-	it.since = e.world.clock.elapsed
+	it.since = e.sim.clock.elapsed
 	e.refuseQueued(it)
 	e.freeWhenIdle(it)
 	return engine.OrderAccepted
 }
 
-// stopLoad ends a load that is under way.
+// stopLoad cancels a load in progress.
 func (e *emulatedEngine) stopLoad(it *item) {
-	e.world.clock.cancel(it.timer)
-	e.world.store.cancel(it.fetch)
+	e.sim.clock.cancel(it.timer)
+	e.sim.store.cancel(it.fetch)
 	it.timer, it.fetch = nil, nil
 }
 
-// freeWhenIdle frees the memory of an unloading item once nothing runs on it.
+// freeWhenIdle frees the memory of an unloading item once no request runs on it.
 func (e *emulatedEngine) freeWhenIdle(it *item) {
 	if it.state != engine.ItemUnloading || len(it.running) > 0 || it.timer != nil {
 		return
 	}
-	it.timer = e.world.clock.after(unloadTime, func() {
+	it.timer = e.sim.clock.after(unloadTime, func() {
 		e.remove(it)
-		e.world.plane.itemChanged(e, it.model)
+		e.sim.plane.itemChanged(e, it.model)
 	})
 }
 
-// remove takes an item out of memory.
+// remove removes an item from memory.
 func (e *emulatedEngine) remove(it *item) {
 	e.meter(it)
 	e.items[it.model.index] = nil
 	e.used -= it.model.holdBytes
-	e.world.judge.removed(it.model)
+	e.sim.checker.removed(it.model)
 }
 
-// meter counts the hours of an item up to now.
+// meter counts the accelerator hours of an item up to now.
 func (e *emulatedEngine) meter(it *item) {
-	e.world.meter.hold(it.model, e.service, it.metered, e.world.clock.elapsed, it.active == 0)
-	it.metered = e.world.clock.elapsed
+	e.sim.meter.record(it.model, e.service, it.meteredUntil, e.sim.clock.elapsed, it.active == 0)
+	it.meteredUntil = e.sim.clock.elapsed
 }
 
-// handle lets the engine do something: now, when it thaws, or never if it dies.
+// handle runs do now, after the engine resumes if it is frozen, or not at all if it is dead.
 func (e *emulatedEngine) handle(do func()) {
 	switch {
 	case !e.alive:
 	case e.frozen:
-		e.backlog = append(e.backlog, do)
+		e.deferred = append(e.deferred, do)
 	default:
 		do()
 	}
 }
 
-// thaw lets a frozen engine go on with what came meanwhile.
-func (e *emulatedEngine) thaw() {
+// resume resumes a frozen engine and runs the deferred calls.
+func (e *emulatedEngine) resume() {
 	e.frozen = false
-	backlog := e.backlog
-	e.backlog = nil
-	for _, do := range backlog {
+	deferred := e.deferred
+	e.deferred = nil
+	for _, do := range deferred {
 		e.handle(do)
 	}
 }
 
-// crash loses all that the engine holds; its connections break.
+// crash drops everything that the engine holds and breaks its connections.
 func (e *emulatedEngine) crash() {
 	for _, it := range e.items {
 		if it == nil {
@@ -248,11 +248,11 @@
 		}
 		e.stopLoad(it)
 		for _, r := range it.running {
-			e.world.clock.cancel(r.timer)
-			e.world.reply(e, r, answerUnknown)
+			e.sim.clock.cancel(r.timer)
+			e.sim.reply(e, r, answerUnknown)
 		}
 		for _, r := range it.queued {
-			e.world.reply(e, r, answerUnknown)
+			e.sim.reply(e, r, answerUnknown)
 		}
 		if it.model.base < 0 && it.batch != nil {
 			it.batch.clear()
@@ -265,26 +265,26 @@
 		}
 	}
 	e.alive, e.frozen = false, false
-	e.backlog = nil
+	e.deferred = nil
 }
 
-// restart makes a crashed or replaced engine live again. It holds nothing; a
-// replaced machine has empty caches.
+// restart starts a crashed or replaced engine with empty memory; a replaced machine also has empty
+// caches.
 func (e *emulatedEngine) restart(replaced bool) {
-	e.lives++
-	e.instance = fmt.Sprintf("%s/%d", e.id, e.lives)
+	e.incarnation++
+	e.instance = fmt.Sprintf("%s/%d", e.id, e.incarnation)
 	e.alive, e.frozen, e.gone = true, false, false
 	e.leavingAt = -1
 	e.fence = 0
 	e.lastOrder = ""
 	if replaced {
-		e.machines++
+		e.machineCount++
 		e.memory = newCheckpointCache(e.caches.MemoryGigabytes)
 		e.disk = newCheckpointCache(e.caches.DiskGigabytes)
 	}
 }
 
-// machineState returns the state of the engine's machine in truth.
+// machineState returns the actual state of the engine's machine.
 func (e *emulatedEngine) machineState() platform.MachineState {
 	switch {
 	case e.gone:
--- a/pkg/lab/engine_inventory.go
+++ b/pkg/lab/engine_inventory.go
@@ -2,7 +2,7 @@
 
 import "martenwheel.dev/pkg/engine"
 
-// inventory raises the fence and tells what the engine holds.
+// inventory raises the fence and returns what the engine holds.
 func (e *emulatedEngine) inventory(request engine.InventoryRequest) engine.Inventory {
 	if request.Fence > e.fence {
 		e.fence, e.lastOrder = request.Fence, ""
@@ -27,23 +27,23 @@
 	return inventory
 }
 
-// inventoryItem describes an item.
+// inventoryItem returns the inventory's entry of an item.
 func (e *emulatedEngine) inventoryItem(it *item) engine.Item {
 	described := engine.Item{
 		Model: it.model.name, State: it.state, MemoryBytes: it.model.holdBytes,
 		OrderID: it.orderID, Fence: it.fence,
 	}
 	if it.model.base >= 0 {
-		described.Base = e.world.models[it.model.base].name
+		described.Base = e.sim.models[it.model.base].name
 	}
 	return described
 }
 
-// cachedCheckpoint describes a cached checkpoint by its fastest tier.
+// cachedCheckpoint returns the inventory's entry of a cached checkpoint, with its fastest tier.
 func (e *emulatedEngine) cachedCheckpoint(index int) engine.CachedCheckpoint {
 	tier := engine.TierDisk
 	if e.memory.has(index) {
 		tier = engine.TierMemory
 	}
-	return engine.CachedCheckpoint{Checkpoint: string(e.world.models[index].name), Tier: tier}
+	return engine.CachedCheckpoint{Checkpoint: string(e.sim.models[index].name), Tier: tier}
 }
--- a/pkg/lab/engine_requests.go
+++ b/pkg/lab/engine_requests.go
@@ -7,28 +7,28 @@
 	"martenwheel.dev/pkg/engine"
 )
 
-// run is a request on an engine.
+// run is one attempt to run a request on an engine.
 type run struct {
-	request *request
-	send    int // of the caller, that it belongs to
-	node    *node
-	life    int // of the node
-	server  *emulatedEngine
-	item    *item
-	timer   *event
-	job     *job
-	output  int // number of the request that its output belongs to
+	request     *request
+	sendNumber  int // which of the caller's sends the attempt belongs to
+	node        *node
+	incarnation int // incarnation of the node at the start
+	server      *emulatedEngine
+	item        *item
+	timer       *event
+	job         *job
+	outputOf    int // number of the request that produced the output
 }
 
-// submit takes a request from a node.
+// submit handles a request from a node: it starts the request, queues it or refuses it.
 func (e *emulatedEngine) submit(r *run) {
 	req := r.request
 	it := e.items[req.model.index]
-	if e.leavingAt >= 0 && e.world.clock.elapsed > e.leavingAt+leavingGrace {
-		e.world.judge.violations.Leaving++
+	if e.leavingAt >= 0 && e.sim.clock.elapsed > e.leavingAt+leavingGrace {
+		e.sim.checker.violations.Leaving++
 	}
 	if it == nil || it.state != engine.ItemReady {
-		e.world.reply(e, r, answerNotRun)
+		e.sim.reply(e, r, answerNotRun)
 		return
 	}
 	r.item = it
@@ -40,27 +40,26 @@
 	e.start(r)
 }
 
-// leavingGrace is how long after its notice a leaving engine may still be given
-// new work.
+// leavingGrace is how long a leaving engine may still receive new requests after its notice.
 const leavingGrace = 5 * time.Second
 
-// start runs a request.
+// start starts a request.
 func (e *emulatedEngine) start(r *run) {
 	it := r.item
 	e.setActive(it, 1)
 	it.running = append(it.running, r)
-	r.output = r.request.number
-	e.world.judge.started(r)
+	r.outputOf = r.request.number
+	e.sim.checker.started(r)
 	streams := len(it.batch.jobs) + 1
 	reading := float64(r.request.prompt) / promptTokensPerSecond * (1 + float64(streams-1)*batchSlowdown)
-	r.timer = e.world.clock.after(time.Duration(reading*float64(time.Second)), func() {
+	r.timer = e.sim.clock.after(time.Duration(reading*float64(time.Second)), func() {
 		r.timer = nil
-		e.world.firstToken(e, r)
+		e.sim.firstToken(e, r)
 		r.job = it.batch.add(float64(r.request.output), func() { e.finish(r) })
 	})
 }
 
-// setActive changes the running requests of an item and of its base.
+// setActive changes the number of running requests of an item and of its base.
 func (e *emulatedEngine) setActive(it *item, change int) {
 	for it != nil {
 		e.meter(it)
@@ -72,12 +71,12 @@
 	}
 }
 
-// finish ends a request that is done and starts the next one.
+// finish completes a request and starts the next one in the queue.
 func (e *emulatedEngine) finish(r *run) {
 	it := r.item
 	e.setActive(it, -1)
 	it.running = slices.DeleteFunc(it.running, func(other *run) bool { return other == r })
-	e.world.reply(e, r, answerServed)
+	e.sim.reply(e, r, answerServed)
 	if len(it.queued) > 0 {
 		next := it.queued[0]
 		it.queued = it.queued[1:]
@@ -91,6 +90,6 @@
 	queued := it.queued
 	it.queued = nil
 	for _, r := range queued {
-		e.world.reply(e, r, answerNotRun)
+		e.sim.reply(e, r, answerNotRun)
 	}
 }
--- a/pkg/lab/faults.go
+++ b/pkg/lab/faults.go
@@ -12,107 +12,107 @@
 	"martenwheel.dev/pkg/tree"
 )
 
-// Faults names a timetable of failures.
+// Faults names a schedule of faults.
 type Faults string
 
-// The timetables.
+// The schedules of faults.
 const (
-	FaultsNone        Faults = "none"
-	FaultsKill        Faults = "kill"         // engines and nodes die, machines are reclaimed
-	FaultsCut         Faults = "cut"          // a zone is cut from the others
-	FaultsFreeze      Faults = "freeze"       // processes pause and go on
-	FaultsStoreDown   Faults = "store-down"   // the table service and object store are down
-	FaultsWeightsSlow Faults = "weights-slow" // the weight store is slow
-	FaultsMixed       Faults = "mixed"        // all of these
-	FaultsStoreCopy   Faults = "store-copy"   // the table service comes back from a copy, which it promises not to do
+	FaultsNone          Faults = "none"
+	FaultsKill          Faults = "kill"         // engines and nodes die, machines are reclaimed
+	FaultsCut           Faults = "cut"          // a zone is cut off from the others
+	FaultsFreeze        Faults = "freeze"       // processes freeze and resume
+	FaultsStoreDown     Faults = "store-down"   // the table service and object store are unavailable
+	FaultsWeightsSlow   Faults = "weights-slow" // the weight store is slow
+	FaultsMixed         Faults = "mixed"        // all of the above
+	FaultsStoreRestored Faults = "store-copy"   // the table service is restored from a backup, which the platform guarantees not to do
 )
 
-// AllFaults returns the names of the timetables.
+// AllFaults returns the names of the schedules.
 func AllFaults() []Faults {
-	return []Faults{FaultsNone, FaultsKill, FaultsCut, FaultsFreeze, FaultsStoreDown, FaultsWeightsSlow, FaultsMixed, FaultsStoreCopy}
+	return []Faults{FaultsNone, FaultsKill, FaultsCut, FaultsFreeze, FaultsStoreDown, FaultsWeightsSlow, FaultsMixed, FaultsStoreRestored}
 }
 
-// How often failures come and how long they last.
+// Intervals, durations and rates of the faults.
 const (
-	killInterval     = 40 * time.Minute
-	nodeRestart      = 5 * time.Second
-	machineReplaced  = 3 * time.Minute
-	reclaimNotice    = 30 * time.Second
-	cutInterval      = 2 * time.Hour
-	cutLasts         = 90 * time.Second
-	freezeInterval   = 30 * time.Minute
-	freezeLasts      = 20 * time.Second
-	storeInterval    = 3 * time.Hour
-	storeDownLasts   = time.Hour
-	storeLosesFor    = 10 * time.Minute // before and after it is down
-	storeLoses       = 0.2
-	copyInterval     = time.Hour
-	copyAge          = 5 * time.Second
-	copyAway         = 2 * time.Second
-	editInterval     = 10 * time.Minute
-	weightsInterval  = 6 * time.Hour
-	weightsSlowLasts = time.Hour
-	weightsSlowdown  = 5.0
+	killInterval           = 40 * time.Minute
+	restartTime            = 5 * time.Second
+	machineReplacementTime = 3 * time.Minute
+	reclaimNotice          = 30 * time.Second
+	cutInterval            = 2 * time.Hour
+	cutDuration            = 90 * time.Second
+	freezeInterval         = 30 * time.Minute
+	freezeDuration         = 20 * time.Second
+	storeDownInterval      = 3 * time.Hour
+	storeDownDuration      = time.Hour
+	storeLossDuration      = 10 * time.Minute // answers get lost for this long before and after the outage
+	storeLossRate          = 0.2              // share of answers that get lost
+	restoreInterval        = time.Hour
+	backupAge              = 5 * time.Second // age of the backup when the table service goes down
+	restoreDowntime        = 2 * time.Second // downtime of the table service
+	editInterval           = 10 * time.Minute
+	weightsSlowInterval    = 6 * time.Hour
+	weightsSlowDuration    = time.Hour
+	weightsSlowdown        = 5.0
 )
 
-// scheduleFaults adds the failures of a timetable to the run. Moments are
-// drawn around the intervals, so that failures meet any state.
-func (w *world) scheduleFaults(faults Faults, random *rand.Rand) error {
+// scheduleFaults schedules the faults of a run. Times vary randomly around the intervals, so that
+// faults hit the system in any state.
+func (sim *simulation) scheduleFaults(faults Faults, random *rand.Rand) error {
 	if !slices.Contains(AllFaults(), faults) {
 		return errors.Errorf("unknown faults %q; known are %v", faults, AllFaults())
 	}
-	has := func(one Faults) bool { return faults == one || faults == FaultsMixed && one != FaultsStoreCopy }
-	if has(FaultsKill) {
-		w.repeat(random, killInterval, func() { w.killEngine(random) })
-		w.repeat(random, killInterval, func() { w.killNode(random) })
-		w.repeat(random, 2*killInterval, func() { w.reclaim(random) })
+	includes := func(kind Faults) bool { return faults == kind || faults == FaultsMixed && kind != FaultsStoreRestored }
+	if includes(FaultsKill) {
+		sim.repeat(random, killInterval, func() { sim.killEngine(random) })
+		sim.repeat(random, killInterval, func() { sim.killNode(random) })
+		sim.repeat(random, 2*killInterval, func() { sim.reclaim(random) })
 	}
-	if has(FaultsCut) {
-		w.repeat(random, cutInterval, func() { w.cutZone(random) })
+	if includes(FaultsCut) {
+		sim.repeat(random, cutInterval, func() { sim.cutZone(random) })
 	}
-	if has(FaultsFreeze) {
-		w.repeat(random, freezeInterval, func() { w.freezeNode(random) })
-		w.repeat(random, freezeInterval, func() { w.freezeEngine(random) })
+	if includes(FaultsFreeze) {
+		sim.repeat(random, freezeInterval, func() { sim.freezeNode(random) })
+		sim.repeat(random, freezeInterval, func() { sim.freezeEngine(random) })
 	}
-	if has(FaultsStoreDown) {
-		w.repeat(random, storeInterval, w.storeDown)
+	if includes(FaultsStoreDown) {
+		sim.repeat(random, storeDownInterval, sim.interruptStore)
 	}
-	if has(FaultsWeightsSlow) {
-		w.repeat(random, weightsInterval, w.slowWeights)
+	if includes(FaultsWeightsSlow) {
+		sim.repeat(random, weightsSlowInterval, sim.slowWeights)
 	}
-	if has(FaultsStoreCopy) {
-		w.repeat(random, copyInterval, w.loseStore)
+	if includes(FaultsStoreRestored) {
+		sim.repeat(random, restoreInterval, sim.restoreStore)
 	}
-	if distributed, ok := w.plane.(*distributedPlane); ok {
-		w.repeat(random, editInterval, func() { distributed.edit(random) })
+	if distributed, ok := sim.plane.(*distributedPlane); ok {
+		sim.repeat(random, editInterval, func() { distributed.edit(random) })
 	}
 	return nil
 }
 
-// count notes that a failure happened.
-func (w *world) count(kind Faults) { w.failures[kind]++ }
+// countFault counts a fault that was injected.
+func (sim *simulation) countFault(kind Faults) { sim.faultCounts[kind]++ }
 
-// hastened shortens a long failure as much as failures come more often.
-func (w *world) hastened(duration time.Duration) time.Duration {
-	return time.Duration(float64(duration) / w.scenario.FaultRate)
+// scaledDuration shortens a long fault by the factor by which faults are more frequent.
+func (sim *simulation) scaledDuration(duration time.Duration) time.Duration {
+	return time.Duration(float64(duration) / sim.scenario.FaultRate)
 }
 
-// repeat does something again and again, after 0.5 to 1.5 intervals.
-func (w *world) repeat(random *rand.Rand, interval time.Duration, do func()) {
-	wait := time.Duration((0.5 + random.Float64()) * float64(interval) / w.scenario.FaultRate)
-	w.clock.after(wait, func() {
-		if !w.ended {
+// repeat calls do repeatedly, after 0.5 to 1.5 intervals each.
+func (sim *simulation) repeat(random *rand.Rand, interval time.Duration, do func()) {
+	wait := time.Duration((0.5 + random.Float64()) * float64(interval) / sim.scenario.FaultRate)
+	sim.clock.after(wait, func() {
+		if !sim.ended {
 			do()
-			w.repeat(random, interval, do)
+			sim.repeat(random, interval, do)
 		}
 	})
 }
 
-// pickLive returns a random live engine, one in the middle of a load if there
-// is any; nil if all are dead.
-func (w *world) pickLive(random *rand.Rand) *emulatedEngine {
+// pickLive returns a random live engine, preferring engines that are loading or unloading a model;
+// nil if there is none.
+func (sim *simulation) pickLive(random *rand.Rand) *emulatedEngine {
 	var live, loading []*emulatedEngine
-	for _, e := range w.engines {
+	for _, e := range sim.engines {
 		if !e.alive || e.frozen {
 			continue
 		}
@@ -130,148 +130,148 @@
 	return live[random.IntN(len(live))]
 }
 
-// killEngine lets an engine process die; it starts again a little later.
-func (w *world) killEngine(random *rand.Rand) {
-	if e := w.pickLive(random); e != nil {
-		w.endEngine(e, nodeRestart, false)
+// killEngine kills an engine process, which restarts a little later.
+func (sim *simulation) killEngine(random *rand.Rand) {
+	if e := sim.pickLive(random); e != nil {
+		sim.crashEngine(e, restartTime, false)
 	}
 }
 
-// endEngine lets an engine die and come back.
-func (w *world) endEngine(e *emulatedEngine, back time.Duration, replaced bool) {
-	w.count(FaultsKill)
+// crashEngine crashes an engine and restarts it after a while, on a new machine if replaced.
+func (sim *simulation) crashEngine(e *emulatedEngine, downtime time.Duration, replaced bool) {
+	sim.countFault(FaultsKill)
 	e.crash()
 	e.gone = replaced
-	w.plane.engineChanged(e)
-	w.clock.after(back, func() {
+	sim.plane.engineChanged(e)
+	sim.clock.after(downtime, func() {
 		e.restart(replaced)
-		w.plane.engineChanged(e)
+		sim.plane.engineChanged(e)
 	})
 }
 
-// reclaim takes a machine away with a short notice; another replaces it.
-func (w *world) reclaim(random *rand.Rand) {
-	e := w.pickLive(random)
+// reclaim takes a machine away after a short notice; another machine replaces it.
+func (sim *simulation) reclaim(random *rand.Rand) {
+	e := sim.pickLive(random)
 	if e == nil {
 		return
 	}
-	e.leavingAt = w.clock.elapsed
+	e.leavingAt = sim.clock.elapsed
 	instance := e.instance
-	w.plane.engineChanged(e)
-	w.clock.after(reclaimNotice, func() {
+	sim.plane.engineChanged(e)
+	sim.clock.after(reclaimNotice, func() {
 		if e.alive && e.instance == instance {
-			w.endEngine(e, machineReplaced, true)
+			sim.crashEngine(e, machineReplacementTime, true)
 		}
 	})
 }
 
-// killNode lets a node die; it starts again a little later.
-func (w *world) killNode(random *rand.Rand) {
-	n := w.nodes[random.IntN(len(w.nodes))]
+// killNode kills a node, which restarts a little later.
+func (sim *simulation) killNode(random *rand.Rand) {
+	n := sim.nodes[random.IntN(len(sim.nodes))]
 	if !n.alive {
 		return
 	}
-	n.die()
-	w.clock.after(nodeRestart, n.restart)
+	n.kill()
+	sim.clock.after(restartTime, n.restart)
 }
 
-// cutZone cuts a zone from the others for a while.
-func (w *world) cutZone(random *rand.Rand) {
-	zone := random.IntN(len(w.network.cut))
-	w.network.cut[zone] = true
-	w.count(FaultsCut)
-	w.clock.after(cutLasts, func() {
-		w.network.cut[zone] = false
-		w.plane.healed()
+// cutZone cuts a zone off from the others for a while.
+func (sim *simulation) cutZone(random *rand.Rand) {
+	zone := random.IntN(len(sim.network.cut))
+	sim.network.cut[zone] = true
+	sim.countFault(FaultsCut)
+	sim.clock.after(cutDuration, func() {
+		sim.network.cut[zone] = false
+		sim.plane.zonesReconnected()
 	})
 }
 
-// freezeNode pauses a node for a while.
-func (w *world) freezeNode(random *rand.Rand) {
-	n := w.nodes[random.IntN(len(w.nodes))]
+// freezeNode freezes a node for a while.
+func (sim *simulation) freezeNode(random *rand.Rand) {
+	n := sim.nodes[random.IntN(len(sim.nodes))]
 	if !n.alive || n.frozen {
 		return
 	}
 	n.frozen = true
-	w.count(FaultsFreeze)
-	life := n.lives
-	w.clock.after(freezeLasts, func() {
-		if n.lives == life {
-			n.thaw()
+	sim.countFault(FaultsFreeze)
+	incarnation := n.incarnation
+	sim.clock.after(freezeDuration, func() {
+		if n.incarnation == incarnation {
+			n.resume()
 		}
 	})
 }
 
-// freezeEngine pauses an engine's answers for a while; what runs goes on.
-func (w *world) freezeEngine(random *rand.Rand) {
-	e := w.pickLive(random)
+// freezeEngine freezes an engine's answers for a while; running requests go on.
+func (sim *simulation) freezeEngine(random *rand.Rand) {
+	e := sim.pickLive(random)
 	if e == nil {
 		return
 	}
 	e.frozen = true
 	instance := e.instance
-	w.clock.after(freezeLasts, func() {
+	sim.clock.after(freezeDuration, func() {
 		if e.instance == instance && e.alive {
-			e.thaw()
+			e.resume()
 		}
 	})
 }
 
-// storeDown lets the platform's store lose answers, be down for long, and lose
-// answers again.
-func (w *world) storeDown() {
-	distributed, ok := w.plane.(*distributedPlane)
+// interruptStore makes the platform's store lose answers for a while, then be down, then lose answers
+// again.
+func (sim *simulation) interruptStore() {
+	distributed, ok := sim.plane.(*distributedPlane)
 	if !ok {
 		return
 	}
 	store := distributed.platform
-	store.loses = storeLoses
-	loses, down := w.hastened(storeLosesFor), w.hastened(storeDownLasts)
-	w.clock.after(loses, func() {
+	store.lossRate = storeLossRate
+	lossy, down := sim.scaledDuration(storeLossDuration), sim.scaledDuration(storeDownDuration)
+	sim.clock.after(lossy, func() {
 		store.down = true
-		w.count(FaultsStoreDown)
+		sim.countFault(FaultsStoreDown)
 	})
-	w.clock.after(loses+down, func() { store.down = false })
-	w.clock.after(2*loses+down, func() { store.loses = 0 })
+	sim.clock.after(lossy+down, func() { store.down = false })
+	sim.clock.after(2*lossy+down, func() { store.lossRate = 0 })
 }
 
-// loseStore lets the table service be away and come back as it was a while before.
-func (w *world) loseStore() {
-	distributed, ok := w.plane.(*distributedPlane)
+// restoreStore takes the table service down and restores it from a backup that is backupAge old by then.
+func (sim *simulation) restoreStore() {
+	distributed, ok := sim.plane.(*distributedPlane)
 	if !ok {
 		return
 	}
 	store := distributed.platform
 	records, applied := maps.Clone(store.records), maps.Clone(store.applied)
-	w.clock.after(copyAge, func() {
+	sim.clock.after(backupAge, func() {
 		store.down = true
-		w.count(FaultsStoreCopy)
+		sim.countFault(FaultsStoreRestored)
 	})
-	w.clock.after(copyAge+copyAway, func() { store.records, store.applied, store.down = records, applied, false })
+	sim.clock.after(backupAge+restoreDowntime, func() { store.records, store.applied, store.down = records, applied, false })
 }
 
-// edit lets an operator change a setting at a random node.
+// edit changes a setting at a random node, as an operator would.
 func (d *distributedPlane) edit(random *rand.Rand) {
-	w := d.world
+	sim := d.sim
 	author := d.processes[random.IntN(len(d.processes))]
 	if d.platform.down || !author.node.alive || author.node.frozen {
 		return
 	}
-	service := w.scenario.Services[random.IntN(len(w.scenario.Services))].Name
+	service := sim.scenario.Services[random.IntN(len(sim.scenario.Services))].Name
 	value := fmt.Sprint(float64(10+random.IntN(80)) / 100)
 	settings, err := d.platform.accept(tree.Change{
-		Author: string(author.node.id), At: w.clock.now(),
+		Author: string(author.node.id), At: sim.clock.now(),
 		Edits: []tree.Edit{{Path: tree.RootPath.Child(service), Key: "fair_share", Value: value}},
 	})
 	if err != nil {
-		panic(err) // the change is valid
+		panic(err) // can't happen: the change is valid
 	}
-	author.later(d.platform.delay(), func() { author.useTree(settings) })
+	author.schedule(d.platform.delay(), func() { author.applyTree(settings) })
 }
 
 // slowWeights slows the weight store down for a while.
-func (w *world) slowWeights() {
-	w.count(FaultsWeightsSlow)
-	w.store.setSlowdown(weightsSlowdown)
-	w.clock.after(w.hastened(weightsSlowLasts), func() { w.store.setSlowdown(1) })
+func (sim *simulation) slowWeights() {
+	sim.countFault(FaultsWeightsSlow)
+	sim.store.setSlowdown(weightsSlowdown)
+	sim.clock.after(sim.scaledDuration(weightsSlowDuration), func() { sim.store.setSlowdown(1) })
 }
--- a/pkg/lab/meter.go
+++ b/pkg/lab/meter.go
@@ -2,19 +2,18 @@
 
 import "time"
 
-// meter counts accelerator hours. A model that holds a share of an
-// accelerator's memory holds that share of an accelerator, so that models side
-// by side on one accelerator together count as one.
+// meter counts accelerator hours. A model that holds a share of an accelerator's memory counts as
+// that share of the accelerator, so that models side by side on one accelerator add up to one.
 type meter struct {
 	acceleratorBytes []float64 // by service
 	loaded           float64   // accelerator seconds
 	idle             float64
-	closed           bool // counts no more
+	closed           bool // no more hours are counted
 	idleByHour       []float64
 	loadedByHour     []float64
 }
 
-// newMeter returns a meter at zero.
+// newMeter returns a meter with all counts at zero.
 func newMeter(scenario *Scenario) *meter {
 	m := &meter{}
 	for _, service := range scenario.Services {
@@ -26,9 +25,9 @@
 	return m
 }
 
-// hold counts a model that was held from one moment to another, idle or not.
-// Idle is all time without a running request, also while loading or unloading.
-func (m *meter) hold(held *model, service int, from, to time.Duration, idle bool) {
+// record counts a model that was held from one time to another. Idle time is all time without a
+// running request, loading and unloading included.
+func (m *meter) record(held *model, service int, from, to time.Duration, idle bool) {
 	if m.closed {
 		return
 	}
--- a/pkg/lab/network.go
+++ b/pkg/lab/network.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// network carries messages between zones. A cut zone reaches no other.
+// network delivers messages between zones. A zone that is cut off reaches no other.
 type network struct {
 	clock  *clock
 	delays Delays
-	cut    []bool // by zone
+	cut    []bool // by zone index
 }
 
-// newNetwork returns a whole network.
+// newNetwork returns a network in which all zones are connected.
 func newNetwork(c *clock, scenario *Scenario) *network {
 	return &network{clock: c, delays: scenario.Delays, cut: make([]bool, len(scenario.Zones))}
 }
 
-// reaches tells whether messages pass between two zones.
+// reaches reports whether messages pass between two zones.
 func (n *network) reaches(from, to int) bool {
 	return from == to || !n.cut[from] && !n.cut[to]
 }
@@ -27,8 +27,8 @@
 	return n.delays.BetweenZones
 }
 
-// send delivers a message unless the zones are cut from each other when it is
-// sent or would arrive.
+// send delivers a message, unless the zones are cut off from each other when it is sent or when it
+// would arrive.
 func (n *network) send(from, to int, deliver func()) {
 	if !n.reaches(from, to) {
 		return
