--- a/pkg/lab/node.go
+++ b/pkg/lab/node.go
@@ -8,38 +8,38 @@
 	"martenwheel.dev/pkg/traffic/routing"
 )
 
-// node is one process of martenwheel beside callers: its router, and the ears
-// of the control plane. It knows replicas only by what the control plane told.
+// node is one martenwheel process: its router, and the receiver of the control plane's updates. It
+// knows replicas only from those updates.
 type node struct {
-	world   *world
-	index   int
-	id      api.NodeID
-	zone    int
-	alive   bool
-	frozen  bool
-	lives   int
-	backlog []func()        // what came while it was frozen
-	views   [][]replicaView // by model
-	queues  []*modelQueue   // by model
-	active  []int           // models with something to report, in order
-	ticking bool
-	runs    []*run // attempts under way
+	sim         *simulation
+	index       int
+	id          api.NodeID
+	zone        int
+	alive       bool
+	frozen      bool
+	incarnation int
+	deferred    []func()        // calls that arrived while the node was frozen
+	views       [][]replicaView // by model index
+	queues      []*modelQueue   // by model index
+	active      []int           // indexes of the models to report, sorted
+	ticking     bool
+	runs        []*run // attempts in progress
 
 	chooser    *routing.Chooser
-	candidates []routing.Candidate // scratch
-	servers    []*emulatedEngine   // of the candidates
+	candidates []routing.Candidate // reused buffer of pick
+	servers    []*emulatedEngine   // engines of the candidates
 }
 
-// replicaView is what a node knows of a replica.
+// replicaView is a node's view of a replica.
 type replicaView struct {
-	server  *emulatedEngine
-	state   api.ReplicaState
-	leaving bool
-	readyBy time.Duration // while loading
-	avoid   time.Duration // do not use before: an attempt failed
+	server     *emulatedEngine
+	state      api.ReplicaState
+	leaving    bool
+	readyBy    time.Duration // expected end of the load
+	avoidUntil time.Duration // not used before this time, after a failed attempt
 }
 
-// modelQueue is what a node has of one model.
+// modelQueue is a node's queue and counts for one model.
 type modelQueue struct {
 	waiting     []*request
 	inFlight    int
@@ -51,35 +51,35 @@
 // reportInterval is how often a node reports demand to the owner.
 const reportInterval = time.Second
 
-// handle lets the node do something: now, when it thaws, or never if it dies.
+// handle runs do now, after the node resumes if it is frozen, or not at all if it is dead.
 func (n *node) handle(do func()) {
 	switch {
 	case !n.alive:
 	case n.frozen:
-		n.backlog = append(n.backlog, do)
+		n.deferred = append(n.deferred, do)
 	default:
 		do()
 	}
 }
 
-// receive takes a request from a caller.
+// receive handles a request from a caller.
 func (n *node) receive(req *request) {
 	if !n.alive {
-		n.world.brokeOff(req, n)
+		n.sim.connectionLost(req, n)
 		return
 	}
-	life := n.lives
+	incarnation := n.incarnation
 	n.handle(func() {
 		queue := n.queue(req.model.index)
 		queue.arrivals++
-		queue.lastArrival = n.world.clock.elapsed
+		queue.lastArrival = n.sim.clock.elapsed
 		n.activate(req.model.index)
 		if req.claimed {
-			n.world.callerGets(req, refusalOf(req, answerUnknown))
+			n.sim.answerCaller(req, refusalOf(req, answerUnknown))
 			return
 		}
 		queue.waiting = append(queue.waiting, req)
-		n.world.clock.at(req.deadline, func() { n.handle(func() { n.expire(req, life) }) })
+		n.sim.clock.at(req.deadline, func() { n.handle(func() { n.expire(req, incarnation) }) })
 		first := len(queue.waiting) == 1
 		n.dispatch(req.model.index)
 		if first && len(queue.waiting) > 0 {
@@ -96,23 +96,23 @@
 	return n.queues[model]
 }
 
-// expire refuses a request that still waits at its deadline.
-func (n *node) expire(req *request, life int) {
-	if n.lives == life && n.leaveQueue(req) {
+// expire refuses a request that is still queued at its deadline.
+func (n *node) expire(req *request, incarnation int) {
+	if n.incarnation == incarnation && n.leaveQueue(req) {
 		n.refuse(req)
 	}
 }
 
-// refuse gives up a request that waits.
+// refuse answers a queued request with a refusal.
 func (n *node) refuse(req *request) {
 	kind := answerNotRun
 	if req.maybeRan {
 		kind = answerUnknown
 	}
-	n.world.callerGets(req, refusalOf(req, kind))
+	n.sim.answerCaller(req, refusalOf(req, kind))
 }
 
-// leaveQueue takes a request out of its queue; false if it is not there.
+// leaveQueue removes a request from its queue and reports whether it was there.
 func (n *node) leaveQueue(req *request) bool {
 	queue := n.queue(req.model.index)
 	i := slices.Index(queue.waiting, req)
@@ -123,14 +123,14 @@
 	return true
 }
 
-// dispatch gives the waiting requests of a model to its replicas, and refuses
-// at once those that cannot be served by their deadline.
+// dispatch sends the queued requests of a model to its replicas, and refuses at once those that
+// cannot be served by their deadline.
 func (n *node) dispatch(model int) {
 	queue := n.queue(model)
 	for len(queue.waiting) > 0 {
 		target := n.pick(model)
 		if target == nil {
-			n.refuseLate(model)
+			n.refuseTooLate(model)
 			return
 		}
 		req := queue.waiting[0]
@@ -139,24 +139,24 @@
 	}
 }
 
-// pick lets the product's routing choose a replica among those that the node
-// knows of; nil if none can take the request.
+// pick chooses a replica with the real routing code among those that the node knows; nil if none
+// can take a request.
 func (n *node) pick(model int) *emulatedEngine {
-	settings := &n.world.models[model].settings
+	settings := &n.sim.models[model].settings
 	n.candidates, n.servers = n.candidates[:0], n.servers[:0]
 	for _, view := range n.views[model] {
-		if view.avoid > n.world.clock.elapsed {
+		if view.avoidUntil > n.sim.clock.elapsed {
 			continue
 		}
 		n.servers = append(n.servers, view.server)
 		n.candidates = append(n.candidates, routing.Candidate{
-			Server: view.server.id, Zone: n.world.scenario.Zones[view.server.zone],
+			Server: view.server.id, Zone: n.sim.scenario.Zones[view.server.zone],
 			State: view.state, Leaving: view.leaving, Share: 1,
 			Usage: routing.Usage{Requests: n.inFlightOn(model, view.server), MaxRequests: settings.MaxConcurrency},
 		})
 	}
-	asked := routing.Request{Zone: n.world.scenario.Zones[n.zone]}
-	index, found := n.chooser.Choose(n.world.random, &asked, n.candidates)
+	routingRequest := routing.Request{Zone: n.sim.scenario.Zones[n.zone]}
+	index, found := n.chooser.Choose(n.sim.random, &routingRequest, n.candidates)
 	if !found {
 		return nil
 	}
@@ -174,9 +174,9 @@
 	return count
 }
 
-// refuseLate refuses the waiting requests of a model that is known to become
-// ready only after their deadline.
-func (n *node) refuseLate(model int) {
+// refuseTooLate refuses the queued requests whose deadline is before the earliest time at which a
+// loading replica is expected to be ready.
+func (n *node) refuseTooLate(model int) {
 	readyBy := time.Duration(-1)
 	for _, view := range n.views[model] {
 		if view.state != api.ReplicaLoading {
@@ -195,57 +195,56 @@
 	}
 }
 
-// attempt gives a request to an engine.
+// attempt sends a request to an engine.
 func (n *node) attempt(req *request, target *emulatedEngine) {
-	r := &run{request: req, send: req.sends, node: n, life: n.lives, server: target}
+	r := &run{request: req, sendNumber: req.sends, node: n, incarnation: n.incarnation, server: target}
 	req.attempts++
 	req.claimed = req.model.unsafe
 	n.runs = append(n.runs, r)
 	n.queue(req.model.index).inFlight++
 	n.activate(req.model.index)
-	if !n.world.network.reaches(n.zone, target.zone) {
-		n.world.clock.after(brokenConnection, func() { n.ended(r, answerNotRun) })
+	if !n.sim.network.reaches(n.zone, target.zone) {
+		n.sim.clock.after(connectionLossTimeout, func() { n.attemptEnded(r, answerNotRun) })
 		return
 	}
-	delay := n.world.network.delay(n.zone, target.zone)
-	n.world.clock.after(delay, func() {
+	delay := n.sim.network.delay(n.zone, target.zone)
+	n.sim.clock.after(delay, func() {
 		if !target.alive {
-			n.world.reply(target, r, answerNotRun)
+			n.sim.reply(target, r, answerNotRun)
 			return
 		}
 		target.handle(func() { target.submit(r) })
 	})
 }
 
-// avoidAfterFailure is how long a node leaves a replica alone that did not
-// take a request.
+// avoidAfterFailure is how long a node avoids a replica after a failed attempt.
 const avoidAfterFailure = time.Second
 
-// ended takes the end of an attempt.
-func (n *node) ended(r *run, kind answerKind) {
+// attemptEnded handles the end of an attempt.
+func (n *node) attemptEnded(r *run, kind answerKind) {
 	n.handle(func() {
 		i := slices.Index(n.runs, r)
-		if i < 0 || n.lives != r.life {
+		if i < 0 || n.incarnation != r.incarnation {
 			return
 		}
 		n.runs = slices.Delete(n.runs, i, i+1)
 		model := r.request.model.index
 		n.queue(model).inFlight--
-		n.settle(r, kind)
+		n.handleOutcome(r, kind)
 		n.dispatch(model)
 	})
 }
 
-// settle answers the caller, or lets the request wait again.
-func (n *node) settle(r *run, kind answerKind) {
+// handleOutcome answers the caller or queues the request again.
+func (n *node) handleOutcome(r *run, kind answerKind) {
 	req := r.request
 	req.maybeRan = req.maybeRan || kind == answerUnknown
 	switch {
 	case kind == answerServed:
-		n.world.callerGets(req, answer{answerServed, r.output})
+		n.sim.answerCaller(req, answer{answerServed, r.outputOf})
 	case kind == answerUnknown && req.model.unsafe:
-		n.world.callerGets(req, refusalOf(req, answerUnknown))
-	case n.world.clock.elapsed >= req.deadline:
+		n.sim.answerCaller(req, refusalOf(req, answerUnknown))
+	case n.sim.clock.elapsed >= req.deadline:
 		n.refuse(req)
 	default:
 		req.claimed = false
@@ -257,30 +256,31 @@
 	}
 }
 
-// avoid leaves a replica alone for a while.
+// avoid excludes a replica from dispatch for avoidAfterFailure.
 func (n *node) avoid(model int, server *emulatedEngine) {
 	for i := range n.views[model] {
 		if n.views[model][i].server == server {
-			n.views[model][i].avoid = n.world.clock.elapsed + avoidAfterFailure
+			n.views[model][i].avoidUntil = n.sim.clock.elapsed + avoidAfterFailure
 		}
 	}
-	life := n.lives
-	n.world.clock.after(avoidAfterFailure, func() {
+	incarnation := n.incarnation
+	n.sim.clock.after(avoidAfterFailure, func() {
 		n.handle(func() {
-			if n.lives == life {
+			if n.incarnation == incarnation {
 				n.dispatch(model)
 			}
 		})
 	})
 }
 
-// setReplicas takes the control plane's word on a model.
+// setReplicas applies the control plane's update on a model.
 func (n *node) setReplicas(model int, replicas []replicaView) {
 	n.views[model] = slices.Clone(replicas)
 	n.dispatch(model)
 }
 
-// activate has the node report on a model until nothing is left to report.
+// activate makes the node report on a model at the next tick. tick renews this while requests are
+// queued or in flight.
 func (n *node) activate(model int) {
 	queue := n.queue(model)
 	if !queue.active {
@@ -290,14 +290,14 @@
 	}
 	if !n.ticking {
 		n.ticking = true
-		life := n.lives
-		n.world.clock.after(reportInterval, func() { n.handle(func() { n.tick(life) }) })
+		incarnation := n.incarnation
+		n.sim.clock.after(reportInterval, func() { n.handle(func() { n.tick(incarnation) }) })
 	}
 }
 
-// tick reports the active models.
-func (n *node) tick(life int) {
-	if n.lives != life {
+// tick reports on the active models.
+func (n *node) tick(incarnation int) {
+	if n.incarnation != incarnation {
 		return
 	}
 	n.ticking = false
@@ -313,11 +313,11 @@
 	}
 }
 
-// report tells the owner about a model.
+// report sends the demand for a model to its owner.
 func (n *node) report(model int) {
 	queue := n.queue(model)
 	demand := api.ModelDemand{
-		Model:       n.world.models[model].name,
+		Model:       n.sim.models[model].name,
 		Arrivals:    queue.arrivals,
 		Waiting:     uint32(len(queue.waiting)),
 		InFlight:    uint32(queue.inFlight),
@@ -333,18 +333,18 @@
 			demand.EarliestDeadline = deadline
 		}
 	}
-	n.world.plane.report(n, model, demand)
+	n.sim.plane.report(n, model, demand)
 }
 
-// die ends the process with all that it had. Its callers see it at once.
-func (n *node) die() {
+// kill kills the process with all its state. Its callers notice at once.
+func (n *node) kill() {
 	n.alive, n.frozen = false, false
-	n.lives++
-	n.backlog, n.active, n.ticking = nil, nil, false
+	n.incarnation++
+	n.deferred, n.active, n.ticking = nil, nil, false
 	runs := n.runs
 	n.runs = nil
 	for _, r := range runs {
-		n.world.brokeOff(r.request, n)
+		n.sim.connectionLost(r.request, n)
 	}
 	for model, queue := range n.queues {
 		if queue == nil {
@@ -352,24 +352,24 @@
 		}
 		n.queues[model] = nil
 		for _, req := range queue.waiting {
-			n.world.brokeOff(req, n)
+			n.sim.connectionLost(req, n)
 		}
 	}
 }
 
-// restart starts the process anew; it knows nothing yet.
+// restart starts the process again, with no knowledge of replicas.
 func (n *node) restart() {
 	n.alive = true
-	n.views = make([][]replicaView, len(n.world.models))
-	n.world.plane.nodeStarted(n)
+	n.views = make([][]replicaView, len(n.sim.models))
+	n.sim.plane.nodeStarted(n)
 }
 
-// thaw lets it go on with what came meanwhile.
-func (n *node) thaw() {
+// resume resumes a frozen node and runs the deferred calls.
+func (n *node) resume() {
 	n.frozen = false
-	backlog := n.backlog
-	n.backlog = nil
-	for _, do := range backlog {
+	deferred := n.deferred
+	n.deferred = nil
+	for _, do := range deferred {
 		n.handle(do)
 	}
 }
--- a/pkg/lab/owner_orders.go
+++ b/pkg/lab/owner_orders.go
@@ -9,10 +9,10 @@
 	"martenwheel.dev/pkg/policy"
 )
 
-// decide asks the decider and carries out what it wishes.
+// decide runs the decider and carries out its actions.
 func (o *owner) decide() {
-	for _, action := range o.decider.Decide(o.world.clock.now(), o.input()) {
-		state := o.byModel[o.world.byName[action.Model].index]
+	for _, action := range o.decider.Decide(o.sim.clock.now(), o.input()) {
+		state := o.byModel[o.sim.byName[action.Model].index]
 		if action.Kind == policy.ActionLoad {
 			o.load(state, action)
 		} else {
@@ -21,13 +21,13 @@
 	}
 }
 
-// load orders a load, unless it would break the decided number of replicas.
+// load orders a load, unless that would exceed the maximum of replicas.
 func (o *owner) load(state *modelState, action policy.Action) {
 	m := state.model
 	if len(state.replicas) >= m.settings.MaxReplicas {
 		return
 	}
-	now := o.world.clock.now()
+	now := o.sim.clock.now()
 	state.replicas = append(state.replicas, policy.Replica{
 		Server: action.Server, State: api.ReplicaLoading, Since: now,
 		ReadyBy: now.Add(m.settings.LoadTime), Prewarmed: !action.Urgent,
@@ -47,10 +47,10 @@
 		return
 	}
 	replica.State = api.ReplicaDraining
-	replica.Since = o.world.clock.now()
+	replica.Since = o.sim.clock.now()
 	o.publish(state)
 	instance := o.servers[action.Server].instance
-	o.world.clock.after(drainBeforeOrder, func() {
+	o.sim.clock.after(drainDelay, func() {
 		replica := state.replica(action.Server)
 		if replica == nil || o.servers[action.Server].instance != instance {
 			return
@@ -74,26 +74,25 @@
 	return nil
 }
 
-// order sends a fenced order. An engine that refuses it does not hold the
-// model; one that cannot be reached is asked again until it answers or is gone.
+// order sends a fenced order. If the engine refuses a load, it does not hold the model. If the
+// engine is unreachable, the order is repeated until it is answered or the engine has restarted.
 func (o *owner) order(state *modelState, server api.ServerID, kind engine.OrderKind, urgent bool) {
 	e := o.servers[server]
-	o.orders++
+	o.orderCount++
 	o.fences[e]++
 	order := engine.Order{
-		ID: fmt.Sprintf("%d-%d", o.service, o.orders), Fence: api.MakeFence(1, o.fences[e]),
+		ID: fmt.Sprintf("%d-%d", o.service, o.orderCount), Fence: api.MakeFence(1, o.fences[e]),
 		Kind: kind, Model: state.model.name, MemoryBytes: state.model.holdBytes, Urgent: urgent,
 	}
 	o.send(state, e, e.instance, order)
 }
 
-// orderRetry is how long the owner waits before it repeats an order that got
-// no answer.
+// orderRetry is how long the owner waits before it repeats an unanswered order.
 const orderRetry = time.Second
 
-// send sends an order until it is answered or the engine is another instance.
+// send sends an order until it is answered, the engine has restarted or the replica is removed.
 func (o *owner) send(state *modelState, e *emulatedEngine, instance string, order engine.Order) {
-	c, network := o.world.clock, o.world.network
+	c, network := o.sim.clock, o.sim.network
 	answered := false
 	network.send(o.zone, e.zone, func() {
 		e.handle(func() {
@@ -103,7 +102,7 @@
 			result := e.order(order)
 			network.send(e.zone, o.zone, func() {
 				answered = true
-				o.takeResult(state, e, order, result)
+				o.handleResult(state, e, order, result)
 			})
 		})
 	})
@@ -114,16 +113,16 @@
 	})
 }
 
-// takeResult forgets a replica whose load an engine refused.
-func (o *owner) takeResult(state *modelState, e *emulatedEngine, order engine.Order, result engine.OrderResult) {
+// handleResult removes a replica whose load was refused by the engine.
+func (o *owner) handleResult(state *modelState, e *emulatedEngine, order engine.Order, result engine.OrderResult) {
 	if result.Status == engine.OrderAccepted || order.Kind == engine.OrderUnload || order.Kind == engine.OrderUnloadAdapter {
 		return
 	}
-	o.forget(state, e.id)
+	o.removeReplica(state, e.id)
 }
 
-// forget removes a replica.
-func (o *owner) forget(state *modelState, server api.ServerID) {
+// removeReplica removes a replica and publishes the change.
+func (o *owner) removeReplica(state *modelState, server api.ServerID) {
 	for i := range state.replicas {
 		if state.replicas[i].Server == server {
 			state.replicas = append(state.replicas[:i:i], state.replicas[i+1:]...)
@@ -131,16 +130,16 @@
 		}
 	}
 	o.publish(state)
-	o.soon()
+	o.scheduleDecision()
 }
 
-// notice takes a change of an item over, once the engine can be reached.
-func (o *owner) notice(e *emulatedEngine, instance string, m *model) {
+// itemChanged updates the owner's view of an item that changed, once the engine is reachable.
+func (o *owner) itemChanged(e *emulatedEngine, instance string, m *model) {
 	if e.instance != instance || !e.alive {
 		return
 	}
-	if e.frozen || !o.world.network.reaches(o.zone, e.zone) {
-		o.world.clock.after(orderRetry, func() { o.notice(e, instance, m) })
+	if e.frozen || !o.sim.network.reaches(o.zone, e.zone) {
+		o.sim.clock.after(orderRetry, func() { o.itemChanged(e, instance, m) })
 		return
 	}
 	state := o.byModel[m.index]
@@ -150,34 +149,34 @@
 	}
 	it := e.items[m.index]
 	if it == nil {
-		o.forget(state, e.id)
+		o.removeReplica(state, e.id)
 		return
 	}
 	if it.state == engine.ItemReady && replica.State == api.ReplicaLoading {
 		replica.State = api.ReplicaReady
-		replica.Since = o.world.clock.now()
+		replica.Since = o.sim.clock.now()
 		replica.ReadyBy = time.Time{}
 		o.publish(state)
-		o.soon()
+		o.scheduleDecision()
 	}
 }
 
-// takeServer takes over the state of a live engine.
-func (o *owner) takeServer(position int, e *emulatedEngine) {
-	o.believed[position].leaving = e.leavingAt >= 0
+// refreshServer updates the owner's view of a live engine.
+func (o *owner) refreshServer(position int, e *emulatedEngine) {
+	o.serverViews[position].leaving = e.leavingAt >= 0
 	if e.leavingAt < 0 {
 		o.fences[e] = 0
 		for _, state := range o.states {
 			if state.replica(e.id) != nil && e.items[state.model.index] == nil {
-				o.forget(state, e.id)
+				o.removeReplica(state, e.id)
 			}
 		}
 	}
 	o.publishServer(e)
-	o.soon()
+	o.scheduleDecision()
 }
 
-// publishServer tells the nodes about the models on a server.
+// publishServer publishes all models that have a replica on a server.
 func (o *owner) publishServer(e *emulatedEngine) {
 	for _, state := range o.states {
 		if state.replica(e.id) != nil {
--- a/pkg/lab/platform.go
+++ b/pkg/lab/platform.go
@@ -11,43 +11,43 @@
 	"martenwheel.dev/pkg/tree"
 )
 
-// emulatedPlatform is the table service, the store of settings and the lagging
-// list of machines, as far as the control plane uses them.
+// emulatedPlatform emulates the table service, the store of settings and the lagging list of
+// machines, as far as the control plane uses them.
 type emulatedPlatform struct {
-	world    *world
+	sim      *simulation
 	random   *rand.Rand
 	records  map[string]platform.Record
-	applied  map[string]bool // tokens of transactions
-	trees    []*tree.Tree    // accepted revisions
+	applied  map[string]bool // tokens of applied transactions
+	trees    []*tree.Tree    // accepted revisions, oldest first
 	listings []platform.MachineList
 	down     bool
-	loses    float64 // share of answers that are lost after their effect
+	lossRate float64 // share of answers that get lost after the call took effect
 }
 
-// Delays of the platform, one way.
+// One-way delays of the platform.
 const (
-	platformDelayShortest = 5 * time.Millisecond
-	platformDelaySpread   = 10 * time.Millisecond
+	platformMinDelay    = 5 * time.Millisecond
+	platformDelaySpread = 10 * time.Millisecond
 )
 
-// newEmulatedPlatform returns a platform that holds one revision of the tree.
-func newEmulatedPlatform(w *world, settings *tree.Tree) *emulatedPlatform {
+// newEmulatedPlatform returns a platform with one revision of the tree.
+func newEmulatedPlatform(sim *simulation, settings *tree.Tree) *emulatedPlatform {
 	p := &emulatedPlatform{
-		world: w, random: w.random, trees: []*tree.Tree{settings},
+		sim: sim, random: sim.random, trees: []*tree.Tree{settings},
 		records: make(map[string]platform.Record), applied: make(map[string]bool),
 	}
-	p.listMachines()
+	p.recordMachines()
 	return p
 }
 
-// delay returns a one-way delay.
+// delay returns a random one-way delay.
 func (p *emulatedPlatform) delay() time.Duration {
-	return platformDelayShortest + time.Duration(p.random.Int64N(int64(platformDelaySpread)))
+	return platformMinDelay + time.Duration(p.random.Int64N(int64(platformDelaySpread)))
 }
 
-// losesAnswer tells whether an answer gets lost.
-func (p *emulatedPlatform) losesAnswer() bool {
-	return p.loses > 0 && p.random.Float64() < p.loses
+// dropsAnswer decides at random whether an answer gets lost.
+func (p *emulatedPlatform) dropsAnswer() bool {
+	return p.lossRate > 0 && p.random.Float64() < p.lossRate
 }
 
 // get reads a record.
@@ -59,7 +59,7 @@
 	return record, nil
 }
 
-// commit applies a transaction once, whole or not at all.
+// commit applies a transaction atomically, and at most once per token.
 func (p *emulatedPlatform) commit(transaction platform.Transaction) error {
 	if p.applied[transaction.Token] {
 		return nil
@@ -81,12 +81,12 @@
 	return nil
 }
 
-// newestTree returns the newest accepted tree, false while the store is down.
+// newestTree returns the newest accepted tree, and false while the store is down.
 func (p *emulatedPlatform) newestTree() (*tree.Tree, bool) {
 	return p.trees[len(p.trees)-1], !p.down
 }
 
-// accept accepts a change of the settings.
+// accept applies a change of the settings as the next revision.
 func (p *emulatedPlatform) accept(change tree.Change) (*tree.Tree, error) {
 	newest := p.trees[len(p.trees)-1]
 	change.ID = fmt.Sprintf("change-%d", len(p.trees))
@@ -100,23 +100,23 @@
 	return changed, nil
 }
 
-// listMachines notes the present truth in the history of the list.
-func (p *emulatedPlatform) listMachines() {
-	w := p.world
-	list := platform.MachineList{Version: uint64(len(p.listings) + 1), AsOf: w.clock.now()}
-	for _, e := range w.engines {
+// recordMachines appends the actual state of the machines to the history of the list.
+func (p *emulatedPlatform) recordMachines() {
+	sim := p.sim
+	list := platform.MachineList{Version: uint64(len(p.listings) + 1), AsOf: sim.clock.now()}
+	for _, e := range sim.engines {
 		list.Machines = append(list.Machines, platform.Machine{
-			ID: string(e.id), Address: e.address, Service: w.scenario.Services[e.service].Name,
-			Zone: w.scenario.Zones[e.zone], Region: w.scenario.Region, State: e.machineState(),
-			MemoryBytes: e.capacity, Instance: fmt.Sprintf("%s-%d", e.id, e.machines),
+			ID: string(e.id), Address: e.address, Service: sim.scenario.Services[e.service].Name,
+			Zone: sim.scenario.Zones[e.zone], Region: sim.scenario.Region, State: e.machineState(),
+			MemoryBytes: e.capacity, Instance: fmt.Sprintf("%s-%d", e.id, e.machineCount),
 		})
 	}
 	p.listings = append(p.listings, list)
 }
 
-// laggingList returns the list as it was a while ago.
+// laggingList returns the list of machines as it was MachineListLag ago.
 func (p *emulatedPlatform) laggingList() platform.MachineList {
-	asOf := p.world.clock.now().Add(-p.world.scenario.Delays.MachineListLag)
+	asOf := p.sim.clock.now().Add(-p.sim.scenario.Delays.MachineListLag)
 	chosen := p.listings[0]
 	for _, list := range p.listings {
 		if list.AsOf.After(asOf) {
--- a/pkg/lab/plots.go
+++ b/pkg/lab/plots.go
@@ -21,15 +21,14 @@
 	plotHeight = 3.2 * vg.Inch
 )
 
-// measuredRun is a run as the plots show it.
+// measuredRun is a run in the plots and tables of a report.
 type measuredRun struct {
 	Label  string
 	Result *Result
 	Series *Series
 }
 
-// coldStartPlot shows the share of wakes that waited at least so long; the
-// logarithmic axis shows the tail.
+// coldStartPlot plots the cold-start time over the percentile of the wakes.
 func coldStartPlot(runs []measuredRun) (template.HTML, error) {
 	p := newPlot("Cold-start time", "percentile of the wakes", "seconds")
 	for i, run := range runs {
@@ -48,7 +47,7 @@
 	return render(p)
 }
 
-// idlePlot shows the idle accelerator hours of each hour of the run.
+// idlePlot plots the idle accelerator hours in each hour of the run.
 func idlePlot(runs []measuredRun) (template.HTML, error) {
 	p := newPlot("Idle accelerator hours over the day", "hour", "accelerator hours")
 	for i, run := range runs {
@@ -64,7 +63,7 @@
 	return render(p)
 }
 
-// frontierPlot shows the two measures of each run against each other.
+// frontierPlot plots cold-start time against idle hours, with a point for each run.
 func frontierPlot(runs []measuredRun) (template.HTML, error) {
 	p := newPlot("Frontier: lower left is better", "idle accelerator hours", "cold-start p99, seconds")
 	for i, run := range runs {
@@ -92,24 +91,24 @@
 	return render(p)
 }
 
-// newPlot returns an empty plot with its texts.
-func newPlot(title, x, y string) *plot.Plot {
+// newPlot returns an empty plot with title, axis labels and legend.
+func newPlot(title, xLabel, yLabel string) *plot.Plot {
 	p := plot.New()
 	p.Title.Text = title
-	p.X.Label.Text = x
-	p.Y.Label.Text = y
+	p.X.Label.Text = xLabel
+	p.Y.Label.Text = yLabel
 	p.Legend.Top = true
 	return p
 }
 
-// addLine adds the labelled line of a run.
+// addLine adds the line of a run, with its label in the legend.
 func addLine(p *plot.Plot, number int, label string, points plotter.XYs) error {
 	p.Legend.Left = true
 	style := draw.LineStyle{Color: plotutil.Color(number), Width: vg.Points(1.5)}
 	return addStyled(p, label, points, style)
 }
 
-// addBound adds a dashed grey line.
+// addBound adds a bound as a dashed grey line.
 func addBound(p *plot.Plot, label string, points plotter.XYs) error {
 	style := plotter.DefaultLineStyle
 	style.Color = color.Gray{Y: 120}
@@ -128,7 +127,7 @@
 	return nil
 }
 
-// render draws a plot as an SVG element that needs nothing from a network.
+// render returns a plot as an SVG element without external resources.
 func render(p *plot.Plot) (template.HTML, error) {
 	canvas := vgsvg.New(plotWidth, plotHeight)
 	p.Draw(draw.New(canvas))
--- a/pkg/lab/report.go
+++ b/pkg/lab/report.go
@@ -12,7 +12,7 @@
 	"github.com/pkg/errors"
 )
 
-// reportTemplate is the page of a report. It loads nothing.
+// reportTemplate is the HTML page of a report. It loads no external resources.
 var reportTemplate = template.Must(template.New("report").Parse(`<!doctype html>
 <html lang="en">
 <meta charset="utf-8">
@@ -37,7 +37,7 @@
 {{end}}</html>
 `))
 
-// reportPage is what the template shows.
+// reportPage is the data of reportTemplate.
 type reportPage struct {
 	Title string
 	Runs  []measuredRun
@@ -54,8 +54,7 @@
 	return writePage(filepath.Join(directory, reportFile), title, runs)
 }
 
-// WriteComparison writes report.html about the runs of several directories
-// into another directory.
+// WriteComparison writes report.html on the runs of several directories into another directory.
 func WriteComparison(directory string, directories []string) error {
 	runs, err := readRuns(directories)
 	if err != nil {
@@ -92,8 +91,7 @@
 	return summarize(out, runs)
 }
 
-// summarize prints the median and the spread of the runs that differ only in
-// their seed.
+// summarize prints the median and range over runs that differ only in their seed.
 func summarize(out io.Writer, runs []measuredRun) error {
 	var names []string
 	groups := make(map[string][]*Result)
@@ -136,11 +134,11 @@
 	return runs, nil
 }
 
-// writePage writes a page about runs.
+// writePage writes the HTML page on runs.
 func writePage(path, title string, runs []measuredRun) error {
 	page := reportPage{Title: title, Runs: runs}
-	for _, make := range []func([]measuredRun) (template.HTML, error){coldStartPlot, idlePlot, frontierPlot} {
-		plot, err := make(runs)
+	for _, draw := range []func([]measuredRun) (template.HTML, error){coldStartPlot, idlePlot, frontierPlot} {
+		plot, err := draw(runs)
 		if err != nil {
 			return err
 		}
--- a/pkg/lab/request.go
+++ b/pkg/lab/request.go
@@ -2,116 +2,117 @@
 
 import "time"
 
-// request is one request of a caller on its way through the system.
+// request is the state of a caller's request.
 type request struct {
 	arrival
-	number    int
-	model     *model
-	priority  int
-	deadline  time.Duration
-	sends     int           // times that the caller sent it
-	attempts  int           // times that a node gave it to an engine
-	ran       []bool        // for each send, whether an engine ran it
-	maybeRan  bool          // as far as the node knows, since the last send
-	startedAt time.Duration // of its first run; -1 before
-	firstAt   time.Duration // its first token reached the caller; -1 before
-	answered  bool          // the caller got its final answer
-	claimed   bool          // an unsafe request that may have been given to an engine
+	number       int
+	model        *model
+	priority     int
+	deadline     time.Duration
+	sends        int           // times that the caller sent it
+	attempts     int           // times that a node sent it to an engine
+	ranPerSend   []bool        // for each send, whether an engine ran it
+	maybeRan     bool          // an attempt since the last send ended with its outcome unknown
+	startedAt    time.Duration // when it first ran; -1 before
+	firstTokenAt time.Duration // when its first token reached the caller; -1 before
+	answered     bool          // the caller got the final answer
+	claimed      bool          // an unsafe request that may have reached an engine
 }
 
-// answerKind is how an attempt, or the whole request, ended.
+// answerKind tells how an attempt, or the whole request, ended.
 type answerKind uint8
 
-// The kinds of answers.
+// Kinds of answers.
 const (
 	answerServed  answerKind = iota + 1
 	answerNotRun             // refused; no engine ran it
 	answerUnknown            // refused; an engine may have run it
 )
 
-// patience is how long after the deadline a caller still waits for a final
-// answer. A request without one by then is lost.
-const patience = 2 * time.Minute
+// answerGrace is how long after the deadline a caller waits for a final answer. A request without an
+// answer by then is lost.
+const answerGrace = 2 * time.Minute
 
-// sendsAtMost is how often a caller sends a request whose node broke off.
-const sendsAtMost = 3
+// maxSends is how often a caller sends a request if its node dies.
+const maxSends = 3
 
-// resendAfter is how long a caller waits before it sends a request again.
-const resendAfter = 200 * time.Millisecond
+// resendDelay is how long a caller waits before it sends a request again.
+const resendDelay = 200 * time.Millisecond
 
-// arrive lets a caller send a request of the trace.
-func (w *world) arrive(number int) {
-	a := w.trace.arrivals[number]
-	m := w.models[a.model]
+// arrive sends a request of the trace.
+func (sim *simulation) arrive(number int) {
+	a := sim.trace.arrivals[number]
+	m := sim.models[a.model]
 	req := &request{
 		arrival: a, number: number, model: m, priority: m.settings.Priority,
-		deadline: a.at + m.settings.Deadline, startedAt: -1, firstAt: -1,
+		deadline: a.at + m.settings.Deadline, startedAt: -1, firstTokenAt: -1,
 	}
-	w.judge.sent(req)
-	w.clock.at(req.deadline+patience, func() { w.judge.giveUp(req) })
-	w.send(req, w.nodes[a.node])
+	sim.checker.sent(req)
+	sim.clock.at(req.deadline+answerGrace, func() { sim.checker.timeOut(req) })
+	sim.send(req, sim.nodes[a.node])
 }
 
-// send sends a request to a node, or to the next one that lives.
-func (w *world) send(req *request, n *node) {
+// send sends a request to a node, or to the next live node.
+func (sim *simulation) send(req *request, n *node) {
 	req.sends++
-	req.ran = append(req.ran, false)
+	req.ranPerSend = append(req.ranPerSend, false)
 	req.maybeRan = false
-	for i := range w.nodes {
-		candidate := w.nodes[(n.index+i)%len(w.nodes)]
+	for i := range sim.nodes {
+		candidate := sim.nodes[(n.index+i)%len(sim.nodes)]
 		if candidate.alive {
-			w.clock.after(w.scenario.Delays.ToClients, func() { candidate.receive(req) })
+			sim.clock.after(sim.scenario.Delays.ToClients, func() { candidate.receive(req) })
 			return
 		}
 	}
-	w.callerGets(req, refusalOf(req, answerNotRun))
+	sim.answerCaller(req, refusalOf(req, answerNotRun))
 }
 
-// brokeOff tells the caller that its node died; it sends the request again.
-func (w *world) brokeOff(req *request, n *node) {
+// connectionLost handles the loss of a caller's connection to a node that died: the caller sends
+// the request again, up to maxSends times in total.
+func (sim *simulation) connectionLost(req *request, n *node) {
 	if req.answered {
 		return
 	}
-	if req.sends >= sendsAtMost {
-		w.callerGets(req, refusalOf(req, answerUnknown))
+	if req.sends >= maxSends {
+		sim.answerCaller(req, refusalOf(req, answerUnknown))
 		return
 	}
-	w.clock.after(resendAfter, func() { w.send(req, w.nodes[(n.index+1)%len(w.nodes)]) })
+	sim.clock.after(resendDelay, func() { sim.send(req, sim.nodes[(n.index+1)%len(sim.nodes)]) })
 }
 
-// answer is what a caller gets in the end. A served answer carries the number
-// of the request that the engine ran.
+// answer is the final answer to a caller. A served answer carries the number of the request that
+// the engine ran.
 type answer struct {
 	kind   answerKind
 	number int
 }
 
-// refusalOf returns the answer to a request that is given up.
+// refusalOf returns a refusal of a request.
 func refusalOf(req *request, kind answerKind) answer { return answer{kind, req.number} }
 
-// callerGets brings a final answer to the caller.
-func (w *world) callerGets(req *request, final answer) {
-	w.clock.after(w.scenario.Delays.ToClients, func() { w.judge.answered(req, final) })
+// answerCaller delivers a final answer to the caller.
+func (sim *simulation) answerCaller(req *request, final answer) {
+	sim.clock.after(sim.scenario.Delays.ToClients, func() { sim.checker.answered(req, final) })
 }
 
-// firstToken brings the first token of a run to the caller.
-func (w *world) firstToken(e *emulatedEngine, r *run) {
-	delay := w.network.delay(e.zone, w.nodes[r.request.node].zone) + w.scenario.Delays.ToClients
-	if r.request.firstAt < 0 {
-		r.request.firstAt = w.clock.elapsed + delay
+// firstToken records when the first token of a run reaches the caller.
+func (sim *simulation) firstToken(e *emulatedEngine, r *run) {
+	delay := sim.network.delay(e.zone, sim.nodes[r.request.node].zone) + sim.scenario.Delays.ToClients
+	if r.request.firstTokenAt < 0 {
+		r.request.firstTokenAt = sim.clock.elapsed + delay
 	}
 }
 
-// brokenConnection is how long a node takes to notice that an answer will not
-// come because the zones are cut from each other.
-const brokenConnection = 5 * time.Second
+// connectionLossTimeout is how long a node takes to notice that its connection to an engine is dead
+// because the zones are cut off from each other.
+const connectionLossTimeout = 5 * time.Second
 
-// reply brings the end of an attempt to the node that made it.
-func (w *world) reply(e *emulatedEngine, r *run, kind answerKind) {
+// reply delivers the end of an attempt to the node that made it.
+func (sim *simulation) reply(e *emulatedEngine, r *run, kind answerKind) {
 	n := r.node
-	if !w.network.reaches(e.zone, n.zone) {
-		w.clock.after(brokenConnection, func() { n.ended(r, answerUnknown) })
+	if !sim.network.reaches(e.zone, n.zone) {
+		sim.clock.after(connectionLossTimeout, func() { n.attemptEnded(r, answerUnknown) })
 		return
 	}
-	w.clock.after(w.network.delay(e.zone, n.zone), func() { n.ended(r, kind) })
+	sim.clock.after(sim.network.delay(e.zone, n.zone), func() { n.attemptEnded(r, kind) })
 }
--- a/pkg/lab/result.go
+++ b/pkg/lab/result.go
@@ -14,12 +14,12 @@
 	"github.com/pkg/errors"
 )
 
-// Result is what a run measured; it is written as result.json.
+// Result holds what a run measured; it is written as result.json.
 type Result struct {
 	Scenario          string      `json:"scenario"`
 	Seed              uint64      `json:"seed"`
 	Policy            string      `json:"policy"`
-	Partial           bool        `json:"partial,omitempty"` // the run was broken off
+	Partial           bool        `json:"partial,omitempty"` // the run was interrupted
 	Requests          Requests    `json:"requests"`
 	ColdStartSeconds  ColdStart   `json:"cold_start_seconds"`
 	FirstTokenSeconds Percentiles `json:"first_token_seconds"`
@@ -30,8 +30,8 @@
 	Bounds            Bounds      `json:"bounds"`
 }
 
-// Requests counts the callers' requests by their end. Lost ones got no answer,
-// duplicated ones more than one, mixed ones another request's.
+// Requests counts the callers' requests by outcome. Lost requests got no answer, duplicated ones
+// more than one, and mixed ones the answer of another request.
 type Requests struct {
 	Sent       int `json:"sent"`
 	Served     int `json:"served"`
@@ -41,8 +41,8 @@
 	Mixed      int `json:"mixed"`
 }
 
-// ColdStart is the distribution over wakes of how long the slowest of the
-// first requests waited until it ran.
+// ColdStart is the distribution of cold-start times. The cold-start time of a wake is how long the
+// slowest of its first requests waited until it ran.
 type ColdStart struct {
 	P50   float64 `json:"p50"`
 	P95   float64 `json:"p95"`
@@ -59,14 +59,14 @@
 	P99 float64 `json:"p99"`
 }
 
-// Violations counts how often something happened that never must.
+// Violations counts events that must never happen.
 type Violations struct {
-	Replicas    int `json:"replicas"`     // more replicas than decided
-	Memory      int `json:"memory"`       // an order that would overcommit an engine
-	AtMostOnce  int `json:"at_most_once"` // an unsafe request ran again
-	NotRun      int `json:"not_run"`      // a refusal said "not run" of one that ran
-	Leaving     int `json:"leaving"`      // new work for an engine long after its notice
-	TreeReverts int `json:"tree_reverts"` // a node's settings went back
+	Replicas    int `json:"replicas"`     // more replicas than allowed
+	Memory      int `json:"memory"`       // an order that would overcommit an engine's memory
+	AtMostOnce  int `json:"at_most_once"` // an unsafe request that ran again
+	NotRun      int `json:"not_run"`      // a refusal as not run, of a request that ran
+	Leaving     int `json:"leaving"`      // a new request to an engine long after its leaving notice
+	TreeReverts int `json:"tree_reverts"` // a node went back to an older revision of its settings
 }
 
 // Sum returns the number of all violations.
@@ -74,14 +74,13 @@
 	return v.Replicas + v.Memory + v.AtMostOnce + v.NotRun + v.Leaving + v.TreeReverts
 }
 
-// Bounds are what no policy is expected to beat; see bounds.go.
+// Bounds are reference values that no policy is expected to beat; bounds.go explains them.
 type Bounds struct {
 	ColdStartP99LoadOnly float64 `json:"cold_start_p99_load_only"`
 	IdleHoursClairvoyant float64 `json:"idle_hours_clairvoyant"`
 }
 
-// Series holds what the report plots beside the result; it is written as
-// series.json.
+// Series holds the additional data that the report plots; it is written as series.json.
 type Series struct {
 	ColdStarts   []Quantile `json:"cold_start_quantiles"`
 	IdleByHour   []float64  `json:"idle_accelerator_hours_by_hour"`
@@ -106,50 +105,50 @@
 	for _, d := range durations {
 		micros := min(max(d.Microseconds(), 1), histogramMicroseconds)
 		if err := histogram.RecordValue(micros); err != nil {
-			panic(err) // the value is within the range
+			panic(err) // can't happen: the value is within the range
 		}
 	}
 	return histogram
 }
 
-// secondsAt returns a percentile of a histogram in seconds.
+// secondsAt returns a percentile of a histogram, in seconds.
 func secondsAt(histogram *hdrhistogram.Histogram, percentile float64) float64 {
 	return round(float64(histogram.ValueAtPercentile(percentile)) / 1e6)
 }
 
-// round rounds to microunits, so that figures read well.
+// round rounds to 6 decimals, so that the results stay readable.
 func round(value float64) float64 { return math.Round(value*1e6) / 1e6 }
 
-// coldStarts returns the slowest first request of each wake that had one.
-func (w *world) coldStarts() []time.Duration {
+// coldStarts returns the waiting time of the slowest first request of each wake.
+func (sim *simulation) coldStarts() []time.Duration {
 	var slowest []time.Duration
-	for i := range w.judge.wakes {
-		if w.judge.wakes[i].requests > 0 {
-			slowest = append(slowest, w.judge.wakes[i].slowest)
+	for i := range sim.checker.wakes {
+		if sim.checker.wakes[i].requests > 0 {
+			slowest = append(slowest, sim.checker.wakes[i].slowest)
 		}
 	}
 	return slowest
 }
 
-// result sums up a run.
-func (w *world) result(options Options, complete bool) (*Result, *Series) {
-	cold := newHistogram(w.coldStarts())
-	first := newHistogram(w.judge.firstToken)
+// result returns the results of a run.
+func (sim *simulation) result(options Options, complete bool) (*Result, *Series) {
+	cold := newHistogram(sim.coldStarts())
+	first := newHistogram(sim.checker.firstToken)
 	result := &Result{
-		Scenario: w.scenario.Name, Seed: options.Seed, Policy: options.Policy, Partial: !complete,
-		Requests: w.judge.requests,
+		Scenario: sim.scenario.Name, Seed: options.Seed, Policy: options.Policy, Partial: !complete,
+		Requests: sim.checker.requests,
 		ColdStartSeconds: ColdStart{
 			P50: secondsAt(cold, 50), P95: secondsAt(cold, 95), P99: secondsAt(cold, 99),
 			P999: secondsAt(cold, 99.9), Max: secondsAt(cold, 100), Count: int(cold.TotalCount()),
 		},
 		FirstTokenSeconds: Percentiles{secondsAt(first, 50), secondsAt(first, 95), secondsAt(first, 99)},
-		IdleHours:         round(w.meter.idle / time.Hour.Seconds()),
-		LoadedHours:       round(w.meter.loaded / time.Hour.Seconds()),
-		Loads:             w.judge.loads,
-		Violations:        w.judge.violations,
-		Bounds:            w.bounds(),
+		IdleHours:         round(sim.meter.idle / time.Hour.Seconds()),
+		LoadedHours:       round(sim.meter.loaded / time.Hour.Seconds()),
+		Loads:             sim.checker.loads,
+		Violations:        sim.checker.violations,
+		Bounds:            sim.bounds(),
 	}
-	series := &Series{IdleByHour: hours(w.meter.idleByHour), LoadedByHour: hours(w.meter.loadedByHour)}
+	series := &Series{IdleByHour: hours(sim.meter.idleByHour), LoadedByHour: hours(sim.meter.loadedByHour)}
 	for _, share := range []float64{0, 10, 20, 30, 40, 50, 60, 70, 80, 85, 90, 92, 94, 95, 96, 97, 98, 99, 99.5, 99.9, 100} {
 		series.ColdStarts = append(series.ColdStarts, Quantile{share, secondsAt(cold, share)})
 	}
@@ -172,7 +171,7 @@
 	reportFile = "report.html"
 )
 
-// Write writes a run's files into a directory, which it makes if needed.
+// Write writes the files of a run into a directory and creates the directory if needed.
 func Write(directory string, result *Result, series *Series) error {
 	if err := os.MkdirAll(directory, 0o755); err != nil {
 		return errors.Wrap(err, "make the result directory")
@@ -192,7 +191,7 @@
 	return errors.Wrap(os.WriteFile(path, append(data, '\n'), 0o644), "write results")
 }
 
-// Read reads a run's files from a directory.
+// Read reads the files of a run from a directory.
 func Read(directory string) (*Result, *Series, error) {
 	var result Result
 	if err := readJSON(filepath.Join(directory, resultFile), &result); err != nil {
@@ -214,7 +213,7 @@
 	return errors.Wrap(json.Unmarshal(data, value), path)
 }
 
-// Summary is the median and the spread of several runs.
+// Summary is the median and range over several runs.
 type Summary struct {
 	Median, Lowest, Highest float64
 }
@@ -224,7 +223,7 @@
 	return fmt.Sprintf("%.2f (%.2f to %.2f)", s.Median, s.Lowest, s.Highest)
 }
 
-// Summarize returns the summary of a field over several results.
+// Summarize returns the median and range of a field over several results.
 func Summarize(results []*Result, field func(*Result) float64) Summary {
 	values := make([]float64, 0, len(results))
 	for _, result := range results {
--- a/pkg/lab/run_test.go
+++ b/pkg/lab/run_test.go
@@ -28,15 +28,16 @@
 	return result, series
 }
 
-// checkPromises fails if something happened that never must.
-func checkPromises(t *testing.T, result *Result) {
+// checkNoViolations fails the test if requests were lost, duplicated or mixed up, or if there was
+// another violation.
+func checkNoViolations(t *testing.T, result *Result) {
 	t.Helper()
 	requests := result.Requests
 	if requests.Sent == 0 || requests.Served == 0 {
 		t.Fatalf("nothing was served: %+v", requests)
 	}
 	if requests.Lost+requests.Duplicated+requests.Mixed+result.Violations.Sum() > 0 {
-		t.Errorf("broken promises: %+v %+v", requests, result.Violations)
+		t.Errorf("violations: %+v %+v", requests, result.Violations)
 	}
 }
 
@@ -64,50 +65,52 @@
 					first = string(data)
 				}
 				if string(data) != first {
-					t.Errorf("two runs differ:\n%s\n%s", first, data)
+					t.Errorf("two runs with the same seed differ:\n%s\n%s", first, data)
 				}
 			}
 		})
 	}
 }
 
-// TestFaultsBreakNoPromise has the failures of ten hours within ten minutes.
+// TestFaultsBreakNoPromise runs each schedule of faults with the faults of ten hours compressed
+// into ten minutes, and checks that nothing is violated and that the expected faults were injected.
 func TestFaultsBreakNoPromise(t *testing.T) {
 	const seed = 5
 	for _, faults := range AllFaults() {
 		t.Run(string(faults), func(t *testing.T) {
 			t.Parallel()
 			scenario := loadScenario(t, "hornada", "duration=10m", "fault_rate=60")
-			w, err := newWorld(scenario, seed, ControlDistributed, "adaptive")
+			sim, err := newSimulation(scenario, seed, ControlDistributed, "adaptive")
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := w.scheduleFaults(faults, newRandom(seed, streamFaults)); err != nil {
+			if err := sim.scheduleFaults(faults, newRandom(seed, streamFaults)); err != nil {
 				t.Fatal(err)
 			}
-			if !w.run(context.Background(), nil) {
-				t.Fatal("did not end")
+			if !sim.run(context.Background(), nil) {
+				t.Fatal("the run did not end")
 			}
-			result, _ := w.result(Options{Seed: seed}, true)
-			checkPromises(t, result)
+			result, _ := sim.result(Options{Seed: seed}, true)
+			checkNoViolations(t, result)
 			for _, kind := range AllFaults()[1:] {
-				expected := kind != FaultsMixed && (kind == faults || faults == FaultsMixed && kind != FaultsStoreCopy)
-				if happened := w.failures[kind] > 0; happened != expected {
-					t.Errorf("%s happened %d times", kind, w.failures[kind])
+				expected := kind != FaultsMixed && (kind == faults || faults == FaultsMixed && kind != FaultsStoreRestored)
+				if happened := sim.faultCounts[kind] > 0; happened != expected {
+					t.Errorf("%s happened %d times", kind, sim.faultCounts[kind])
 				}
 			}
 		})
 	}
 }
 
-// TestAdaptiveMeetsTargets holds the default policy to the targets over a part
-// of a day, on seeds that the policy was not made with.
+// TestAdaptiveMeetsTargets compares the default policy with fixed-keepalive over six hours of each
+// scenario: in delta-piney at most half its cold-start p99 without more idle hours, in hornada at
+// most half its idle hours without a higher p99. The seed was not used to tune the policy.
 func TestAdaptiveMeetsTargets(t *testing.T) {
 	const seed = 201
 	measure := func(name, policy string) *Result {
 		scenario := loadScenario(t, name, "duration=6h")
 		result, _ := mustRun(t, Options{Scenario: scenario, Seed: seed, Policy: policy})
-		checkPromises(t, result)
+		checkNoViolations(t, result)
 		return result
 	}
 	t.Run("delta-piney", func(t *testing.T) {
@@ -140,7 +143,7 @@
 	if !result.Partial {
 		t.Error("not marked as partial")
 	}
-	checkPromises(t, result)
+	checkNoViolations(t, result)
 }
 
 func TestRunRefusesUnknownNames(t *testing.T) {
@@ -148,12 +151,12 @@
 	for _, options := range []Options{{Policy: "best"}, {Faults: "fire"}, {Control: "none"}} {
 		options.Scenario = scenario
 		if _, _, err := Run(context.Background(), options); err == nil || !strings.Contains(err.Error(), "known are") {
-			t.Errorf("%+v: error %v", options, err)
+			t.Errorf("%+v: error %v, want one that lists the known names", options, err)
 		}
 	}
 }
 
-// resultKeys are the fields of result.json, which other tools read.
+// resultKeys are the keys of result.json, which other tools read.
 const resultKeys = "scenario seed policy requests{sent served refused lost duplicated mixed} " +
 	"cold_start_seconds{p50 p95 p99 p999 max count} first_token_seconds{p50 p95 p99} " +
 	"idle_accelerator_hours loaded_accelerator_hours loads " +
--- a/pkg/lab/scenario.go
+++ b/pkg/lab/scenario.go
@@ -14,7 +14,7 @@
 	"martenwheel.dev/pkg/findings"
 )
 
-// Scenario is a deployment and a span of its work, as a YAML file describes it.
+// Scenario describes a deployment and its load over a period, as read from a YAML file.
 type Scenario struct {
 	Name          string        `yaml:"name"`
 	Region        string        `yaml:"region"`
@@ -25,11 +25,11 @@
 	WeightStore   WeightStore   `yaml:"weight_store"`
 	FirstRequests FirstRequests `yaml:"first_requests"`
 	Surges        Surges        `yaml:"surges"`
-	FaultRate     float64       `yaml:"fault_rate"` // how many times as often failures come
+	FaultRate     float64       `yaml:"fault_rate"` // factor by which faults are more frequent
 	Services      []Service     `yaml:"services"`
 }
 
-// Delays are one-way delays of the network, and the lag of the machine list.
+// Delays are one-way network delays, and the lag of the list of machines.
 type Delays struct {
 	WithinZone     time.Duration `yaml:"within_zone"`
 	BetweenZones   time.Duration `yaml:"between_zones"`
@@ -40,27 +40,27 @@
 // WeightStore describes the store that checkpoints are fetched from.
 type WeightStore struct {
 	LoadsPerSecond     float64       `yaml:"loads_per_second"`
-	FullSpeed          int           `yaml:"full_speed"`           // transfers at once at full speed
-	GigabytesPerSecond float64       `yaml:"gigabytes_per_second"` // of one transfer at full speed
+	FullSpeed          int           `yaml:"full_speed"`           // concurrent transfers at full speed
+	GigabytesPerSecond float64       `yaml:"gigabytes_per_second"` // speed of one transfer at full speed
 	Startup            time.Duration `yaml:"startup"`              // of an engine process, after the transfer
 }
 
-// FirstRequests says which requests the cold-start time is measured on: those
-// that arrive within Window after a model had no request for Idle.
+// FirstRequests defines the requests that the cold-start time is measured on: those that arrive
+// within Window of the first request to a model that had none for Idle.
 type FirstRequests struct {
 	Idle   time.Duration `yaml:"idle"`
 	Window time.Duration `yaml:"window"`
 }
 
-// Surges are moments at which many idle models are wanted at once.
+// Surges are times at which many idle models receive requests at once.
 type Surges struct {
 	PerDay   float64       `yaml:"per_day"`
 	Models   int           `yaml:"models"`
-	Requests int           `yaml:"requests"` // for each of the models
-	Window   time.Duration `yaml:"window"`   // within which a burst arrives
+	Requests int           `yaml:"requests"` // per model
+	Window   time.Duration `yaml:"window"`   // period over which a burst is spread
 }
 
-// Service is a set of servers with the models on them: one cell.
+// Service is a set of servers and the models on them, which together form one cell.
 type Service struct {
 	Name                 string    `yaml:"name"`
 	Servers              int       `yaml:"servers"`
@@ -72,12 +72,12 @@
 	AdapterGigabytes     float64   `yaml:"adapter_gigabytes"`
 	Sizes                []Size    `yaml:"sizes"`
 	RequestsPerSecond    float64   `yaml:"requests_per_second"` // mean over the day
-	PopularityExponent   float64   `yaml:"popularity_exponent"` // of Zipf's law
+	PopularityExponent   float64   `yaml:"popularity_exponent"` // exponent of Zipf's law
 	Arrivals             []Arrival `yaml:"arrivals"`
-	Day                  []float64 `yaml:"day"` // weight of each hour
+	Day                  []float64 `yaml:"day"` // weight of each hour of the day
 	PromptTokens         int       `yaml:"prompt_tokens"`
 	OutputTokens         int       `yaml:"output_tokens"`
-	UnsafeShare          float64   `yaml:"unsafe_share"` // of the models
+	UnsafeShare          float64   `yaml:"unsafe_share"` // share of models whose requests must not run twice
 	Settings             Settings  `yaml:"settings"`
 }
 
@@ -91,42 +91,42 @@
 	InitiallyOnDisk          float64 `yaml:"initially_on_disk"`
 }
 
-// Size is a kind of model by its memory, and the share of models of the kind.
+// Size is a model size, and the share of models of that size.
 type Size struct {
 	WeightsGigabytes float64 `yaml:"weights_gigabytes"`
 	KVGigabytes      float64 `yaml:"kv_gigabytes"`
 	Share            float64 `yaml:"share"`
 }
 
-// ArrivalKind is a shape of a model's arrivals.
+// ArrivalKind is a pattern of arrivals.
 type ArrivalKind string
 
-// The shapes of arrivals.
+// The patterns of arrivals.
 const (
-	ArrivalSteady   ArrivalKind = "steady"   // Poisson with the day's curve
-	ArrivalPeriodic ArrivalKind = "periodic" // a burst by a timer
-	ArrivalSessions ArrivalKind = "sessions" // people who ask several times
+	ArrivalSteady   ArrivalKind = "steady"   // Poisson process that follows the day's curve
+	ArrivalPeriodic ArrivalKind = "periodic" // bursts at a fixed period
+	ArrivalSessions ArrivalKind = "sessions" // users who send several requests
 )
 
-// Arrival is a shape and the share of models that have it.
+// Arrival describes a pattern of arrivals, and the share of models that have it.
 type Arrival struct {
 	Kind           ArrivalKind   `yaml:"kind"`
 	Share          float64       `yaml:"share"`
 	ShortestPeriod time.Duration `yaml:"shortest_period"` // periodic
 	LongestPeriod  time.Duration `yaml:"longest_period"`  // periodic
-	Jitter         float64       `yaml:"jitter"`          // periodic: of the period
+	Jitter         float64       `yaml:"jitter"`          // periodic: as a share of the period
 	Burst          int           `yaml:"burst"`           // periodic, sessions: requests at once
 	Requests       int           `yaml:"requests"`        // sessions: mean number of requests
-	Pause          time.Duration `yaml:"pause"`           // sessions: median between requests
+	Pause          time.Duration `yaml:"pause"`           // sessions: median pause between requests
 }
 
-// Settings are the settings of the tree that a scenario gives its models.
+// Settings are the tree settings of a service's models.
 type Settings struct {
 	MinReplicas     int           `yaml:"minReplicas"`
 	MaxReplicas     int           `yaml:"maxReplicas"`
 	KeepAlive       time.Duration `yaml:"keepAlive"`
 	ColdStartWeight float64       `yaml:"coldStartWeight"`
-	Prewarm         *bool         `yaml:"prewarm"` // true if absent
+	Prewarm         *bool         `yaml:"prewarm"` // default true
 	Priority        int           `yaml:"priority"`
 	Deadline        time.Duration `yaml:"deadline"`
 	MaxConcurrency  int           `yaml:"maxConcurrency"`
@@ -139,7 +139,7 @@
 func ScenarioNames() []string {
 	entries, err := builtIn.ReadDir("scenarios")
 	if err != nil {
-		panic(err) // embedded at build time
+		panic(err) // can't happen: the directory is embedded
 	}
 	var names []string
 	for _, entry := range entries {
@@ -148,10 +148,10 @@
 	return names
 }
 
-// LoadScenario reads a built-in scenario by its name or a file by its path and
-// applies the assignments, each "path=value" such as
-// "services.assistant.settings.coldStartWeight=0.5". It returns a
-// *findings.Error that lists all faults.
+// LoadScenario reads a built-in scenario by its name, or a file by its path, and applies the
+// assignments, each of the form "path=value", such as
+// "services.assistant.settings.coldStartWeight=0.5". Invalid assignments and values are returned
+// together in a *findings.Error.
 func LoadScenario(nameOrPath string, assignments []string) (*Scenario, error) {
 	data, err := builtIn.ReadFile("scenarios/" + nameOrPath + ".yaml")
 	if err != nil {
@@ -164,8 +164,7 @@
 	return ParseScenario(nameOrPath, data, assignments)
 }
 
-// ParseScenario is LoadScenario for the bytes of a file; place is its name in
-// findings.
+// ParseScenario is LoadScenario for the contents of a file; place names the file in findings.
 func ParseScenario(place string, data []byte, assignments []string) (*Scenario, error) {
 	var document yaml.Node
 	if err := yaml.Unmarshal(data, &document); err != nil {
@@ -197,8 +196,8 @@
 	return &scenario, nil
 }
 
-// assign sets one value of the document. The steps of the path are keys of
-// mappings, and names or indexes of sequences.
+// assign sets one value of the document. The steps of the path are keys of mappings, and names or
+// indexes of sequence items.
 func assign(document *yaml.Node, assignment string) error {
 	path, value, ok := strings.Cut(assignment, "=")
 	if !ok {
@@ -219,8 +218,8 @@
 	return nil
 }
 
-// child returns the node that step leads to, nil if there is none. A key that
-// a mapping lacks is added: the decoder refuses it if it is unknown.
+// child returns the child of node that step selects, nil if there is none. A key that a mapping
+// lacks is added: the decoder rejects it if it is unknown.
 func child(node *yaml.Node, step string) *yaml.Node {
 	switch node.Kind {
 	case yaml.MappingNode:
@@ -243,7 +242,7 @@
 	return nil
 }
 
-// nameOf returns the value of the key "name" or "kind" of a mapping.
+// nameOf returns the value of a mapping's key "name" or "kind".
 func nameOf(node *yaml.Node) string {
 	for i := 0; node.Kind == yaml.MappingNode && i+1 < len(node.Content); i += 2 {
 		if key := node.Content[i].Value; key == "name" || key == "kind" {
--- a/pkg/lab/scenario_check.go
+++ b/pkg/lab/scenario_check.go
@@ -7,7 +7,7 @@
 	"martenwheel.dev/pkg/findings"
 )
 
-// check records what makes the scenario impossible to run.
+// check records values that make the scenario impossible to run.
 func (s *Scenario) check(place string, found *findings.List) {
 	positive := func(key string, value float64) {
 		if !(value > 0) {
@@ -46,10 +46,10 @@
 	}
 }
 
-// hoursPerDay is the length of a day's curve.
+// hoursPerDay is the required length of Service.Day.
 const hoursPerDay = 24
 
-// check records what is wrong with the arrival.
+// check records invalid values of the arrival.
 func (a Arrival) check(place string, found *findings.List) {
 	kinds := []ArrivalKind{ArrivalSteady, ArrivalPeriodic, ArrivalSessions}
 	if !slices.Contains(kinds, a.Kind) {
--- a/pkg/lab/sharing.go
+++ b/pkg/lab/sharing.go
@@ -7,27 +7,27 @@
 	"martenwheel.dev/pkg/indexedheap"
 )
 
-// sharedRate serves jobs at the same time (processor sharing): each advances
-// with the same rate, which depends on how many there are. It models a batch
-// of an engine and the transfers of the weight store.
+// sharedRate runs jobs concurrently (processor sharing): all advance at the same rate, which
+// depends on the number of jobs. It models the batch of an engine and the transfers of the weight
+// store.
 type sharedRate struct {
 	clock    *clock
-	rate     func(jobs int) float64 // units a second for each job
-	progress float64                // units that a job has got which was there from the start
-	updated  time.Duration
+	rate     func(jobs int) float64 // units per second for each job
+	progress float64                // units that a job present from the start would have received
+	updated  time.Duration          // when progress was last updated
 	jobs     indexedheap.Heap[*job]
-	next     *event
+	next     *event // completion of the next job
 }
 
-// job is a piece of work on a sharedRate.
+// job is a job on a sharedRate.
 type job struct {
-	finish float64 // progress at which it is done
+	finish float64 // value of progress at which the job is complete
 	number uint64  // breaks ties
 	done   func()
 	index  int
 }
 
-// add starts a job of units; done is called when it is finished.
+// add starts a job of the given units; done is called when it completes.
 func (s *sharedRate) add(units float64, done func()) *job {
 	s.advance()
 	s.clock.sequence++
@@ -37,7 +37,7 @@
 	return j
 }
 
-// remove ends a job before it is done.
+// remove cancels a job; nil and completed jobs are ignored.
 func (s *sharedRate) remove(j *job) {
 	if j == nil || j.index < 0 {
 		return
@@ -47,7 +47,7 @@
 	s.schedule()
 }
 
-// clear ends all jobs.
+// clear cancels all jobs.
 func (s *sharedRate) clear() {
 	for _, j := range s.jobs {
 		j.index = indexedheap.NoPosition
@@ -56,7 +56,7 @@
 	s.schedule()
 }
 
-// advance brings progress up to the present.
+// advance updates progress to the present.
 func (s *sharedRate) advance() {
 	if len(s.jobs) > 0 {
 		s.progress += s.rate(len(s.jobs)) * (s.clock.elapsed - s.updated).Seconds()
@@ -64,7 +64,7 @@
 	s.updated = s.clock.elapsed
 }
 
-// schedule sets the event of the next job to finish.
+// schedule reschedules the event of the next job to complete.
 func (s *sharedRate) schedule() {
 	s.clock.cancel(s.next)
 	s.next = nil
@@ -76,7 +76,7 @@
 	s.next = s.clock.after(wait, s.finish)
 }
 
-// finish ends the job that is done.
+// finish completes the next job.
 func (s *sharedRate) finish() {
 	s.next = nil
 	s.advance()
--- a/pkg/lab/store.go
+++ b/pkg/lab/store.go
@@ -2,21 +2,20 @@
 
 import "time"
 
-// weightStore emulates the rate-limited weight store: fetches start at a
-// limited rate, urgent ones first, and share its bandwidth beyond the number
-// that it serves at full speed.
+// weightStore emulates the rate-limited weight store. Fetches start at a limited rate, urgent ones
+// first; beyond the number that it serves at full speed, transfers share its bandwidth.
 type weightStore struct {
-	clock     *clock
-	limits    WeightStore
-	transfers sharedRate
-	slowdown  float64 // 1 at normal speed; larger divides rate and speed
-	urgent    []*fetch
-	normal    []*fetch
-	nextStart time.Duration
-	starting  *event
+	clock      *clock
+	limits     WeightStore
+	transfers  sharedRate
+	slowdown   float64 // divides rate and speed; 1 in normal operation
+	urgent     []*fetch
+	normal     []*fetch
+	nextStart  time.Duration
+	startEvent *event
 }
 
-// fetch is a transfer of a checkpoint, waiting or under way.
+// fetch is the transfer of a checkpoint, queued or in progress.
 type fetch struct {
 	bytes     uint64
 	done      func()
@@ -31,7 +30,7 @@
 	return s
 }
 
-// bytesPerSecond returns the speed of each of several transfers.
+// bytesPerSecond returns the speed of each of a number of concurrent transfers.
 func (s *weightStore) bytesPerSecond(transfers int) float64 {
 	speed := s.limits.GigabytesPerSecond * gigabyte / s.slowdown
 	if transfers > s.limits.FullSpeed {
@@ -40,14 +39,14 @@
 	return speed
 }
 
-// setSlowdown divides the store's rate and speed from now on.
+// setSlowdown changes the factor that divides the store's rate and speed.
 func (s *weightStore) setSlowdown(slowdown float64) {
 	s.transfers.advance()
 	s.slowdown = slowdown
 	s.transfers.schedule()
 }
 
-// fetch asks for a checkpoint; done is called when it has arrived.
+// fetch queues the transfer of a checkpoint; done is called when it has arrived.
 func (s *weightStore) fetch(bytes uint64, urgent bool, done func()) *fetch {
 	f := &fetch{bytes: bytes, done: done}
 	if urgent {
@@ -59,7 +58,7 @@
 	return f
 }
 
-// cancel ends a fetch; nil is allowed.
+// cancel cancels a fetch; f may be nil.
 func (s *weightStore) cancel(f *fetch) {
 	if f == nil {
 		return
@@ -68,10 +67,10 @@
 	s.transfers.remove(f.transfer)
 }
 
-// start starts the next fetch if the rate allows one, else waits for that.
+// start starts queued fetches as far as the rate allows, and schedules itself for the rest.
 func (s *weightStore) start() {
 	for s.clock.elapsed >= s.nextStart {
-		f := s.takeNext()
+		f := s.popNext()
 		if f == nil {
 			return
 		}
@@ -79,16 +78,16 @@
 		s.nextStart = s.clock.elapsed + time.Duration(interval*float64(time.Second))
 		f.transfer = s.transfers.add(float64(f.bytes), f.done)
 	}
-	if s.starting == nil && len(s.urgent)+len(s.normal) > 0 {
-		s.starting = s.clock.at(s.nextStart, func() {
-			s.starting = nil
+	if s.startEvent == nil && len(s.urgent)+len(s.normal) > 0 {
+		s.startEvent = s.clock.at(s.nextStart, func() {
+			s.startEvent = nil
 			s.start()
 		})
 	}
 }
 
-// takeNext removes the first waiting fetch that is still wanted, nil if none.
-func (s *weightStore) takeNext() *fetch {
+// popNext removes and returns the first queued fetch that is not cancelled, nil if there is none.
+func (s *weightStore) popNext() *fetch {
 	for _, queue := range []*[]*fetch{&s.urgent, &s.normal} {
 		for len(*queue) > 0 {
 			first := (*queue)[0]
--- a/pkg/lab/trace.go
+++ b/pkg/lab/trace.go
@@ -15,26 +15,26 @@
 	node   int
 	prompt int // tokens
 	output int // tokens
-	wake   int // number of the wake that it is a first request of, -1 if none
+	wake   int // index of the wake that it is a first request of; -1 if none
 }
 
-// trace is all work of a run, in order of time.
+// trace holds all requests of a run, in order of time.
 type trace struct {
 	arrivals []arrival
 	wakes    []wake
 }
 
-// wake is a moment at which an idle model is wanted again.
+// wake is a time at which an idle model receives a request again.
 type wake struct {
 	at    time.Duration
 	model int
 }
 
-// seeds of the independent random streams of a run.
+// Numbers of a run's independent random streams.
 const (
 	streamCatalog = iota + 1
 	streamTrace
-	streamWorld
+	streamSimulation
 	streamFaults
 )
 
@@ -43,18 +43,18 @@
 	return rand.New(rand.NewPCG(seed, stream))
 }
 
-// makeTrace draws the arrivals of a run.
-func makeTrace(scenario *Scenario, models []*model, random *rand.Rand) *trace {
+// generateTrace generates the arrivals of a run.
+func generateTrace(scenario *Scenario, models []*model, random *rand.Rand) *trace {
 	t := &trace{}
 	for _, m := range models {
-		maker := traceMaker{scenario, m, random, t}
+		generator := traceGenerator{scenario, m, random, t}
 		switch m.arrival.Kind {
 		case ArrivalPeriodic:
-			maker.periodic()
+			generator.periodic()
 		case ArrivalSessions:
-			maker.sessions()
+			generator.sessions()
 		default:
-			maker.steady()
+			generator.steady()
 		}
 	}
 	addSurges(scenario, models, random, t)
@@ -63,22 +63,22 @@
 	return t
 }
 
-// traceMaker draws the arrivals of one model.
-type traceMaker struct {
+// traceGenerator generates the arrivals of one model.
+type traceGenerator struct {
 	scenario *Scenario
 	model    *model
 	random   *rand.Rand
 	trace    *trace
 }
 
-// steady draws a Poisson process whose rate follows the day's curve.
-func (t traceMaker) steady() {
+// steady generates a Poisson process whose rate follows the day's curve.
+func (t traceGenerator) steady() {
 	t.poisson(t.model.rate, func(at time.Duration) { t.request(at) })
 }
 
-// sessions draws people who come by the day's curve, each with several
-// requests; the first ones of a session come as a burst.
-func (t traceMaker) sessions() {
+// sessions generates users who arrive by the day's curve and send several requests each; the first
+// requests of a session come as a burst.
+func (t traceGenerator) sessions() {
 	shape := t.model.arrival
 	t.poisson(t.model.rate/float64(shape.Requests), func(at time.Duration) {
 		t.burst(at, shape.Burst)
@@ -90,8 +90,9 @@
 	})
 }
 
-// periodic draws a timer: its period fits the rate as far as the bounds allow.
-func (t traceMaker) periodic() {
+// periodic generates bursts at a fixed period. The period matches the model's rate as far as its
+// limits allow.
+func (t traceGenerator) periodic() {
 	shape := t.model.arrival
 	period := time.Duration(float64(shape.Burst) / t.model.rate * float64(time.Second))
 	period = min(max(period, shape.ShortestPeriod), shape.LongestPeriod)
@@ -102,9 +103,8 @@
 	}
 }
 
-// poisson calls arrive for the moments of a Poisson process with the mean rate
-// over the day.
-func (t traceMaker) poisson(rate float64, arrive func(time.Duration)) {
+// poisson calls arrive for the times of a Poisson process with the given mean rate over the day.
+func (t traceGenerator) poisson(rate float64, arrive func(time.Duration)) {
 	day := t.scenario.Services[t.model.service].Day
 	peak := slices.Max(day)
 	mean := 0.0
@@ -124,15 +124,15 @@
 	}
 }
 
-// burst adds requests that arrive within the surges' window.
-func (t traceMaker) burst(at time.Duration, requests int) {
+// burst adds requests that arrive within Surges.Window.
+func (t traceGenerator) burst(at time.Duration, requests int) {
 	for range requests {
 		t.request(at + time.Duration(t.random.Float64()*float64(t.scenario.Surges.Window)))
 	}
 }
 
 // request adds one request at a random node.
-func (t traceMaker) request(at time.Duration) {
+func (t traceGenerator) request(at time.Duration) {
 	if at >= t.scenario.Duration {
 		return
 	}
@@ -147,29 +147,29 @@
 	})
 }
 
-// lognormal draws a duration around a median.
-func (t traceMaker) lognormal(median time.Duration) time.Duration {
+// lognormal returns a random duration with the given median.
+func (t traceGenerator) lognormal(median time.Duration) time.Duration {
 	return time.Duration(float64(median) * math.Exp(t.random.NormFloat64()))
 }
 
-// tokens draws a number of tokens around a median.
-func (t traceMaker) tokens(median int) int {
+// tokens returns a random number of tokens with the given median.
+func (t traceGenerator) tokens(median int) int {
 	return max(int(float64(median)*math.Exp(t.random.NormFloat64()*0.7)), 1)
 }
 
-// addSurges draws the moments at which many models are wanted at once.
+// addSurges generates the surges, at which many models receive requests at once.
 func addSurges(scenario *Scenario, models []*model, random *rand.Rand, t *trace) {
 	days := scenario.Duration.Hours() / hoursPerDay
 	for range int(math.Round(scenario.Surges.PerDay * days)) {
 		at := time.Duration(random.Float64() * float64(scenario.Duration))
 		for _, index := range random.Perm(len(models))[:min(scenario.Surges.Models, len(models))] {
-			traceMaker{scenario, models[index], random, t}.burst(at, scenario.Surges.Requests)
+			traceGenerator{scenario, models[index], random, t}.burst(at, scenario.Surges.Requests)
 		}
 	}
 }
 
-// markWakes finds the first requests of models that were idle. A model is
-// also idle at the start of the run.
+// markWakes marks the first requests of models that were idle. All models are idle at the start of
+// the run.
 func markWakes(scenario *Scenario, models []*model, t *trace) {
 	last := make([]time.Duration, len(models))
 	current := make([]int, len(models))
--- a/pkg/lab/treetext.go
+++ b/pkg/lab/treetext.go
@@ -10,8 +10,8 @@
 	"martenwheel.dev/pkg/tree"
 )
 
-// makeTree writes the scenario's settings as the text of a tree, as an operator
-// would, and reads it with the product's own reader.
+// makeTree writes the scenario's settings as the text of a tree, as an operator would, and parses
+// it with the real parser.
 func makeTree(scenario *Scenario, models []*model, policyName string) (*tree.Tree, error) {
 	var text strings.Builder
 	fmt.Fprintf(&text, "revision: 1\npolicy: %s\n", policyName)
@@ -24,7 +24,7 @@
 	return settings, errors.Wrap(err, "the scenario's settings")
 }
 
-// writeService writes the branch of a service.
+// writeService writes the subtree of a service.
 func writeService(text *strings.Builder, service *Service, index int, models []*model) {
 	s := &service.Settings
 	fmt.Fprintf(text, "  %s:\n", service.Name)
@@ -40,7 +40,7 @@
 	}
 }
 
-// writeModel writes the branch of a model.
+// writeModel writes the subtree of a model.
 func writeModel(text *strings.Builder, m *model, models []*model) {
 	fmt.Fprintf(text, "          %s:\n            memory: %s\n            kv_memory: %s\n            load_time: %s\n",
 		m.name, units.FormatBytes(m.settings.MemoryBytes), units.FormatBytes(m.settings.KVBytes), m.settings.LoadTime)
--- a/pkg/settings/document/document.go
+++ b/pkg/settings/document/document.go
@@ -1,5 +1,5 @@
-// Package document reads the one YAML document of a settings file, with the
-// lines of its entries.
+// Package document parses the single YAML document of a settings file, with the line numbers of its
+// entries.
 package document
 
 import (
--- a/pkg/settings/fields.go
+++ b/pkg/settings/fields.go
@@ -16,12 +16,12 @@
 	"martenwheel.dev/pkg/settings/units"
 )
 
-// Field describes one setting of a process.
+// Field describes one setting of a process, with its text form in files and flags.
 type Field struct {
 	Name        string // dotted path in the settings file
 	Unit        string
 	Default     string
-	Range       string // in words, inclusive
+	Range       string // allowed values in words, bounds included
 	Required    bool
 	Description string
 
@@ -29,13 +29,13 @@
 	format func(settings Settings) string
 }
 
-// Flag returns the name of the flag that sets the field: "listen.callers" is
-// set by --listen-callers.
+// Flag returns the name of the command-line flag that sets the field: --listen-callers sets
+// "listen.callers".
 func (f Field) Flag() string {
 	return strings.NewReplacer(".", "-", "_", "-").Replace(f.Name)
 }
 
-// Bounds of the process's settings.
+// Limits of the settings.
 const (
 	kibibyte       = 1 << 10
 	mebibyte       = 1 << 20
@@ -45,7 +45,7 @@
 	maxFileBytes   = 1 << 20
 )
 
-// Fields is every setting of a process, in the order of the documentation.
+// Fields lists every setting of a process, in the order of the documentation.
 var Fields = []Field{
 	required(nameField("node.id", "name of the process, unique among all nodes",
 		func(s *Settings) *string { return (*string)(&s.Node.ID) })),
@@ -65,19 +65,19 @@
 		func(s *Settings) *[]string { return &s.Seeds }),
 	required(urlField("platform.table.endpoint", "table service, which speaks the DynamoDB protocol",
 		func(s *Settings) *string { return &s.Platform.Table.Endpoint })),
-	initially("martenwheel", nameField("platform.table.name", "name of the table",
+	withDefault("martenwheel", nameField("platform.table.name", "name of the table",
 		func(s *Settings) *string { return &s.Platform.Table.Name })),
-	initially("local", nameField("platform.table.region", "region that requests to the table service are signed for",
+	withDefault("local", nameField("platform.table.region", "region that requests to the table service are signed for",
 		func(s *Settings) *string { return &s.Platform.Table.Region })),
-	initially("martenwheel", nameField("platform.table.access_key", "public part of the credentials for the table service",
+	withDefault("martenwheel", nameField("platform.table.access_key", "public part of the credentials for the table service",
 		func(s *Settings) *string { return &s.Platform.Table.AccessKey })),
 	fileField("platform.table.secret_key_file", "secret part of the credentials for the table service",
 		func(s *Settings) *string { return &s.Platform.Table.SecretKeyFile }),
 	required(urlField("platform.objects.endpoint", "object store, which speaks the S3 protocol",
 		func(s *Settings) *string { return &s.Platform.Objects.Endpoint })),
-	initially("martenwheel", nameField("platform.objects.bucket", "bucket of the object store",
+	withDefault("martenwheel", nameField("platform.objects.bucket", "bucket of the object store",
 		func(s *Settings) *string { return &s.Platform.Objects.Bucket })),
-	initially("martenwheel", nameField("platform.objects.access_key", "public part of the credentials for the object store",
+	withDefault("martenwheel", nameField("platform.objects.access_key", "public part of the credentials for the object store",
 		func(s *Settings) *string { return &s.Platform.Objects.AccessKey })),
 	fileField("platform.objects.secret_key_file", "secret part of the credentials for the object store",
 		func(s *Settings) *string { return &s.Platform.Objects.SecretKeyFile }),
@@ -118,7 +118,7 @@
 		func(s *Settings) *time.Duration { return &s.Limits.IdleTimeout }),
 }
 
-// fieldsByName indexes Fields.
+// fieldsByName indexes Fields by name.
 var fieldsByName = indexFields()
 
 func indexFields() map[string]Field {
@@ -129,8 +129,7 @@
 	return index
 }
 
-// Default returns the settings of a process for which nothing is set. Required
-// ones are empty.
+// Default returns the default settings. Required settings are empty.
 func Default() Settings {
 	var settings Settings
 	for _, field := range Fields {
@@ -144,19 +143,19 @@
 	return settings
 }
 
-// required marks a field as one that has no default.
+// required marks a field as required; it has no default.
 func required(field Field) Field {
 	field.Required = true
 	return field
 }
 
-// initially gives a field a default.
-func initially(text string, field Field) Field {
+// withDefault sets the default of a field.
+func withDefault(text string, field Field) Field {
 	field.Default = text
 	return field
 }
 
-// textField describes a setting whose text is checked and kept as it is.
+// textField returns a field whose text is validated and stored unchanged.
 func textField(name, unit, allowed, description string, check func(string) error, field func(*Settings) *string) Field {
 	return Field{
 		Name: name, Unit: unit, Range: allowed, Description: description,
@@ -171,8 +170,7 @@
 	}
 }
 
-// namePattern is what names of nodes, zones, regions, tables and buckets are
-// made of.
+// namePattern matches valid names of nodes, zones, regions, tables and buckets.
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
 
 func nameField(name, description string, field func(*Settings) *string) Field {
@@ -185,8 +183,8 @@
 	return textField(name, "text", "1 to 64 letters, digits and ._-", description, check, field)
 }
 
-func addressField(name, initial, description string, field func(*Settings) *string) Field {
-	return initially(initial, textField(name, "IP:port", "an IP address, not a host name, and a port", description, checkAddress, field))
+func addressField(name, defaultValue, description string, field func(*Settings) *string) Field {
+	return withDefault(defaultValue, textField(name, "IP:port", "an IP address, not a host name, and a port", description, checkAddress, field))
 }
 
 func addressesField(name, description string, field func(*Settings) *[]string) Field {
@@ -210,7 +208,7 @@
 	}
 }
 
-// checkAddress checks an IP:port.
+// checkAddress checks that text is an IP address with a port.
 func checkAddress(text string) error {
 	_, err := netip.ParseAddrPort(text)
 	if err == nil {
@@ -254,7 +252,7 @@
 	return textField(name, "file name", "a readable file", description, check, field)
 }
 
-func choiceField(name, initial string, choices []string, description string, field func(*Settings) *string) Field {
+func choiceField(name, defaultValue string, choices []string, description string, field func(*Settings) *string) Field {
 	allowed := strings.Join(choices, ", ")
 	check := func(text string) error {
 		for _, choice := range choices {
@@ -264,13 +262,13 @@
 		}
 		return errors.Errorf("%q is not one of %s", text, allowed)
 	}
-	return initially(initial, textField(name, "text", allowed, description, check, field))
+	return withDefault(defaultValue, textField(name, "text", allowed, description, check, field))
 }
 
-// rangedField describes a setting whose values lie in a range.
-func rangedField[T cmp.Ordered](name, unit string, initial T, allowed units.Range[T], description string, field func(*Settings) *T) Field {
+// rangedField returns a field whose values must lie in a range.
+func rangedField[T cmp.Ordered](name, unit string, defaultValue T, allowed units.Range[T], description string, field func(*Settings) *T) Field {
 	return Field{
-		Name: name, Unit: unit, Default: allowed.Format(initial), Range: allowed.String(), Description: description,
+		Name: name, Unit: unit, Default: allowed.Format(defaultValue), Range: allowed.String(), Description: description,
 		parse: func(settings *Settings, text string) error {
 			value, err := allowed.Parse(text)
 			if err != nil {
@@ -283,7 +281,7 @@
 	}
 }
 
-// Reference returns a NodeRef of a process with these settings.
+// Reference returns the NodeRef of a process with these settings.
 func (s Settings) Reference(incarnation uint64) api.NodeRef {
 	return api.NodeRef{
 		ID:          s.Node.ID,
--- a/pkg/settings/flags.go
+++ b/pkg/settings/flags.go
@@ -1,30 +1,30 @@
 package settings
 
-// FlagSet is what Bind needs of a command line library's command.
+// FlagSet is the part of a command-line library's command that Bind needs.
 type FlagSet interface {
 	String(variable *string, shortName, longName, description string)
 }
 
-// Flags holds the texts of the flags that Bind has added.
+// Flags holds the values of the flags that Bind added.
 type Flags struct {
-	texts map[string]*string // by field name
+	values map[string]*string // by field name
 }
 
-// Bind adds a flag for every field to set.
+// Bind adds a flag to set for every field.
 func Bind(set FlagSet) *Flags {
-	flags := &Flags{texts: make(map[string]*string, len(Fields))}
+	flags := &Flags{values: make(map[string]*string, len(Fields))}
 	for _, field := range Fields {
-		text := new(string)
-		flags.texts[field.Name] = text
-		set.String(text, "", field.Flag(), field.help())
+		value := new(string)
+		flags.values[field.Name] = value
+		set.String(value, "", field.Flag(), field.help())
 	}
 	return flags
 }
 
-// Overrides returns the flags that were given, for Load.
+// Overrides returns the values of the flags that were given, by field name, for Load.
 func (f *Flags) Overrides() map[string]string {
 	overrides := make(map[string]string)
-	for name, text := range f.texts {
+	for name, text := range f.values {
 		if *text != "" {
 			overrides[name] = *text
 		}
@@ -32,7 +32,7 @@
 	return overrides
 }
 
-// help describes the field in one line.
+// help returns the one-line help text of the field's flag.
 func (f Field) help() string {
 	text := f.Description + " (" + f.Unit
 	if f.Default != "" {
--- a/pkg/settings/load.go
+++ b/pkg/settings/load.go
@@ -17,9 +17,9 @@
 	"martenwheel.dev/pkg/settings/document"
 )
 
-// Load reads the settings file at path, if path is not empty, and overrides it
-// by the texts of overrides, by field name. The error carries all findings, each
-// with file, line and name or with its flag.
+// Load reads the settings file at path, unless path is empty, and then applies overrides, which map
+// field names to values. The error is a *findings.Error with all findings, each located by file,
+// line and name, or by its flag.
 func Load(path string, overrides map[string]string) (Settings, error) {
 	var data []byte
 	if path != "" {
@@ -34,7 +34,7 @@
 	return Parse(path, data, overrides)
 }
 
-// readFile reads a file of bounded size.
+// readFile reads a file of at most maxFileBytes.
 func readFile(path string) ([]byte, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -51,7 +51,7 @@
 	return data, nil
 }
 
-// Parse is Load for a file's content; name is the file's name for findings.
+// Parse is Load for the contents of a file; name is the file's name in findings.
 func Parse(name string, data []byte, overrides map[string]string) (Settings, error) {
 	loader := loader{file: name, settings: Default(), places: make(map[string]string)}
 	root, err := document.Read(data)
@@ -70,20 +70,20 @@
 	return loader.settings, nil
 }
 
-// loader collects settings and findings.
+// loader collects settings and findings while it reads a file and overrides.
 type loader struct {
 	file     string
 	settings Settings
-	places   map[string]string // of the fields that were given, faulty or not
+	places   map[string]string // location of each field that was given, also if its value is invalid
 	found    findings.List
 }
 
-// place formats a line of the file with the name of what stands there.
+// place formats a line number of the file and the name of the entry there.
 func (l *loader) place(line int, name string) string {
 	return fmt.Sprintf("%s:%d %s", l.file, line, name)
 }
 
-// readMapping reads the mapping under a dotted name, "" for the whole file.
+// readMapping reads the mapping with a dotted name; "" is the whole file.
 func (l *loader) readMapping(name string, node *yaml.Node) {
 	if node.Kind != yaml.MappingNode {
 		l.found.Addf(l.place(node.Line, name), "must be a mapping, without aliases")
@@ -95,17 +95,17 @@
 	}
 }
 
-// readEntry reads the field or mapping of a dotted name.
+// readEntry reads the field or group with a dotted name.
 func (l *loader) readEntry(name string, key, value *yaml.Node) {
-	here := l.place(key.Line, name)
-	if _, twice := l.places[name]; twice {
-		l.found.Addf(here, "stands twice")
+	place := l.place(key.Line, name)
+	if _, duplicate := l.places[name]; duplicate {
+		l.found.Addf(place, "stands twice")
 		return
 	}
-	l.places[name] = here
+	l.places[name] = place
 	field, known := fieldsByName[name]
 	if !known && !isGroup(name) {
-		l.found.Addf(here, "unknown key")
+		l.found.Addf(place, "unknown key")
 		return
 	}
 	if !known {
@@ -117,11 +117,11 @@
 		err = field.parse(&l.settings, text)
 	}
 	if err != nil {
-		l.found.Addf(here, "%v", err)
+		l.found.Addf(place, "%v", err)
 	}
 }
 
-// isGroup tells whether fields stand under the dotted name.
+// isGroup reports whether any field has the dotted name as a prefix.
 func isGroup(name string) bool {
 	for _, field := range Fields {
 		if strings.HasPrefix(field.Name, name+".") {
@@ -131,7 +131,7 @@
 	return false
 }
 
-// textOf returns the text of a single value or of a list of them.
+// textOf returns the text of a scalar value, or of a list of scalars, separated by commas.
 func textOf(node *yaml.Node) (string, error) {
 	switch {
 	case node.Kind == yaml.ScalarNode && node.Tag != "!!null":
@@ -149,7 +149,7 @@
 	return strings.Join(texts, ","), nil
 }
 
-// override sets fields from flags.
+// override applies values from flags.
 func (l *loader) override(overrides map[string]string) {
 	names := make([]string, 0, len(overrides))
 	for name := range overrides {
@@ -169,11 +169,11 @@
 	}
 }
 
-// complete checks what concerns several fields and reads secrets.
+// complete checks required fields and rules that concern several fields, and reads the secrets.
 func (l *loader) complete() {
 	for _, field := range Fields {
 		if _, given := l.places[field.Name]; field.Required && !given {
-			l.found.Addf(l.whereMissing(field), "is required (flag --%s)", field.Flag())
+			l.found.Addf(l.missingPlace(field), "is required (flag --%s)", field.Flag())
 		}
 	}
 	l.checkAdvertised()
@@ -183,15 +183,16 @@
 	l.readSecret("platform.objects.secret_key_file", l.settings.Platform.Objects.SecretKeyFile, &l.settings.Platform.Objects.SecretKey)
 }
 
-// whereMissing is the place of a finding about a field that is not given.
-func (l *loader) whereMissing(field Field) string {
+// missingPlace returns the location for a finding about a field that is not given.
+func (l *loader) missingPlace(field Field) string {
 	if l.file == "" {
 		return field.Name
 	}
 	return l.file + " " + field.Name
 }
 
-// checkAdvertised makes sure that other nodes get an address to call.
+// checkAdvertised defaults AdvertisePeers to Peers, and checks that other nodes can connect to it:
+// 0.0.0.0 and :: are valid only for listening.
 func (l *loader) checkAdvertised() {
 	if l.settings.Listen.AdvertisePeers == "" {
 		l.settings.Listen.AdvertisePeers = l.settings.Listen.Peers
@@ -200,15 +201,14 @@
 	if err != nil || !address.Addr().IsUnspecified() {
 		return
 	}
-	at := l.places["listen.advertise_peers"]
-	if at == "" {
-		at = l.places["listen.peers"]
+	place := l.places["listen.advertise_peers"]
+	if place == "" {
+		place = l.places["listen.peers"]
 	}
-	l.found.Addf(at, "other nodes can't call %s; set listen.advertise_peers to an address of this machine", address)
+	l.found.Addf(place, "other nodes can't call %s; set listen.advertise_peers to an address of this machine", address)
 }
 
-// checkTLS makes sure that all or none of the TLS files are given, and that
-// they can be used.
+// checkTLS checks that either all or none of the TLS files are given, and that they can be loaded.
 func (l *loader) checkTLS() {
 	files := map[string]string{
 		"tls.certificate_file": l.settings.TLS.CertificateFile,
@@ -221,7 +221,7 @@
 		case l.places[name] == "":
 			missing = append(missing, name)
 		case files[name] == "":
-			return // reported with its field
+			return // the invalid file is already reported with its field
 		default:
 			given = name
 		}
@@ -238,7 +238,7 @@
 	}
 }
 
-// checkKeys makes sure that the files of API keys can be used.
+// checkKeys checks that the files of API keys can be loaded.
 func (l *loader) checkKeys() {
 	files := map[string]string{
 		"keys.callers_file":   l.settings.Keys.CallersFile,
@@ -255,7 +255,7 @@
 	}
 }
 
-// checkFile reports what is wrong with the files that a field names.
+// checkFile adds the findings of open, which loads the files of a field.
 func (l *loader) checkFile(name string, open func() error) {
 	err := open()
 	var reported *findings.Error
@@ -268,7 +268,7 @@
 	}
 }
 
-// readSecret reads the secret in a file without its line end.
+// readSecret reads a secret from a file, without surrounding whitespace.
 func (l *loader) readSecret(name, file string, secret *Secret) {
 	if file == "" {
 		return
--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -1,7 +1,7 @@
-// Package settings reads the settings of one martenwheel process: its name,
-// place and listeners, the other processes that it meets first, the platform's
-// services, keys and limits. They come from a YAML file and from flags, which
-// win. What models do is not set here but in the tree (package tree).
+// Package settings reads and validates the settings of one martenwheel process: its identity,
+// location and listeners, the nodes that it contacts first, the platform's services, keys and
+// limits. They come from a YAML file and from flags, which take precedence. Settings of models are
+// not here but in the tree (package tree).
 package settings
 
 import (
@@ -11,32 +11,32 @@
 	"martenwheel.dev/pkg/security"
 )
 
-// Settings of one process. Fields describes each with unit, default and range.
+// Settings are the settings of one process. Fields describes each with its unit, default and range.
 type Settings struct {
 	Node      Node
 	Listen    Listen
-	Seeds     []string // IP:port of other nodes' listeners for peers
+	Seeds     []string // IP:port of the peer listeners of some other nodes
 	Platform  Platform
 	TLS       TLS
 	Keys      Keys
 	LogLevel  string
-	DrainTime time.Duration // bound of a planned stop
+	DrainTime time.Duration // time limit of a graceful shutdown
 	Limits    Limits
 }
 
-// Node names the process and its place.
+// Node identifies the process and its location.
 type Node struct {
 	ID     api.NodeID
 	Zone   string
 	Region string
 }
 
-// Listen holds the process's listeners, each IP:port.
+// Listen holds the addresses of the process's listeners, each as IP:port.
 type Listen struct {
 	Callers   string
 	Operators string
 	Peers     string
-	// AdvertisePeers is where other nodes reach Peers.
+	// AdvertisePeers is the address at which other nodes reach Peers.
 	AdvertisePeers string
 }
 
@@ -47,7 +47,7 @@
 	Machines Machines
 }
 
-// Table is the transactional table service, by the DynamoDB protocol.
+// Table configures the transactional table service, which speaks the DynamoDB protocol.
 type Table struct {
 	Endpoint      string // URL
 	Name          string
@@ -57,7 +57,7 @@
 	SecretKey     Secret // read from SecretKeyFile
 }
 
-// Objects is the object store, by the S3 protocol.
+// Objects configures the object store, which speaks the S3 protocol.
 type Objects struct {
 	Endpoint      string // URL
 	Bucket        string
@@ -66,15 +66,15 @@
 	SecretKey     Secret // read from SecretKeyFile
 }
 
-// Machines is the platform's list of machines.
+// Machines configures the platform's list of machines.
 type Machines struct {
 	Endpoint string // URL
 }
 
-// Secret is a text that is never printed.
+// Secret is a string that is never printed.
 type Secret string
 
-// String hides the secret.
+// String returns a placeholder instead of the secret.
 func (s Secret) String() string {
 	if s == "" {
 		return ""
@@ -82,42 +82,42 @@
 	return "(hidden)"
 }
 
-// GoString hides the secret.
+// GoString returns a placeholder instead of the secret.
 func (s Secret) GoString() string {
 	return s.String()
 }
 
-// MarshalText hides the secret.
+// MarshalText returns a placeholder instead of the secret.
 func (s Secret) MarshalText() ([]byte, error) {
 	return []byte(s.String()), nil
 }
 
-// TLS holds PEM files. With them, every listener speaks TLS, and nodes check
-// each other's certificates.
+// TLS holds the paths of PEM files. If they are set, every listener uses TLS, and nodes verify each
+// other's certificates.
 type TLS struct {
 	CertificateFile string
 	KeyFile         string
 	CAFile          string
 }
 
-// Enabled tells whether TLS is set.
+// Enabled reports whether TLS is configured.
 func (t TLS) Enabled() bool {
 	return t.CertificateFile != ""
 }
 
-// Files names the files for package security.
+// Files returns the files in the form that package security takes.
 func (t TLS) Files() security.Files {
 	return security.Files{Certificate: t.CertificateFile, Key: t.KeyFile, Authorities: t.CAFile}
 }
 
-// Keys holds the files of API keys. Without a file, any caller or operator that
-// reaches the listener is let in.
+// Keys holds the paths of the files with API keys. Without a file, every caller or operator who
+// reaches the listener is admitted.
 type Keys struct {
 	CallersFile   string
 	OperatorsFile string
 }
 
-// Limits bound what a caller or operator may send.
+// Limits limit the requests and connections of callers and operators.
 type Limits struct {
 	BodyBytes    int
 	HeaderBytes  int
--- a/pkg/settings/settings_test.go
+++ b/pkg/settings/settings_test.go
@@ -81,7 +81,7 @@
 		`node.yaml:5 listen.peers: other nodes can't call 0.0.0.0:8082`,
 	)
 	if settings.Node.ID != "" {
-		t.Error("a faulty file was used in part")
+		t.Error("an invalid file was applied in part")
 	}
 }
 
@@ -149,16 +149,16 @@
 	settings := Default()
 	for _, field := range Fields {
 		if flags[field.Flag()] {
-			t.Errorf("flag --%s stands twice", field.Flag())
+			t.Errorf("flag --%s is defined twice", field.Flag())
 		}
 		flags[field.Flag()] = true
 		if got := field.format(settings); got != field.Default {
-			t.Errorf("%s: default %q is held as %q; do two fields share a place?", field.Name, field.Default, got)
+			t.Errorf("%s: default %q is stored as %q; do two fields use the same variable?", field.Name, field.Default, got)
 		}
 	}
 }
 
-// flagSet remembers the flags that Bind adds.
+// flagSet records the flags that Bind adds.
 type flagSet map[string]*string
 
 func (s flagSet) String(variable *string, _, longName, _ string) { s[longName] = variable }
@@ -176,15 +176,15 @@
 	}
 }
 
-// FuzzParse feeds files of operators to the parser: it must not panic, and every
-// refusal has findings.
+// FuzzParse passes arbitrary files to the parser: it must not panic, and every error must have
+// findings.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(sampleFile))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		_, err := Parse("node.yaml", data, nil)
 		var reported *findings.Error
 		if err != nil && (!errors.As(err, &reported) || len(reported.Findings) == 0) {
-			t.Fatalf("refused without findings: %v", err)
+			t.Fatalf("error without findings: %v", err)
 		}
 	})
 }
--- a/pkg/settings/units/range.go
+++ b/pkg/settings/units/range.go
@@ -9,8 +9,7 @@
 	"github.com/pkg/errors"
 )
 
-// Range is how the values of a setting are read and written, and which are
-// allowed.
+// Range defines how the values of a setting are parsed and formatted, and which values are allowed.
 type Range[T cmp.Ordered] struct {
 	Lowest, Highest T // inclusive
 
@@ -18,17 +17,17 @@
 	format func(value T) string
 }
 
-// Durations is a range of durations.
+// Durations returns a range of durations.
 func Durations(lowest, highest time.Duration) Range[time.Duration] {
 	return Range[time.Duration]{Lowest: lowest, Highest: highest, parse: ParseDuration, format: FormatDuration}
 }
 
-// Sizes is a range of byte sizes.
+// Sizes returns a range of byte sizes.
 func Sizes(lowest, highest uint64) Range[uint64] {
 	return Range[uint64]{Lowest: lowest, Highest: highest, parse: ParseBytes, format: FormatBytes}
 }
 
-// IntSizes is a range of byte sizes that are kept as int.
+// IntSizes returns a range of byte sizes stored as int.
 func IntSizes(lowest, highest int) Range[int] {
 	parse := func(text string) (int, error) {
 		bytes, err := ParseBytes(text)
@@ -38,17 +37,17 @@
 	return Range[int]{Lowest: lowest, Highest: highest, parse: parse, format: format}
 }
 
-// Counts is a range of whole numbers without a unit.
+// Counts returns a range of integers without a unit.
 func Counts(lowest, highest int) Range[int] {
 	return Range[int]{Lowest: lowest, Highest: highest, parse: parseCount, format: strconv.Itoa}
 }
 
-// Numbers is a range of numbers without a unit.
+// Numbers returns a range of numbers without a unit.
 func Numbers(lowest, highest float64) Range[float64] {
 	return Range[float64]{Lowest: lowest, Highest: highest, parse: parseNumber, format: formatNumber}
 }
 
-// Parse reads text as a value of the range.
+// Parse parses text as a value in the range.
 func (r Range[T]) Parse(text string) (T, error) {
 	value, err := r.parse(text)
 	if err != nil {
@@ -60,12 +59,12 @@
 	return value, nil
 }
 
-// Format writes a value so that Parse reads it back.
+// Format formats a value so that Parse returns it unchanged.
 func (r Range[T]) Format(value T) string {
 	return r.format(value)
 }
 
-// String describes the range as "lowest to highest".
+// String returns the range as "lowest to highest".
 func (r Range[T]) String() string {
 	return r.format(r.Lowest) + " to " + r.format(r.Highest)
 }
@@ -83,7 +82,7 @@
 	if err != nil || math.IsNaN(value) {
 		return 0, errors.Errorf("%q is no number", text)
 	}
-	return value + 0, nil // "-0" becomes "0"
+	return value + 0, nil // turns -0 into 0
 }
 
 func formatNumber(number float64) string {
--- a/pkg/settings/units/units.go
+++ b/pkg/settings/units/units.go
@@ -1,5 +1,5 @@
-// Package units reads and writes quantities of settings: durations and byte
-// sizes, which always carry their unit.
+// Package units parses and formats the quantities in settings: durations and byte sizes, which
+// always carry a unit, and plain numbers.
 package units
 
 import (
@@ -12,21 +12,22 @@
 	"github.com/pkg/errors"
 )
 
-// unit is a suffix of a byte size and the bytes it stands for.
+// unit is a suffix of byte sizes and its number of bytes.
 type unit struct {
 	suffix string
 	bytes  uint64
 }
 
-// byteUnits are in the order in which suffixes are tried: "B" ends all others.
+// byteUnits are in the order in which suffixes are tried; "B" is last because all other suffixes
+// end in it.
 var byteUnits = []unit{
 	{"TiB", 1 << 40}, {"GiB", 1 << 30}, {"MiB", 1 << 20}, {"KiB", 1 << 10},
 	{"TB", 1e12}, {"GB", 1e9}, {"MB", 1e6}, {"kB", 1e3},
 	{"B", 1},
 }
 
-// ParseDuration reads a duration such as "10m" or "1h30m". A number without a
-// unit, also zero, is an error.
+// ParseDuration parses a duration such as "10m" or "1h30m". A number without a unit is an error,
+// even zero.
 func ParseDuration(text string) (time.Duration, error) {
 	if isBareNumber(text) {
 		return 0, errors.Errorf("%q has no unit, write for example %ss or %sm", text, text, text)
@@ -38,8 +39,8 @@
 	return duration, nil
 }
 
-// ParseBytes reads a byte size such as "16GiB", "1.5GiB" or "512B". A number
-// without a unit is an error.
+// ParseBytes parses a byte size such as "16GiB", "1.5GiB" or "512B". A number without a unit is an
+// error.
 func ParseBytes(text string) (uint64, error) {
 	if isBareNumber(text) {
 		return 0, errors.Errorf("%q has no unit, write for example %sMiB or %sGiB", text, text, text)
@@ -54,7 +55,7 @@
 	return 0, errors.Errorf("%q is no byte size, write for example 512MiB or 16GiB", text)
 }
 
-// multiply returns digits times unit, exactly if digits is a whole number.
+// multiply returns digits times unit; the result is exact if digits is an integer.
 func multiply(text, digits string, unit uint64) (uint64, error) {
 	if whole, err := strconv.ParseUint(digits, 10, 64); err == nil {
 		if whole > math.MaxUint64/unit {
@@ -76,8 +77,8 @@
 	return uint64(bytes), nil
 }
 
-// FormatDuration writes a duration so that ParseDuration reads it back, without
-// trailing zero parts: "10m", not "10m0s".
+// FormatDuration formats a duration so that ParseDuration returns it unchanged, without trailing
+// zero parts: "10m", not "10m0s".
 func FormatDuration(duration time.Duration) string {
 	text := duration.String()
 	if strings.HasSuffix(text, "m0s") {
@@ -89,8 +90,7 @@
 	return text
 }
 
-// FormatBytes writes a byte size exactly, in the largest binary unit that
-// divides it.
+// FormatBytes formats a byte size exactly, in the largest binary unit that divides it.
 func FormatBytes(bytes uint64) string {
 	for _, unit := range byteUnits[:4] {
 		if bytes != 0 && bytes%unit.bytes == 0 {
@@ -100,7 +100,7 @@
 	return fmt.Sprintf("%dB", bytes)
 }
 
-// isBareNumber tells whether text is a decimal number and nothing else.
+// isBareNumber reports whether text is a decimal number without a unit.
 func isBareNumber(text string) bool {
 	if text == "" {
 		return false
--- a/pkg/settings/units/units_test.go
+++ b/pkg/settings/units/units_test.go
@@ -37,16 +37,16 @@
 func TestFormattedValuesAreReadBack(t *testing.T) {
 	for _, duration := range []time.Duration{0, time.Nanosecond, time.Minute, time.Hour, 90 * time.Minute, time.Hour + time.Second, 36 * time.Hour, 100 * time.Millisecond} {
 		if got, err := ParseDuration(FormatDuration(duration)); err != nil || got != duration {
-			t.Errorf("%s is written as %q and read as %s, %v", duration, FormatDuration(duration), got, err)
+			t.Errorf("%s is formatted as %q and parsed as %s, %v", duration, FormatDuration(duration), got, err)
 		}
 	}
 	for _, bytes := range []uint64{0, 1, 1023, 1024, 1 << 20, 3 << 29, 1<<64 - 1} {
 		if got, err := ParseBytes(FormatBytes(bytes)); err != nil || got != bytes {
-			t.Errorf("%d is written as %q and read as %d, %v", bytes, FormatBytes(bytes), got, err)
+			t.Errorf("%d is formatted as %q and parsed as %d, %v", bytes, FormatBytes(bytes), got, err)
 		}
 	}
 	if text := FormatDuration(10 * time.Minute); text != "10m" {
-		t.Errorf("10m is written as %q", text)
+		t.Errorf("10m is formatted as %q", text)
 	}
 }
 
@@ -56,15 +56,15 @@
 	}
 	for _, text := range []string{"0", "6", "x", "1.0"} {
 		if _, err := Counts(1, 5).Parse(text); err == nil {
-			t.Errorf("%q is taken for a count from 1 to 5", text)
+			t.Errorf("%q is accepted as a count from 1 to 5", text)
 		}
 	}
 	for _, text := range []string{"NaN", "Inf", "-0.1", "1.1", ""} {
 		if _, err := Numbers(0, 1).Parse(text); err == nil {
-			t.Errorf("%q is taken for a number from 0 to 1", text)
+			t.Errorf("%q is accepted as a number from 0 to 1", text)
 		}
 	}
 	if value, err := Numbers(0, 1).Parse("-0"); err != nil || Numbers(0, 1).Format(value) != "0" {
-		t.Errorf("-0 is read as %v, %v", value, err)
+		t.Errorf("-0 is parsed as %v, %v", value, err)
 	}
 }
--- a/tools/compare/main.go
+++ b/tools/compare/main.go
@@ -1,12 +1,12 @@
-// Command compare plays the same days with the same seeds on several checkouts
-// and shows what each day was worth, part by part, so that a change can be told
-// from luck: a single score of the users' bench moves by 0.03 on the same code.
+// Command compare runs the same benchmark days with the same seeds on several checkouts and prints
+// the score of each day, broken down by part. Many seeds are needed to tell a change from noise: a
+// single score of the users' bench varies by 0.03 on the same code.
 //
 //	go run ./compare [-seeds N] [-jobs N] [-days A,B] [-small] BENCH SITE[,SITE...] CHECKOUT...
 //
-// BENCH is the bench's program and SITE a site file; several are played beside each
-// other and get a column each in the last table, such as a site and its strict twin
-// (tools/variants). Processor time is not charged, so that a run repeats.
+// BENCH is the bench's executable and SITE a site file. Several sites are run side by side and get
+// a column each in the last table, for example a site and its stricter variant (tools/variants).
+// Processor time is not charged, so that runs are reproducible.
 package main
 
 import (
@@ -25,23 +25,23 @@
 	"sync"
 )
 
-// report is what is read of the bench's report of a day.
+// report is the part of the bench's report on a day that is used here.
 type report struct {
 	Worth  float64                    `json:"G"`
-	Parts  [][3]any                   `json:"parts"`  // name, weight, value
-	Prices [][3]any                   `json:"prices"` // name, amount, price
+	Parts  [][3]any                   `json:"parts"`  // name, weight and value of each
+	Prices [][3]any                   `json:"prices"` // name, amount and price of each
 	Breaks map[string]json.RawMessage `json:"breaks"`
 	Fault  any                        `json:"fault"`
 	Short  []string                   `json:"short"`
 }
 
-// play is one day of a site with one seed on one checkout.
+// play is one run: a day on a site, with one seed and one checkout.
 type play struct {
 	site, checkout, day string
 	seed                int
 }
 
-// options are the flags.
+// options holds the command-line flags.
 type options struct {
 	seeds, jobs int
 	days        []string
@@ -51,8 +51,8 @@
 func main() {
 	var o options
 	flag.IntVar(&o.seeds, "seeds", 4, "seeds of each day")
-	flag.IntVar(&o.jobs, "jobs", 4, "days played at once")
-	flag.BoolVar(&o.small, "small", false, "play the small twins of large days")
+	flag.IntVar(&o.jobs, "jobs", 4, "days run concurrently")
+	flag.BoolVar(&o.small, "small", false, "run the small variants of large days")
 	days := flag.String("days", "quiet-1,trouble-1,scale-1,trouble-2,scale-2,trouble-3", "names of days")
 	flag.Parse()
 	if flag.NArg() < 3 {
@@ -66,7 +66,7 @@
 		sites = append(sites, absolute(site))
 	}
 	results := playAll(bench, sites, checkouts, o)
-	table := make(map[string][]float64) // means by checkout, one for each site
+	table := make(map[string][]float64) // mean scores by checkout, one per site
 	for _, site := range sites {
 		for _, checkout := range checkouts {
 			total := 0.0
@@ -87,24 +87,24 @@
 }
 
 func absolute(path string) string {
-	whole, err := filepath.Abs(path)
+	absolutePath, err := filepath.Abs(path)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	return whole
+	return absolutePath
 }
 
-// playAll plays all days and returns the reports of those that were played.
+// playAll runs all plays and returns the reports of those that succeeded.
 func playAll(bench string, sites, checkouts []string, o options) map[play]report {
 	results := make(map[play]report)
 	var mu sync.Mutex
 	var wait sync.WaitGroup
-	turns := make(chan struct{}, max(o.jobs, 1))
+	slots := make(chan struct{}, max(o.jobs, 1))
 	for _, p := range plays(sites, checkouts, o) {
-		turns <- struct{}{}
+		slots <- struct{}{}
 		wait.Go(func() {
-			defer func() { <-turns }()
+			defer func() { <-slots }()
 			r, err := p.run(bench, o.small)
 			if err != nil {
 				fmt.Fprintf(os.Stderr, "%s %s %s seed %d: %v\n", p.site, p.checkout, p.day, p.seed, err)
@@ -119,7 +119,7 @@
 	return results
 }
 
-// plays lists what is to be played, the same day on all checkouts in a row.
+// plays lists the runs, those of the same day, seed and site on all checkouts in a row.
 func plays(sites, checkouts []string, o options) []play {
 	var list []play
 	for _, day := range o.days {
@@ -134,7 +134,7 @@
 	return list
 }
 
-// run plays the day.
+// run runs the bench and returns its report.
 func (p play) run(bench string, small bool) (report, error) {
 	file, err := os.CreateTemp("", "report")
 	if err != nil {
@@ -160,7 +160,7 @@
 	return r, json.Unmarshal(text, &r)
 }
 
-// show prints a day's means over its seeds and returns that of its worth.
+// show prints the means of a day over its seeds and returns the mean score.
 func show(site, checkout, day string, results map[play]report, seeds int) float64 {
 	var worth, prices []float64
 	parts := make(map[string][]float64)
@@ -204,10 +204,10 @@
 	return mean(worth)
 }
 
-// shownPrices is how many prices of a day are shown.
+// shownPrices is the number of prices shown for each day.
 const shownPrices = 4
 
-// largest shows the largest prices, summed over so many plays, as means.
+// largest formats the largest prices, as means over a number of plays.
 func largest(each map[string]float64, plays int) string {
 	names := slices.SortedFunc(maps.Keys(each), func(a, b string) int { return cmp.Compare(each[b], each[a]) })
 	text := ""
@@ -231,7 +231,7 @@
 	return sum / float64(max(len(values), 1))
 }
 
-// spread is the standard deviation.
+// spread returns the standard deviation.
 func spread(values []float64) float64 {
 	center, sum := mean(values), 0.0
 	for _, v := range values {
--- a/tools/credit/main.go
+++ b/tools/credit/main.go
@@ -1,11 +1,11 @@
-// Command credit splits what days of the users' bench lost by cause: it plays
-// them with the logs of all nodes and sorts each request that was late, refused or
-// failed by what it waited for and how its attempts ended.
+// Command credit breaks down by cause the score that days of the users' bench lost. It runs the
+// days with the logs of all nodes, and classifies each request that was late, refused or failed by
+// what it waited for and how its attempts ended.
 //
 //	go run ./credit [-seeds N] [-jobs N] [-days A,B] BENCH SITE CHECKOUT
 //
-// Requests whose node was killed leave no line; what they lost stands as "without
-// a line", the difference to the bench's own count of each kind.
+// Requests whose node was killed leave no log line. Their loss is shown as "without a line": the
+// difference to the bench's own count for each class of requests.
 package main
 
 import (
@@ -18,7 +18,7 @@
 
 func main() {
 	seeds := flag.Int("seeds", 3, "seeds of each day")
-	jobs := flag.Int("jobs", 4, "days played at once")
+	jobs := flag.Int("jobs", 4, "days run concurrently")
 	days := flag.String("days", "quiet-1,trouble-1,scale-1,trouble-2,scale-2,trouble-3", "names of days")
 	flag.Parse()
 	if flag.NArg() != 3 {
@@ -33,20 +33,20 @@
 	total := newSplit()
 	var mu sync.Mutex
 	var wait sync.WaitGroup
-	turns := make(chan struct{}, max(*jobs, 1))
+	slots := make(chan struct{}, max(*jobs, 1))
 	for _, day := range strings.Split(*days, ",") {
 		for seed := 1; seed <= *seeds; seed++ {
-			turns <- struct{}{}
+			slots <- struct{}{}
 			wait.Go(func() {
-				defer func() { <-turns }()
-				one, err := s.play(flag.Arg(0), flag.Arg(2), day, seed)
+				defer func() { <-slots }()
+				result, err := s.play(flag.Arg(0), flag.Arg(2), day, seed)
 				if err != nil {
 					fmt.Fprintf(os.Stderr, "%s seed %d: %v\n", day, seed, err)
 					return
 				}
 				mu.Lock()
 				defer mu.Unlock()
-				total.add(one)
+				total.add(result)
 			})
 		}
 	}
--- a/tools/credit/play.go
+++ b/tools/credit/play.go
@@ -12,7 +12,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-// site is what is read of a site file.
+// site is the part of a site file that is used here.
 type site struct {
 	path    string
 	Classes []class `toml:"classes"`
@@ -28,7 +28,7 @@
 	return s, err
 }
 
-// of returns the kind of request of a line, nil if it can't be told.
+// of returns the class of a line's request, identified by its target; nil if there is none.
 func (s *site) of(l *line) *class {
 	for i := range s.Classes {
 		if s.Classes[i].Target == l.Target {
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// report is what is read of the bench's report of a day.
+// report is the part of the bench's report on a day that is used here.
 type report struct {
 	Classes []struct {
 		Name  string  `json:"name"`
@@ -48,57 +48,57 @@
 	} `json:"classes"`
 }
 
-// play plays a day and splits what it lost. Kinds of the same target stand
-// together under the first one's name.
+// play runs a day and returns the breakdown of its losses. Classes with the same target are counted
+// together under the name of the first class.
 func (s *site) play(bench, checkout, day string, seed int) (split, error) {
-	one := newSplit()
+	result := newSplit()
 	file, err := os.CreateTemp("", "report")
 	if err != nil {
-		return one, err
+		return result, err
 	}
 	_ = file.Close()
 	defer os.Remove(file.Name())
 	bench, err = filepath.Abs(bench)
 	if err != nil {
-		return one, err
+		return result, err
 	}
 	command := exec.Command(bench, "run", s.path, day, "--seed", strconv.Itoa(seed), "--no-cpu", "--log", "all",
 		"--report", file.Name(), "--why", "where credit goes")
 	command.Dir = checkout
 	out, err := command.CombinedOutput()
 	if err != nil {
-		return one, fmt.Errorf("%w: %s", err, out[max(len(out)-300, 0):])
+		return result, fmt.Errorf("%w: %s", err, out[max(len(out)-300, 0):])
 	}
 	text, err := os.ReadFile(file.Name())
 	if err != nil {
-		return one, err
+		return result, err
 	}
 	var r report
 	if err := json.Unmarshal(text, &r); err != nil {
-		return one, err
+		return result, err
 	}
-	s.owed(one, &r)
-	s.read(one, out)
-	return one, nil
+	s.owed(result, &r)
+	s.read(result, out)
+	return result, nil
 }
 
-// owed takes in the bench's own count.
-func (s *site) owed(one split, r *report) {
-	for _, told := range r.Classes {
+// owed adds the bench's own counts.
+func (s *site) owed(result split, r *report) {
+	for _, reported := range r.Classes {
 		for i := range s.Classes {
-			if s.Classes[i].Name != told.Name {
+			if s.Classes[i].Name != reported.Name {
 				continue
 			}
 			name := s.of(&line{Target: s.Classes[i].Target}).Name
-			owed := float64(told.Owed-told.Not) * s.Classes[i].Worth
-			one.owed[name] += owed
-			one.lost[name] += owed * (1 - told.Worth)
+			owed := float64(reported.Owed-reported.Not) * s.Classes[i].Worth
+			result.owed[name] += owed
+			result.lost[name] += owed * (1 - reported.Worth)
 		}
 	}
 }
 
-// read counts the requests of the nodes' logs.
-func (s *site) read(one split, out []byte) {
+// read adds the losses of the requests in the nodes' logs.
+func (s *site) read(result split, out []byte) {
 	for text := range bytes.Lines(out) {
 		at := bytes.IndexByte(text, '{')
 		if at < 0 {
@@ -109,7 +109,7 @@
 			continue
 		}
 		if c := s.of(&l); c != nil {
-			one.count(c, &l)
+			result.count(c, &l)
 		}
 	}
 }
--- a/tools/credit/split.go
+++ b/tools/credit/split.go
@@ -8,7 +8,7 @@
 	"slices"
 )
 
-// line is what is read of the log line of a request.
+// line is the part of a request's log line that is used here.
 type line struct {
 	Message  string  `json:"@message"`
 	Outcome  string  `json:"outcome"`
@@ -19,8 +19,8 @@
 	Target   float64 `json:"target_ms"`
 	Waited   float64 `json:"waited_ms"`
 	WaitFor  string  `json:"waited_for"`
-	Left     float64 `json:"left_ms"`   // of the time that the caller and the route give, at the end
-	Given    float64 `json:"caller_ms"` // that the caller gave; zero: not told
+	Left     float64 `json:"left_ms"`   // remaining at the end, of the time limit set by caller and route
+	Given    float64 `json:"caller_ms"` // time limit set by the caller; zero if not logged
 	Pause    float64 `json:"pause_ms"`
 	PauseMax float64 `json:"pause_target_ms"`
 	Tries    []struct {
@@ -28,7 +28,7 @@
 	} `json:"tries"`
 }
 
-// class is a kind of request of the site file.
+// class is a class of requests in the site file.
 type class struct {
 	Name   string  `toml:"name"`
 	Target float64 `toml:"aim_ms"`
@@ -37,12 +37,11 @@
 	Late   float64 `toml:"late_worth"`
 }
 
-// returnShare is the part of a caller's whole time below which what it still has shows
-// that it was refused before.
+// returnShare separates first attempts from retries: if the caller's remaining time is below this
+// share of its whole time limit, an earlier attempt of the same request was refused.
 const returnShare = 0.97
 
-// before returns how long ago the caller's first try was when this one came, zero for a
-// first try.
+// before returns how much earlier the caller's first attempt was; zero for a first attempt.
 func (l *line) before(c *class) float64 {
 	given := cmp.Or(l.Given, l.Took+l.Left)
 	if given >= returnShare*c.Whole {
@@ -51,15 +50,16 @@
 	return c.Whole - given
 }
 
-// loss returns what the request of a line lost of its worth, counted from the caller's
-// first try. A first try that was refused loses nothing yet: its caller's next one tells.
+// loss returns how much of its worth the request of a line lost, with its time counted from the
+// caller's first attempt. A first attempt that was refused counts as no loss yet: the caller's next
+// attempt decides.
 func (l *line) loss(c *class) float64 {
 	before := l.before(c)
 	switch {
 	case l.Status == http.StatusUnauthorized:
-		return 0 // nothing is owed to who holds no key
+		return 0 // requests without a valid key have no worth
 	case l.Outcome == "refused" && (before == 0 || l.Given == 0) && len(l.Tries) == 0:
-		return 0 // refused before it was read what the caller gives, or at its first try
+		return 0 // refused before the caller's time limit was read, or at the first attempt
 	case l.Outcome != "served" || l.Status >= 400:
 		return c.Worth
 	case before+l.First <= l.Target && !l.paused():
@@ -69,10 +69,10 @@
 	}
 }
 
-// paused tells whether the stream paused for too long between two events.
+// paused reports whether the stream paused for too long between two events.
 func (l *line) paused() bool { return l.PauseMax > 0 && l.Pause > l.PauseMax }
 
-// cause names why a request lost something.
+// cause returns the reason why a request lost worth.
 func (l *line) cause(c *class) string {
 	end := "late"
 	switch {
@@ -100,13 +100,13 @@
 	}
 }
 
-// item is what one cause cost.
+// item is the loss by one cause.
 type item struct {
 	requests int
 	loss     float64
 }
 
-// split is what was lost, by kind of request and cause.
+// split is a breakdown of the losses by class of requests and cause.
 type split struct {
 	owed   map[string]float64
 	lost   map[string]float64 // by the bench's own count
@@ -117,7 +117,7 @@
 	return split{owed: make(map[string]float64), lost: make(map[string]float64), causes: make(map[string]map[string]item)}
 }
 
-// count adds a request.
+// count adds the loss of a request.
 func (s split) count(c *class, l *line) {
 	loss := l.loss(c)
 	if loss <= 0 {
@@ -134,7 +134,7 @@
 	s.causes[class][cause] = item{i.requests + more.requests, i.loss + more.loss}
 }
 
-// add takes in another split.
+// add adds another split.
 func (s split) add(other split) {
 	for name, owed := range other.owed {
 		s.owed[name] += owed
@@ -147,8 +147,8 @@
 	}
 }
 
-// print shows the causes of each kind of request, the costliest first, as parts of
-// all that was owed.
+// print prints the causes of loss of each class, largest first, as shares of the worth of all
+// requests.
 func (s split) print(w io.Writer) {
 	owed := 0.0
 	for _, v := range s.owed {
@@ -160,12 +160,12 @@
 	}
 	var rows []row
 	for name := range s.owed {
-		told := 0.0
+		reported := 0.0
 		for cause, i := range s.causes[name] {
 			rows = append(rows, row{name, cause, i})
-			told += i.loss
+			reported += i.loss
 		}
-		rows = append(rows, row{name, "without a line", item{0, s.lost[name] - told}})
+		rows = append(rows, row{name, "without a line", item{0, s.lost[name] - reported}})
 	}
 	slices.SortFunc(rows, func(a, b row) int {
 		return cmp.Or(cmp.Compare(b.loss, a.loss), cmp.Compare(a.class, b.class), cmp.Compare(a.cause, b.cause))
--- a/tools/credit/split_test.go
+++ b/tools/credit/split_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// TestBefore: what the caller gave tells a first try, also if the route bounds it further.
+// TestBefore checks that the caller's own time limit identifies a first attempt, also if the route
+// sets a shorter limit.
 func TestBefore(t *testing.T) {
 	c := &class{Target: 4000, Whole: 30000, Worth: 10, Late: 1.5}
 	for _, test := range []struct {
