--- a/e2e/faults_test.go
+++ b/e2e/faults_test.go
@@ -245,9 +245,9 @@
 }
 
 // TestBurstOutlivesAStalledOwner stops the owner of the cell during a load, for longer than its
-// term. The next owner must take over the load and keep the waiting requests. The failure guarded
-// against: the new owner refused all requests that waited at its own node, as if models in use took
-// the memory.
+// term. The next owner must take over the load and keep the waiting requests. The test
+// guards against a new owner that refuses all requests that wait at its own node, as if models in
+// use took the memory.
 func TestBurstOutlivesAStalledOwner(t *testing.T) {
 	t.Parallel()
 	const (
--- a/e2e/rolling_test.go
+++ b/e2e/rolling_test.go
@@ -144,11 +144,11 @@
 
 // nodesWithout returns all nodes but one.
 func (c *cluster) nodesWithout(excluded *nodeProcess) []*nodeProcess {
-	var rest []*nodeProcess
+	var remaining []*nodeProcess
 	for _, node := range c.nodes {
 		if node != excluded {
-			rest = append(rest, node)
+			remaining = append(remaining, node)
 		}
 	}
-	return rest
+	return remaining
 }
--- a/pkg/admission/decide.go
+++ b/pkg/admission/decide.go
@@ -6,7 +6,7 @@
 	"github.com/pkg/errors"
 )
 
-// Parts of the available time and memory that decisions count on. The rest is reserve for what
+// Parts of the available time and memory that decisions count on. What remains is a reserve for what
 // can't be predicted.
 const (
 	// inTimeShare is the part of the time until a request is late. Prompts that arrive later delay
@@ -156,9 +156,9 @@
 	return nil
 }
 
-// decideLate decides on a request that can't be in time. It goes where it takes capacity from no
-// other request. As long as its caller waits, it waits for that behind all requests that can be in
-// time.
+// decideLate decides on a request that can't be in time. It goes to a server that is nearly idle, where
+// it delays no other request. Until there is one it waits behind all requests that can be in time, as
+// long as its caller waits.
 func (m *Model) decideLate(now time.Time, r *Request, o order, list []candidate) Verdict {
 	o.late, o.due = true, now.Add(r.Patience)
 	limit := time.Duration(patienceShare * float64(r.Patience))
@@ -242,18 +242,18 @@
 
 // predict computes what the request can expect on the server. share is the server's share of what
 // waits before it.
-func (p *candidate) predict(now time.Time, r *Request, o order, waiting ahead, share float64, ways ablation) {
+func (p *candidate) predict(now time.Time, r *Request, o order, waiting ahead, share float64, ablated ablation) {
 	s := p.server
 	p.open, p.wait = false, 0
 	p.pending = p.load.pending + share*waiting.work
 	p.expected = p.pending + p.ownTokens + s.eventWork(p.pending/2)
 	p.first = duration(p.expected, p.load.speed)
-	if !p.hasCapacity(r, waiting, share, ways) {
+	if !p.hasCapacity(r, waiting, share, ablated) {
 		p.wait = s.turnover(p.load)
 		p.first += p.wait
 		return
 	}
-	depth := s.maxPending(now, o.rank, p.ownTokens, p.load.speed, ways)
+	depth := s.maxPending(now, o.rank, p.ownTokens, p.load.speed, ablated)
 	if slack := time.Duration(inTimeShare*float64(r.Target)) - p.first; slack >= 0 && slack < maxWait {
 		depth = max(depth, tokens(keepBusy, p.load.speed)) // it would be late otherwise
 	}
@@ -262,9 +262,9 @@
 	p.wait = duration(max(over, 0), p.load.speed)
 }
 
-// hasCapacity reports whether the server has a slot and memory for the request, next to what runs
-// and what waits before it.
-func (p *candidate) hasCapacity(r *Request, waiting ahead, share float64, ways ablation) bool {
+// hasCapacity reports whether the server has a slot and memory for the request, in addition to the
+// requests that run and those that wait before it.
+func (p *candidate) hasCapacity(r *Request, waiting ahead, share float64, ablated ablation) bool {
 	if p.load.places == 0 {
 		return true // the server itself rejects a request that exceeds its memory
 	}
@@ -272,7 +272,7 @@
 		return false
 	}
 	taken := p.load.memory + int(share*float64(waiting.memory)) + r.Work.memory()
-	return ways.noMemory || taken <= int(memoryShare*float64(p.server.engine.CacheTokens))
+	return ablated.noMemory || taken <= int(memoryShare*float64(p.server.engine.CacheTokens))
 }
 
 // turnover estimates when one of the server's places is free: in the time that a request takes, as
@@ -285,10 +285,10 @@
 	return min(duration(sum/float64(max(l.places, 1)), l.speed), maxTurnover)
 }
 
-// maxPending returns the largest amount of pending work in front of a request of a rank that brings
-// own tokens. It allows more urgent requests, if any came recently, to be in time.
-func (s *server) maxPending(now time.Time, rank int, own, speed float64, ways ablation) float64 {
-	if ways.noHeadroom {
+// maxPending returns the largest amount of pending work before a request of a rank that has the given
+// tokens of its own. Within it, more urgent requests, if any came recently, are still in time.
+func (s *server) maxPending(now time.Time, rank int, own, speed float64, ablated ablation) float64 {
+	if ablated.noHeadroom {
 		return maxTokens
 	}
 	most := tokens(keepBusy, speed)
@@ -308,11 +308,11 @@
 	s := best.server
 	p := &place{key: r.Place, model: r.Key, need: r.Need, rank: r.Rank, target: r.routeTarget(), sent: now, work: best.ownTokens,
 		expected: best.expected, memory: r.Work.memory(), out: r.Work.Out, fullWork: r.Work,
-		deadline: now.Add(r.Left + newsDelay), lastReport: now}
+		deadline: now.Add(r.Left + maxReportDelay), lastReport: now}
 	m.addPlace(best.name, s, p)
 	s.updateProfile(now, r.Rank, p.target, best.ownTokens)
 	s.noteServed(now, r.Rank)
-	return Verdict{Kind: Go, Server: best.name, First: best.first, Age: now.Sub(s.heard)}
+	return Verdict{Kind: Go, Server: best.name, First: best.first, Age: now.Sub(s.lastReport)}
 }
 
 // enqueue has a request wait for a server.
@@ -321,15 +321,15 @@
 	after := max(best.wait, minWait, time.Duration(len(s.waiters))*waitPerWaiter)
 	after = min(after, max(maxWait, time.Duration(len(s.waiters))*waitPerWaiter))
 	w := &waiter{place: r.Place, model: r.Key, target: r.routeTarget(), server: best.name, order: o, work: best.ownTokens, memory: r.Work.memory(),
-		until: now.Add(after + newsDelay)}
+		until: now.Add(after + maxReportDelay)}
 	s.waiters = append(s.waiters, w)
 	m.waiting[r.Place] = w
 	s.updateProfile(now, r.Rank, r.routeTarget(), best.ownTokens)
-	return Verdict{Kind: Wait, First: best.first, After: after, Age: now.Sub(s.heard)}
+	return Verdict{Kind: Wait, First: best.first, After: after, Age: now.Sub(s.lastReport)}
 }
 
-// refuse tells a request when capacity should be free, after the refused requests that were told to
-// come back earlier.
+// refuse refuses a request until capacity should be free for it, after the requests that were refused
+// before it and come back earlier.
 func (m *Model) refuse(now time.Time, r *Request, best *candidate) Verdict {
 	speed := 0.0
 	for _, name := range r.Servers {
@@ -337,12 +337,12 @@
 			speed += s.speed.estimate(now)
 		}
 	}
-	c := m.overload(r.Key)
-	away := max(min(best.first, maxAway/2), c.reservedUntil.Sub(now), minAway)
+	o := m.overload(r.Key)
+	away := max(min(best.first, maxAway/2), o.reservedUntil.Sub(now), minAway)
 	if away > maxAway { // spread by the node's request counter, or all would come back at once
 		away = maxAway - time.Duration(r.Place.ID%awaySpread)*maxAway/(4*awaySpread)
 	}
-	room := away + duration(best.ownTokens, max(speed, minSpeed))
-	c.reservedUntil = now.Add(min(room, maxAway+1)) // beyond maxAway, the next one is spread
-	return Verdict{Kind: Refuse, First: best.first, After: away, Age: now.Sub(best.server.heard)}
+	reservedFor := away + duration(best.ownTokens, max(speed, minSpeed))
+	o.reservedUntil = now.Add(min(reservedFor, maxAway+1)) // beyond maxAway, the next one is spread
+	return Verdict{Kind: Refuse, First: best.first, After: away, Age: now.Sub(best.server.lastReport)}
 }
--- a/pkg/admission/ledger.go
+++ b/pkg/admission/ledger.go
@@ -167,7 +167,7 @@
 		e.report.Ended = true
 	case !l.isOverloaded(now, key) || len(l.requests) >= MaxReports:
 		return false
-	default: // it was told to wait and is on no server
+	default: // its verdict was Wait, so it is on no server
 		if l.requests == nil {
 			l.requests = make(map[uint64]*entry)
 		}
--- a/pkg/admission/ledger_test.go
+++ b/pkg/admission/ledger_test.go
@@ -38,13 +38,13 @@
 		at   time.Duration
 		want Standing
 	}{
-		{"one like it", r, 100 * time.Millisecond, Refused},
-		{"a more urgent one", &urgent, 100 * time.Millisecond, Silent},
-		{"one with more time", &patient, 100 * time.Millisecond, Silent},
-		{"once somebody may answer again", r, unansweredPause, Ask},
+		{"a similar request", r, 100 * time.Millisecond, Refused},
+		{"a more urgent request", &urgent, 100 * time.Millisecond, Silent},
+		{"a request with a longer target", &patient, 100 * time.Millisecond, Silent},
+		{"when the holder may be asked again", r, unansweredPause, Ask},
 	} {
 		if got := l.Check(testStart.Add(c.at), c.r); got != c.want {
-			t.Errorf("%s: %d, want %d", c.name, got, c.want)
+			t.Errorf("%s: the standing is %d, want %d", c.name, got, c.want)
 		}
 	}
 	l.Unanswered(testStart.Add(refusalTime))
--- a/pkg/admission/model.go
+++ b/pkg/admission/model.go
@@ -146,7 +146,7 @@
 		m.forget(key)
 		return ErrServer
 	}
-	s.heard = now
+	s.lastReport = now
 	h := m.places[node][r.ID]
 	if h != nil && h.grantedAfter(now.Add(-r.Sent)) {
 		return nil // outdated: about an earlier send of the request
@@ -169,11 +169,11 @@
 	return nil
 }
 
-// learnPlace adds a place that was not granted here.
+// learnPlace adds a place that this model did not grant.
 func (m *Model) learnPlace(now time.Time, key Place, s *server, r *Report) *placeAt {
 	p := &place{key: key, model: r.Key, need: r.Need, rank: r.Rank, target: r.Target, sent: now.Add(-r.Sent),
 		work: s.prefillTokens(now, r.Need, r.Work), memory: r.Work.memory(), out: r.Work.Out, fullWork: r.Work,
-		deadline: now.Add(r.Left + newsDelay)}
+		deadline: now.Add(r.Left + maxReportDelay)}
 	m.addPlace(r.Server, s, p)
 	s.updateProfile(now, r.Rank, r.Target, p.work)
 	s.noteServed(p.sent, r.Rank)
@@ -192,7 +192,7 @@
 // serverTTL is the time after which a server without reports is forgotten.
 const serverTTL = time.Minute
 
-// Expire removes what is over: places past their deadline, waiters that did not ask again, and
+// Expire removes places past their deadline, waiters that did not ask again, and
 // servers that are gone.
 func (m *Model) Expire(now time.Time) {
 	m.mu.Lock()
@@ -211,7 +211,7 @@
 	}
 	for name, s := range m.servers {
 		_, known := m.Engine(name)
-		if !known || len(s.places)+len(s.waiters) == 0 && now.Sub(s.heard) > serverTTL {
+		if !known || len(s.places)+len(s.waiters) == 0 && now.Sub(s.lastReport) > serverTTL {
 			delete(m.servers, name)
 		}
 	}
--- a/pkg/admission/model_test.go
+++ b/pkg/admission/model_test.go
@@ -70,11 +70,11 @@
 	}
 	for id := range uint64(300) {
 		if v := decide(t, m, 0, newRequest(id, 1, 9000, 500*time.Millisecond, 600*time.Millisecond)); v.After > maxAway {
-			t.Fatalf("a request is told to stay away for %v", v.After)
+			t.Fatalf("a request is refused for %v, want at most maxAway", v.After)
 		}
 	}
 	if v := decide(t, m, 4*time.Second, newRequest(1, 1, 9000, 500*time.Millisecond, 600*time.Millisecond)); v.Kind != Refuse || v.After > maxAway/2 {
-		t.Errorf("four seconds after 300 refusals it got %+v", v)
+		t.Errorf("four seconds after 300 refusals a request got %+v, want a refusal with at most half of maxAway", v)
 	}
 }
 
@@ -174,7 +174,7 @@
 	}
 }
 
-func TestSpeedIsLearnedWithCareAndForgotten(t *testing.T) {
+func TestSpeedEstimate(t *testing.T) {
 	var s speed
 	if got := s.estimate(testStart); got != defaultSpeed {
 		t.Errorf("the speed of an unknown server is %g, want defaultSpeed", got)
@@ -214,9 +214,9 @@
 	}
 }
 
-// TestAnOverdueAnswerTellsThatTheServerIsSlow: an overdue answer shows that a server is slow before
+// TestOverdueAnswerShowsThatTheServerIsSlow: an overdue answer shows that a server is slow before
 // any answer arrived.
-func TestAnOverdueAnswerTellsThatTheServerIsSlow(t *testing.T) {
+func TestOverdueAnswerShowsThatTheServerIsSlow(t *testing.T) {
 	m := newModel()
 	first := newRequest(1, 1, 3000, 2*time.Second, 10*time.Second)
 	first.Servers = []string{"s0"}
@@ -255,17 +255,17 @@
 }
 
 // TestUnreportedPlacesAreFreed: a place is freed if the report of its end was lost, its node is
-// gone or silent, its deadline has passed, or its server is gone.
+// gone, its deadline has passed, or its server is gone.
 func TestUnreportedPlacesAreFreed(t *testing.T) {
 	gone := false
 	for name, end := range map[string]func(m *Model, r *Request){
-		"the end is told": func(m *Model, r *Request) {
+		"its end is reported": func(m *Model, r *Request) {
 			m.AddReports(testStart.Add(time.Second), "n", []Report{report(r, "s0", time.Second, 0, true)}, false)
 		},
-		"the end was lost, the node tells of the rest": func(m *Model, _ *Request) { m.AddReports(testStart.Add(2*time.Second), "n", nil, true) },
-		"the node is silent":                           func(m *Model, _ *Request) { m.NodeGone("n") },
-		"its time is over":                             func(m *Model, _ *Request) { m.Expire(testStart.Add(16 * time.Second)) },
-		"the server is gone":                           func(m *Model, _ *Request) { gone = true; m.Expire(testStart.Add(time.Second)) },
+		"its end was lost, and the node no longer reports it": func(m *Model, _ *Request) { m.AddReports(testStart.Add(2*time.Second), "n", nil, true) },
+		"the node is gone":        func(m *Model, _ *Request) { m.NodeGone("n") },
+		"its deadline has passed": func(m *Model, _ *Request) { m.Expire(testStart.Add(16 * time.Second)) },
+		"the server is gone":      func(m *Model, _ *Request) { gone = true; m.Expire(testStart.Add(time.Second)) },
 		"it asks again": func(m *Model, r *Request) {
 			r.Target, r.Patience = 1, 1
 			_, _ = m.Decide(testStart.Add(time.Second), r)
@@ -294,9 +294,9 @@
 	}
 }
 
-// TestLateNewsOfAnEarlierSend: a late report on an earlier send must not free the place that the
+// TestLateReportOnAnEarlierSend: a late report on an earlier send must not free the place that the
 // request has now.
-func TestLateNewsOfAnEarlierSend(t *testing.T) {
+func TestLateReportOnAnEarlierSend(t *testing.T) {
 	m := newModel()
 	r := newRequest(1, 1, 3000, 4*time.Second, 10*time.Second)
 	r.Servers = r.Servers[:1]
@@ -429,7 +429,7 @@
 	}
 	var open []*sent
 	first, next, id := -1, 0.0, uint64(0)
-	overloaded, looks, tooLate := 0, 0, 0
+	overloaded, checks, tooLate := 0, 0, 0
 	for at := time.Duration(0); at < length; at += 10 * time.Millisecond {
 		for ; next < at.Seconds(); next += random.ExpFloat64() / rate {
 			id++
@@ -462,7 +462,7 @@
 		if at%(200*time.Millisecond) != 0 {
 			continue
 		}
-		looks++
+		checks++
 		if len(m.Overloaded(testStart.Add(at), func(Key) []string { return []string{"s0", "s1"}[:len(engines)] })) > 0 {
 			overloaded++
 			if first < 0 {
@@ -470,7 +470,7 @@
 			}
 		}
 	}
-	return first, float64(overloaded) / float64(looks), float64(tooLate) / float64(id)
+	return first, float64(overloaded) / float64(checks), float64(tooLate) / float64(id)
 }
 
 // TestShortPromptsAreNoOverload: servers with 12 to 64 slots that get prompts of 350 to 1,800
--- a/pkg/admission/overload.go
+++ b/pkg/admission/overload.go
@@ -41,12 +41,12 @@
 
 // overload returns the overload state of a model and creates it if needed. The caller holds mu.
 func (m *Model) overload(key Key) *overload {
-	c := m.overloads[key]
-	if c == nil {
-		c = &overload{key: key}
-		m.overloads[key] = c
+	o := m.overloads[key]
+	if o == nil {
+		o = &overload{key: key}
+		m.overloads[key] = o
 	}
-	return c
+	return o
 }
 
 // demand is what waits for a model's replicas.
@@ -65,23 +65,23 @@
 		m.overload(key)
 	}
 	var list []*overload
-	for key, c := range m.overloads {
+	for key, o := range m.overloads {
 		d, b := demands[key], backlog{}
-		if c.active || float64(d.waiting) >= overloadWaiting { // otherwise it can't be overloaded, whatever is pending
+		if o.active || float64(d.waiting) >= overloadWaiting { // otherwise it can't be overloaded, whatever is pending
 			b = m.backlog(now, replicas(key))
 		}
-		c.update(now, d, b)
+		o.update(now, d, b)
 		switch {
-		case c.active:
-			list = append(list, c)
-		case d.waiting == 0 && now.After(c.reservedUntil):
+		case o.active:
+			list = append(list, o)
+		case d.waiting == 0 && now.After(o.reservedUntil):
 			delete(m.overloads, key)
 		}
 	}
 	slices.SortFunc(list, func(a, b *overload) int { return cmp.Compare(b.load, a.load) })
 	keys := make([]Key, 0, min(len(list), maxOverloaded))
-	for _, c := range list[:min(len(list), maxOverloaded)] {
-		keys = append(keys, c.key)
+	for _, o := range list[:min(len(list), maxOverloaded)] {
+		keys = append(keys, o.key)
 	}
 	return keys
 }
@@ -133,25 +133,25 @@
 }
 
 // update decides whether the model is overloaded.
-func (c *overload) update(now time.Time, d demand, b backlog) {
-	c.load = 0
+func (o *overload) update(now time.Time, d demand, b backlog) {
+	o.load = 0
 	if d.waiting > 0 && b.replicas > 0 {
-		c.load = float64(b.mean) / float64(max(d.targets/time.Duration(d.waiting), time.Millisecond))
+		o.load = float64(b.mean) / float64(max(d.targets/time.Duration(d.waiting), time.Millisecond))
 	}
-	if c.load >= calmShare {
-		c.lastBusy = now
+	if o.load >= calmShare {
+		o.lastBusy = now
 	}
-	full := c.load >= overloadShare && float64(d.waiting) >= overloadWaiting*float64(b.replicas)
+	full := o.load >= overloadShare && float64(d.waiting) >= overloadWaiting*float64(b.replicas)
 	switch {
 	case !full:
-		c.exceededSince = time.Time{}
-	case c.exceededSince.IsZero():
-		c.exceededSince = now
+		o.exceededSince = time.Time{}
+	case o.exceededSince.IsZero():
+		o.exceededSince = now
 	}
 	switch {
-	case !c.active && full && now.Sub(c.exceededSince) >= overloadDelay:
-		c.active = true
-	case c.active && now.Sub(c.lastBusy) > calmTime:
-		c.active = false
+	case !o.active && full && now.Sub(o.exceededSince) >= overloadDelay:
+		o.active = true
+	case o.active && now.Sub(o.lastBusy) > calmTime:
+		o.active = false
 	}
 }
--- a/pkg/admission/server.go
+++ b/pkg/admission/server.go
@@ -16,7 +16,7 @@
 type place struct {
 	key        Place
 	model      Key
-	need       string // see Request
+	need       string // the model, or the model and the adapter
 	rank       int
 	target     time.Duration // target of the route
 	sent       time.Time
@@ -37,7 +37,7 @@
 	updated time.Time     // time of the last request
 }
 
-// numRanks is the number of ranks that are told apart. Larger ones count as the last.
+// numRanks is the number of ranks that are distinguished. Larger ones count as the last.
 const numRanks = 10
 
 // server is the state of one incarnation of a server.
@@ -50,7 +50,7 @@
 	cachedParts map[string]time.Time // last use of prompt parts, by need and part ID
 	profiles    [numRanks]profile
 	lastServed  [numRanks]time.Time // when it last got a request of the rank or of a less urgent one
-	heard       time.Time
+	lastReport  time.Time           // when a node last reported a request on it
 }
 
 // cachedTTL is how long a part counts as cached after it was last used, since running requests take
@@ -60,10 +60,10 @@
 // maxCachedParts bounds the parts that are remembered per server.
 const maxCachedParts = 512
 
-// newsDelay is how long the report of a first event may take.
-const newsDelay = 150 * time.Millisecond
+// maxReportDelay is how long the report of a first event may take to arrive.
+const maxReportDelay = 150 * time.Millisecond
 
-// load is what a server has to do.
+// load is a server's pending work, speed and use.
 type load struct {
 	pending float64 // prompt tokens to read
 	speed   float64 // tokens per millisecond
@@ -118,7 +118,7 @@
 		work += p.work
 		speed = min(speed, speedOf(work, p.lastReport.Sub(began)))
 		if p.expected > 0 { // its answer is reported at once, that of other places in heartbeats
-			speed = min(speed, max(speedOf(work, now.Sub(began)-newsDelay), silentSpeedShare*believed))
+			speed = min(speed, max(speedOf(work, now.Sub(began)-maxReportDelay), silentSpeedShare*believed))
 		}
 	}
 	return max(speed, minSpeed)
@@ -172,7 +172,7 @@
 	}
 }
 
-// add inserts a place in the order of sending.
+// add inserts a place. Places are kept in the order in which their requests were sent.
 func (s *server) add(p *place) {
 	i := len(s.places)
 	for i > 0 && s.places[i-1].sent.After(p.sent) {
--- a/pkg/admission/sim_test.go
+++ b/pkg/admission/sim_test.go
@@ -15,11 +15,11 @@
 // requestKind is a kind of request of the load.
 type requestKind struct {
 	name              string
-	share             float64
+	share             float64 // part of all requests
 	rank              int
-	common, session   int // tokens of the shared parts: one of 3 common parts, and one per session
-	sessions          int
-	own, events       float64
+	common, session   int           // tokens of the shared parts: one of 3 common parts, and one per session
+	sessions          int           // number of sessions
+	own, events       float64       // means of the prompt tokens of the request alone, and of the events of its answer
 	target, gap, left time.Duration // left is when callers give up without an event
 }
 
@@ -33,7 +33,7 @@
 // Parameters of the simulation.
 const (
 	simTime     = 30 * time.Second // in which requests arrive
-	simDrain    = 12 * time.Second
+	simDrain    = 12 * time.Second // additional time in which the last requests end
 	simStep     = 5 * time.Millisecond
 	simNodes    = 77
 	reportDelay = 50 * time.Millisecond // until a node's report arrives
@@ -76,16 +76,16 @@
 	unavailable      func(at time.Duration) bool // whether the holder does not answer
 	lostReports      float64                     // part of the reports between heartbeats that are lost
 	list             []*request
-	inFlight         [simNodes][]int     // by server
-	eventTimes       [simNodes][]float64 // time per event by server; zero if unknown
-	asks             int
-	predictionRatios []float64 // predicted by actual times to the first event
-	slow             func(server int, at time.Duration) float64
+	inFlight         [simNodes][]int                            // by server
+	eventTimes       [simNodes][]float64                        // time per event by server; zero if unknown
+	asks             int                                        // questions to the holder
+	predictionRatios []float64                                  // predicted by actual times to the first event
+	slow             func(server int, at time.Duration) float64 // factor on the speed of a server; nil: none
 }
 
 var testStart = time.Unix(1000, 0)
 
-func newSimulation(seed uint64, ways *ablation, speeds ...float64) *simulation {
+func newSimulation(seed uint64, ablated *ablation, speeds ...float64) *simulation {
 	p := &simulation{random: rand.New(rand.NewPCG(seed, 3)), speeds: speeds}
 	for _, speed := range speeds {
 		p.engines = append(p.engines, &enginetest.Engine{Speed: speed})
@@ -94,9 +94,9 @@
 		p.inFlight[i] = make([]int, len(speeds))
 		p.eventTimes[i] = make([]float64, len(speeds))
 	}
-	if ways != nil {
+	if ablated != nil {
 		p.model = newModel()
-		p.model.ablation = *ways
+		p.model.ablation = *ablated
 	}
 	return p
 }
@@ -221,8 +221,8 @@
 	if p.ledgers != nil {
 		l, now := &p.ledgers[r.node], testStart.Add(at)
 		if l.Sent(now, p.report(r, at)) {
-			if news := l.NewReports(now); p.reportArrives(at) {
-				p.model.AddReports(now, r.Place.Node, news, false)
+			if reports := l.NewReports(now); p.reportArrives(at) {
+				p.model.AddReports(now, r.Place.Node, reports, false)
 			}
 		}
 	}
@@ -252,14 +252,14 @@
 }
 
 // baselineServer returns the server that the request's node would choose by itself, as in package
-// relay: by its own requests there and by the speed of the streams that it saw.
+// relay: by its own requests there and by the time per event of its own streams.
 func (p *simulation) baselineServer(r *request) int {
 	best, most := 0, 0.0
 	for _, i := range p.random.Perm(len(p.engines)) {
 		score := 2 * (1 - float64(p.inFlight[r.node][i])/48)
-		paces := p.eventTimes[r.node]
-		if slices.Min(paces) > 0 {
-			score += slices.Min(paces) / paces[i]
+		eventTimes := p.eventTimes[r.node]
+		if slices.Min(eventTimes) > 0 {
+			score += slices.Min(eventTimes) / eventTimes[i]
 		} else {
 			score++
 		}
@@ -276,12 +276,12 @@
 	if events < 8 {
 		return
 	}
-	pace := &p.eventTimes[r.node][r.server]
+	eventTime := &p.eventTimes[r.node][r.server]
 	sample := float64(r.run.End-r.run.FirstEvent) / float64(events)
-	if *pace == 0 {
-		*pace = sample
+	if *eventTime == 0 {
+		*eventTime = sample
 	}
-	*pace += 0.3 * (sample - *pace)
+	*eventTime += 0.3 * (sample - *eventTime)
 }
 
 // track records what became of a request that was sent.
@@ -321,14 +321,14 @@
 	now, list := testStart.Add(at), []Report{report}
 	if p.ledgers != nil {
 		l := &p.ledgers[r.node]
-		news := false
+		due := false
 		if report.First > 0 {
-			news = l.Answered(testStart.Add(r.run.FirstEvent), r.Place.ID)
+			due = l.Answered(testStart.Add(r.run.FirstEvent), r.Place.ID)
 		}
 		if ended {
-			news = l.Ended(now, r.Place.ID, r.Key) || news
+			due = l.Ended(now, r.Place.ID, r.Key) || due
 		}
-		if !news {
+		if !due {
 			return
 		}
 		if list = l.NewReports(now); !p.reportArrives(at) {
@@ -415,13 +415,13 @@
 const simSeeds = 4
 
 // simulate runs a load with all seeds.
-func simulate(w *ablation, rate float64, change func(*simulation)) *outcome {
+func simulate(ablated *ablation, rate float64, change func(*simulation)) *outcome {
 	o := &outcome{kinds: map[string]*counts{}}
 	for _, k := range requestKinds {
 		o.kinds[k.name] = &counts{}
 	}
 	for seed := range uint64(simSeeds) {
-		p := newSimulation(seed, w, 0.55, 1.2)
+		p := newSimulation(seed, ablated, 0.55, 1.2)
 		if change != nil {
 			change(p)
 		}
@@ -446,21 +446,21 @@
 			name string
 			ways *ablation
 		}{
-			{"standing", nil},
+			{"baseline", nil},
 			{"by patience, no memory", &ablation{byPatience: true, noMemory: true, noHeadroom: true}},
 			{"by patience", &ablation{byPatience: true, noHeadroom: true}},
-			{"by objective, no room for the urgent", &ablation{noHeadroom: true}},
+			{"by objective, no headroom for the urgent", &ablation{noHeadroom: true}},
 			{"by objective, no memory", &ablation{noMemory: true}},
 			{"by objective (used)", &ablation{}},
 		} {
 			o := simulate(way.ways, rate, nil)
 			got[way.name] = o
-			t.Logf("%2.0f/s %-36s %v", rate, way.name, o)
+			t.Logf("%2.0f/s %-40s %v", rate, way.name, o)
 		}
 		withLedgers := simulate(&ablation{}, rate, func(p *simulation) { p.ledgers = make([]Ledger, simNodes) })
-		t.Logf("%2.0f/s %-36s %v", rate, "used, asked once nodes are told", withLedgers)
-		withLedgers.check(t, rate, got["standing"])
-		used, baseline := got["by objective (used)"], got["standing"]
+		t.Logf("%2.0f/s %-40s %v", rate, "used, asked for overloaded models only", withLedgers)
+		withLedgers.check(t, rate, got["baseline"])
+		used, baseline := got["by objective (used)"], got["baseline"]
 		used.check(t, rate, baseline)
 		if rate < 25 {
 			continue
@@ -468,7 +468,7 @@
 		if a, b := score(used.kinds), score(got["by patience"].kinds); a < b+0.2 {
 			t.Errorf("%g/s: score %.3f by objective, %.3f by patience", rate, a, b)
 		}
-		without := got["by objective, no room for the urgent"]
+		without := got["by objective, no headroom for the urgent"]
 		if a, b := used.part("question", inTimeOf), without.part("question", inTimeOf); a < b+0.1 {
 			t.Errorf("%g/s: %.2f of the most urgent requests in time with headroom kept for them, %.2f without", rate, a, b)
 		}
@@ -517,12 +517,12 @@
 	baseline := simulate(nil, 25, nil)
 	t.Logf("baseline %v", baseline)
 	for name, change := range map[string]func(p *simulation){
-		"nothing": func(*simulation) {},
-		"nobody answers for 2.5 s, and the next knows nothing": func(p *simulation) {
+		"no failure": func(*simulation) {},
+		"no holder answers for 2.5 s, and the next one knows nothing": func(p *simulation) {
 			p.unavailable = func(at time.Duration) bool { return at > 12*time.Second && at < 14500*time.Millisecond }
 		},
-		"a fifth of the news between beats is lost": func(p *simulation) { p.lostReports = 0.2 },
-		"all news between beats are lost":           func(p *simulation) { p.lostReports = 1 },
+		"a fifth of the reports between heartbeats is lost": func(p *simulation) { p.lostReports = 0.2 },
+		"all reports between heartbeats are lost":           func(p *simulation) { p.lostReports = 1 },
 	} {
 		o := simulate(&ablation{}, 25, func(p *simulation) { p.ledgers = make([]Ledger, simNodes); change(p) })
 		t.Logf("%s %v", name, o)
--- a/pkg/affinity/affinity.go
+++ b/pkg/affinity/affinity.go
@@ -23,12 +23,12 @@
 	"martenwheel.dev/pkg/prompt"
 )
 
-// Lane is the end of the order of servers at which a request is served best.
+// Lane is the end of the order of servers (see Position) at which a request is served best.
 type Lane uint8
 
 // The lanes.
 const (
-	AnyLane   Lane = iota // makes no difference
+	AnyLane   Lane = iota // no preference
 	ShortLane             // short to read, and its own pauses matter
 	LongLane              // its reading makes other streams pause
 )
--- a/pkg/affinity/affinity_test.go
+++ b/pkg/affinity/affinity_test.go
@@ -54,13 +54,13 @@
 		{"events of one token", prompt.Fields{Tokens: "1460,80", Parts: "a:100,b:250,c:1110"},
 			Terms{Target: 500 * time.Millisecond, GapTarget: 250 * time.Millisecond, EventTokens: 1}, AnyLane, false},
 		{"no target", prompt.Fields{Tokens: "9200,54", Parts: "a:2520,b:3780,c:2900"}, Terms{}, AnyLane, true},
-		{"parts that can't be read", prompt.Fields{Tokens: "9200,54", Parts: "a:x,b"}, terms, LongLane, false},
-		{"nothing told", prompt.Fields{}, terms, AnyLane, false},
+		{"invalid parts", prompt.Fields{Tokens: "9200,54", Parts: "a:x,b"}, terms, LongLane, false},
+		{"no fields", prompt.Fields{}, terms, AnyLane, false},
 	} {
 		p := prompt.Parse(test.fields)
 		r := Of("model", "", &p, test.terms)
 		if r.Lane() != test.lane || r.Shares() != test.shares {
-			t.Errorf("%s: lane %v, shares %v", test.name, r.Lane(), r.Shares())
+			t.Errorf("%s: the lane is %v, prefers the replica with its shared parts: %v", test.name, r.Lane(), r.Shares())
 		}
 	}
 }
@@ -206,27 +206,27 @@
 func TestLanesCountWhereLongAndShortMeet(t *testing.T) {
 	now := time.Unix(100, 0)
 	p := prompt.Parse(prompt.Fields{Tokens: "830,294"})
-	short, many := Of("m", "", &p, terms), Of("m", "", long("s"), terms)
+	shortRequest, longRequest := Of("m", "", &p, terms), Of("m", "", long("s"), terms)
 	var m Mix
 	if m.Lanes() != 0 {
-		t.Error("lanes count before any request")
+		t.Error("lanes have a weight before any request")
 	}
-	m.Note(now, &short)
+	m.Note(now, &shortRequest)
 	if m.Lanes() != 0 {
-		t.Error("lanes count without long requests")
+		t.Error("lanes have a weight without long requests")
 	}
-	m.Note(now, &many)
+	m.Note(now, &longRequest)
 	if m.Lanes() != 1 {
-		t.Errorf("lanes count %v", m.Lanes())
+		t.Errorf("with long and short requests the weight of lanes is %v, want 1", m.Lanes())
 	}
 	now = now.Add(-time.Hour) // the clock goes back
-	m.Note(now, &many)
+	m.Note(now, &longRequest)
 	for range 1000 {
 		now = now.Add(4 * time.Second)
-		m.Note(now, &short)
+		m.Note(now, &shortRequest)
 	}
 	if m.Lanes() != 0 {
-		t.Errorf("lanes count %v long after the last long request", m.Lanes())
+		t.Errorf("long after the last long request the weight of lanes is %v, want 0", m.Lanes())
 	}
 }
 
@@ -248,7 +248,7 @@
 		var m Mix
 		m.Note(time.Unix(0, target), &r)
 		if l := m.Lanes(); l < 0 || l > 1 {
-			t.Errorf("lanes count %v", l)
+			t.Errorf("the weight of lanes is %v, want 0 to 1", l)
 		}
 	})
 }
--- a/pkg/affinity/order.go
+++ b/pkg/affinity/order.go
@@ -7,7 +7,7 @@
 	Hash     uint64  // ServerHash of the ID of its incarnation
 	Load     int     // requests of this node that run there
 	Slowness float64 // its time per event relative to the fastest replica's; one or less if it is not known to be slow
-	Near     float64 // other advantages in the node's view, from 0 to 1
+	Near     float64 // nearness to the node (same zone, connection open), from 0 to 1
 	Excluded bool    // must be skipped: it failed recently, or this request failed there
 }
 
@@ -47,7 +47,7 @@
 // request.
 const (
 	loadShare = 1.25 // multiple of the mean number of the node's requests on the model's replicas
-	loadSlack = 4    // additional requests, since a few say nothing about a share
+	loadSlack = 4    // requests beyond that, since a handful says nothing about a share
 )
 
 // Random is a source of random numbers, such as a *rand.Rand of math/rand/v2.
@@ -92,7 +92,7 @@
 // rendezvous hashing).
 func gumbelScore(key, hash uint64) float64 { return -math.Log(-math.Log(unit(mix(key ^ hash)))) }
 
-// pull returns the logarithm of the replica's weight.
+// pull returns the logarithm of the replica's weight by the request's lane and the replica's slowness.
 func (r *Request) pull(lanes float64, replica *Replica) float64 {
 	pull, power := 0.0, slowPower
 	switch r.lane {
--- a/pkg/backend/condition.go
+++ b/pkg/backend/condition.go
@@ -13,7 +13,7 @@
 // Condition is what this node knows about one incarnation of a server beyond its record. Safe for
 // concurrent use.
 type Condition struct {
-	id             string // of the incarnation
+	id             string // ID of the incarnation
 	readSignals    func(status int, h http.Header) backpressure.Signals
 	onSignalChange func(SignalUpdate)
 	notifyChanged  func() // wakes those that wait for a change of the servers
@@ -136,7 +136,7 @@
 	c.recentAt = now
 }
 
-// End reverts Begin when the request is over.
+// End records that a request counted by Begin is over.
 func (c *Condition) End(model string) {
 	c.inFlight.Add(-1)
 	c.mu.Lock()
@@ -153,7 +153,8 @@
 	return c.decayedRecent(now)
 }
 
-// decayedRecent halves the count once per half-life, with linear interpolation between.
+// decayedRecent returns the count of recent requests, halved once per recentHalfLife with linear
+// interpolation in between. The caller holds mu.
 func (c *Condition) decayedRecent(now time.Time) float64 {
 	age := now.Sub(c.recentAt)
 	if age >= 10*recentHalfLife {
@@ -173,7 +174,7 @@
 	maxAvoidTime = 4 * time.Second
 )
 
-// Failed records that the server did not serve a request.
+// Failed records that the server did not serve a request. It is avoided for a while.
 func (c *Condition) Failed(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -182,7 +183,7 @@
 	c.avoidUntil = now.Add(min(pause, maxAvoidTime))
 }
 
-// Answered records that the server served a request.
+// Answered records that the server served a request, which resets its count of failures.
 func (c *Condition) Answered() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/pkg/backend/conn.go
+++ b/pkg/backend/conn.go
@@ -17,7 +17,6 @@
 // Dialer opens a connection to a server.
 type Dialer func(ctx context.Context, address string) (net.Conn, error)
 
-// Errors of an exchange.
 // Errors of an exchange.
 var (
 	// ErrNotSent means that no byte of the request left this process.
@@ -278,13 +277,13 @@
 type Answer struct {
 	Status int
 	Header http.Header
-	Length int64 // of the body; -1: unknown
+	Length int64 // length of the body; -1: unknown
 	Framed bool  // the body has a length or is chunked; otherwise it ends with the connection
 
 	conn     *conn
 	exchange *exchange
 	body     io.ReadCloser
-	written  bool               // the request was written completely
+	written  bool               // the request has been written completely
 	writing  <-chan writeResult // delivers the result if writing had not finished when the response came
 	ended    bool               // the body was read completely
 	closed   bool
--- a/pkg/backend/departed.go
+++ b/pkg/backend/departed.go
@@ -11,7 +11,7 @@
 // the meantime, responses to requests in progress still carry signals, and nodes that list a server earlier
 // than this one report them. The zero value is empty. The directory's mu guards it.
 type departedServers struct {
-	servers map[string]departedServer // by ID
+	servers map[string]departedServer // by ID of the incarnation
 }
 
 // departedServer is what is kept of one incarnation.
@@ -35,13 +35,13 @@
 	if m.InFlight() == 0 && !m.signalState.active.Load() {
 		return
 	}
-	if d.makeRoom(now) {
+	if d.ensureCapacity(now) {
 		d.servers[m.ID] = departedServer{m.Address, now, m.signalState}
 	}
 }
 
-// makeRoom removes expired entries and reports whether another one fits.
-func (d *departedServers) makeRoom(now time.Time) bool {
+// ensureCapacity removes expired entries and reports whether another one fits.
+func (d *departedServers) ensureCapacity(now time.Time) bool {
 	for id, entry := range d.servers {
 		if now.Sub(entry.at) > departedTime {
 			delete(d.servers, id)
@@ -58,7 +58,7 @@
 func (d *departedServers) merge(now time.Time, server string, shared backpressure.SharedState) SignalUpdate {
 	entry, kept := d.servers[server]
 	if !kept {
-		if !d.makeRoom(now) {
+		if !d.ensureCapacity(now) {
 			return SignalUpdate{Server: server}
 		}
 		entry = departedServer{signalState: new(signalState)}
--- a/pkg/backend/directory.go
+++ b/pkg/backend/directory.go
@@ -75,12 +75,12 @@
 	streamedMu sync.Mutex
 	streamed   map[serviceModel]map[*Condition]bool // servers that streamed a model
 
-	mu        sync.Mutex
-	evacuated map[string]bool // by zone
-	reports   []report
-	departed  departedServers
-	current   atomic.Pointer[Snapshot]
-	changed   chan struct{}
+	mu          sync.Mutex
+	evacuated   map[string]bool // zones whose servers get no new requests
+	queuedPaces []queuedPace
+	departed    departedServers
+	current     atomic.Pointer[Snapshot]
+	changed     chan struct{}
 }
 
 // Snapshot returns the newest snapshot, which is empty before the first call of Replace.
--- a/pkg/backend/ended.go
+++ b/pkg/backend/ended.go
@@ -12,7 +12,7 @@
 
 // Times of the probes that find out whether a server has ended.
 const (
-	probeTimeout = 100 * time.Millisecond // for a connection to succeed or be refused
+	probeTimeout = 100 * time.Millisecond // time for a connection to succeed or be refused
 	// probeSharedTime is how long the result of a probe is reused: when a server ends, all its requests
 	// fail within a few milliseconds.
 	probeSharedTime = 100 * time.Millisecond
--- a/pkg/backend/pace.go
+++ b/pkg/backend/pace.go
@@ -5,8 +5,8 @@
 // paceWeight is the weight of the newest stream in the moving average.
 const paceWeight = 0.3
 
-// RecordPace records the mean time per event of a stream on a model. Servers are compared by the models
-// that several of them serve.
+// RecordPace records the mean time per event of a stream on a model. A server's slowness is derived from
+// the models that other servers have streamed as well.
 func (d *Directory) RecordPace(id, model string, perEvent time.Duration) {
 	snapshot := d.Snapshot()
 	m := snapshot.Member(id)
@@ -66,13 +66,14 @@
 type Slowness struct {
 	Server string        // ID of the incarnation
 	Ratio  float64       // time per event relative to the fastest server, at least 1
-	Age    time.Duration // of the last stream that contributed
+	Age    time.Duration // time since the last stream that contributed
 }
 
-// Bounds of the paces that other nodes report.
+// Bounds of the reports that nodes exchange on the speeds of servers.
 const (
-	// maxReports is the maximum number of streams in one report: only a few end at one node in a second.
-	maxReports = 64
+	// maxQueuedPaces limits the paces that are queued, and those that are accepted from one report: only a
+	// few streams end at one node in a second.
+	maxQueuedPaces = 64
 	// maxEventTime is the longest time per event that is accepted: callers give up long before.
 	maxEventTime = time.Minute
 	// MaxSlowness is the largest accepted ratio.
@@ -82,39 +83,39 @@
 	SlownessLifetime = 30 * time.Second
 )
 
-// report is a pace to be reported to other nodes.
-type report struct {
+// queuedPace is a pace that is not reported to the other nodes yet.
+type queuedPace struct {
 	pace Pace
 	at   time.Time // when its stream ended
 }
 
-// Report queues a pace for the other nodes, see TakeReports. It drops the pace if maxReports are queued.
-func (d *Directory) Report(p Pace) {
+// QueuePace queues a pace to be reported to the other nodes. It drops the pace if maxQueuedPaces are queued.
+func (d *Directory) QueuePace(p Pace) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if p.PerEvent > 0 && len(d.reports) < maxReports {
-		d.reports = append(d.reports, report{p, d.Time.Now()})
+	if p.PerEvent > 0 && len(d.queuedPaces) < maxQueuedPaces {
+		d.queuedPaces = append(d.queuedPaces, queuedPace{p, d.Time.Now()})
 	}
 }
 
-// TakeReports empties the queue of paces and returns the newest of them, at most the given number. It omits
+// TakeQueuedPaces empties the queue of paces and returns the newest of them, at most the given number. It omits
 // those older than SlownessLifetime, since the machine may have been suspended.
-func (d *Directory) TakeReports(limit int) []Pace {
+func (d *Directory) TakeQueuedPaces(limit int) []Pace {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var list []Pace
-	for _, r := range d.reports[max(len(d.reports)-limit, 0):] {
+	for _, r := range d.queuedPaces[max(len(d.queuedPaces)-limit, 0):] {
 		if d.Time.Since(r.at) <= SlownessLifetime {
 			list = append(list, r.pace)
 		}
 	}
-	d.reports = nil
+	d.queuedPaces = nil
 	return list
 }
 
 // LearnPaces records paces that other nodes reported. It ignores implausible ones.
 func (d *Directory) LearnPaces(list []Pace) {
-	for _, p := range list[:min(len(list), maxReports)] {
+	for _, p := range list[:min(len(list), maxQueuedPaces)] {
 		if p.PerEvent <= maxEventTime {
 			d.RecordPace(p.Server, p.Model, p.PerEvent)
 		}
--- a/pkg/backend/pace_test.go
+++ b/pkg/backend/pace_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// TestReportsOfOtherNodesAreChecked: implausible values are ignored, and the queue of reports is bounded.
+// TestReportsOfOtherNodesAreChecked: implausible values are ignored, and the queue of paces is bounded.
 func TestReportsOfOtherNodesAreChecked(t *testing.T) {
 	d := &Directory{}
 	d.Replace([]*Server{{ID: "a", Service: "s"}, {ID: "b", Service: "s"}}, 1)
@@ -54,27 +54,27 @@
 	if got := d.Snapshot().Member("b").eventTime("m"); got != time.Second {
 		t.Errorf("the time per event is %v, want 1 s", got)
 	}
-	for range 10 * maxReports {
-		d.Report(Pace{"a", "m", time.Second})
+	for range 10 * maxQueuedPaces {
+		d.QueuePace(Pace{"a", "m", time.Second})
 	}
-	d.Report(Pace{"a", "m", 0})
-	if got := len(d.TakeReports(math.MaxInt)); got != maxReports {
-		t.Errorf("%d reports are queued, want maxReports", got)
+	d.QueuePace(Pace{"a", "m", 0})
+	if got := len(d.TakeQueuedPaces(math.MaxInt)); got != maxQueuedPaces {
+		t.Errorf("%d paces are queued, want maxQueuedPaces", got)
 	}
-	if got := len(d.TakeReports(9)); got != 0 {
+	if got := len(d.TakeQueuedPaces(9)); got != 0 {
 		t.Errorf("%d reports were returned a second time", got)
 	}
 	for i := range 20 {
-		d.Report(Pace{"a", "m", time.Duration(i + 1)})
+		d.QueuePace(Pace{"a", "m", time.Duration(i + 1)})
 	}
-	if got := d.TakeReports(3); len(got) != 3 || got[2].PerEvent != 20 {
+	if got := d.TakeQueuedPaces(3); len(got) != 3 || got[2].PerEvent != 20 {
 		t.Errorf("got %v, want the newest 3 of 20 reports", got)
 	}
 	now := time.Unix(100, 0)
 	d.Time = func() time.Time { return now }
-	d.Report(Pace{"a", "m", time.Second})
+	d.QueuePace(Pace{"a", "m", time.Second})
 	now = now.Add(time.Hour)
-	if got := len(d.TakeReports(9)); got != 0 {
+	if got := len(d.TakeQueuedPaces(9)); got != 0 {
 		t.Errorf("%d reports from an hour ago were returned", got)
 	}
 }
--- a/pkg/backend/server.go
+++ b/pkg/backend/server.go
@@ -13,7 +13,7 @@
 
 // Server is the platform's record of one incarnation of a server. It is immutable.
 type Server struct {
-	ID       string // of the incarnation; a restarted server has another one
+	ID       string // ID of the incarnation; a restarted server has another one
 	Service  string
 	Address  string // IP:port
 	Zone     string
@@ -25,7 +25,7 @@
 	Models    []Holding
 	InMemory  []string          // models whose weights are in the server's memory
 	OnDisk    []string          // models whose weights are on the server's disk
-	Version   revision.Revision // of the record
+	Version   revision.Revision // version of the record
 	Written   float64           // counter that the server put into the record; it rises within one incarnation
 }
 
--- a/pkg/backend/signals_test.go
+++ b/pkg/backend/signals_test.go
@@ -102,9 +102,9 @@
 	}
 }
 
-// TestSignalsOutliveAGapInTheList: the record of a server lapses and returns, as happens while the store is
-// unavailable. A server at another address does not get the signals.
-func TestSignalsOutliveAGapInTheList(t *testing.T) {
+// TestSignalsAreKeptWhileAServerIsNotListed: the record of a server lapses and returns, as happens while the
+// store is unavailable. A server at another address does not get the signals.
+func TestSignalsAreKeptWhileAServerIsNotListed(t *testing.T) {
 	row := func(address string, version revision.Revision) []*Server {
 		return []*Server{{ID: "i-1~1", Service: "s", Address: address, Version: version}}
 	}
--- a/pkg/backpressure/signals.go
+++ b/pkg/backpressure/signals.go
@@ -1,6 +1,6 @@
 // Package backpressure tracks what servers ask of their clients in their responses: to receive at most a
 // given rate of requests from all nodes together (a limit), to receive nothing from one node for a while (a
-// back-off), or to receive nothing new because they leave. Its decisions need no network.
+// back-off), or to receive nothing new because they leave. It only computes and sends no messages.
 //
 // signals.go defines the signals of one response. state.go combines the signals that a node received from
 // one incarnation of a server with those that other nodes reported.
@@ -16,13 +16,12 @@
 	Limited bool
 	Limit   float64       // requests per second from all nodes together, if Limited
 	Leaving bool          // the server takes no new requests
-	BackOff time.Duration // for which the node that got the response must send nothing; zero: none
+	BackOff time.Duration // time for which the node that got the response must send nothing; zero: none
 	// Unreadable means that the response names a limit that can't be parsed. It neither sets nor ends a
 	// limit.
 	Unreadable bool
 }
 
-// Bounds of what servers may ask for.
 // Bounds of what servers may ask for.
 const (
 	// MinLimit replaces lower limits, in requests per second: a server that gets no requests could not
--- a/pkg/backpressure/compare_test.go
+++ b/pkg/backpressure/slots_test.go
@@ -172,9 +172,9 @@
 	}
 }
 
-// TestThoseTurnedAwayComeBackOneByOne: rejected requests are told different retry times, and the servers
+// TestRejectedRequestsReturnOneByOne: rejected requests are told different retry times, and the servers
 // count as overloaded.
-func TestThoseTurnedAwayComeBackOneByOne(t *testing.T) {
+func TestRejectedRequestsReturnOneByOne(t *testing.T) {
 	var s Slots
 	s.Begin(at(0), 1)
 	var retryTimes []time.Duration
--- a/pkg/backpressure/state.go
+++ b/pkg/backpressure/state.go
@@ -104,9 +104,9 @@
 	if !s.limited && sent.Before(s.limitEndedAt) && now.Sub(s.limitEndedAt) < reorderTime {
 		return 0
 	}
-	before, was := s.limit, s.limited
+	before, wasLimited := s.limit, s.limited
 	s.limited, s.limit, s.limitedAt = true, limit, now
-	if was && before == limit {
+	if wasLimited && before == limit {
 		return 0
 	}
 	return LimitSet
--- a/pkg/backpressure/state_test.go
+++ b/pkg/backpressure/state_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestAServerThatLeavesDoesSoForGood(t *testing.T) {
+func TestLeavingIsPermanent(t *testing.T) {
 	var s State
 	if s.Observe(at(0), at(1), Signals{Leaving: true}) != LeavingSet {
 		t.Error("the signal that the server leaves changed nothing")
--- a/pkg/clock/clock_test.go
+++ b/pkg/clock/clock_test.go
@@ -75,12 +75,12 @@
 	r := m.reader()
 	m.slept, m.monotonic = time.Minute, time.Second
 	before := r.now()
-	for name, harm := range map[string]func(){
+	for name, breakClock := range map[string]func(){
 		"goes back":     func() { m.slept = 0 },
 		"stands":        func() { m.slept = time.Minute },
 		"can't be read": func() { m.err = errors.New("no such clock") },
 	} {
-		harm()
+		breakClock()
 		m.monotonic += time.Second
 		if got := r.now().Sub(before); got < time.Second {
 			t.Errorf("a clock that %s: %v passed, want a second or more", name, got)
@@ -177,15 +177,15 @@
 func TestOnWakeIsCalledForEachSuspension(t *testing.T) {
 	m := &machine{}
 	r := m.reader()
-	told := make(chan time.Duration, 10)
-	stop := r.onWake(func(d time.Duration) { told <- d })
+	reported := make(chan time.Duration, 10)
+	stop := r.onWake(func(d time.Duration) { reported <- d })
 	sleep := func(d time.Duration) {
 		m.slept += d
 		m.monotonic += refreshInterval + 1
 		r.now()
 	}
 	sleep(3 * time.Second)
-	if d := <-told; d != 3*time.Second {
+	if d := <-reported; d != 3*time.Second {
 		t.Errorf("callback with %v, want 3 s", d)
 	}
 	sleep(minSuspension / 2) // too short to count until there is more
@@ -193,12 +193,12 @@
 		t.Errorf("the time of suspension is %v after a small difference between readings, want 3 s", slept)
 	}
 	sleep(time.Minute)
-	if d := <-told; d != time.Minute+minSuspension/2 {
+	if d := <-reported; d != time.Minute+minSuspension/2 {
 		t.Errorf("callback with %v, want a minute plus the difference not counted before", d)
 	}
 	stop()
 	sleep(time.Hour)
-	if len(told) != 0 {
-		t.Errorf("callback with %v after it was unregistered", <-told)
+	if len(reported) != 0 {
+		t.Errorf("callback with %v after it was unregistered", <-reported)
 	}
 }
--- a/pkg/control/cell/owner_test.go
+++ b/pkg/control/cell/owner_test.go
@@ -226,11 +226,11 @@
 	}{
 		{"loading", func(s *testSite) { s.propose(load("b", "s")) }, true},
 		{"waits for a slot", func(s *testSite) { s.owner.loadTokens = -100; s.owner.allocation.Rate = 0.1 }, true},
-		{"no room", func(s *testSite) {
+		{"no free memory", func(s *testSite) {
 			s.owner.servers["s"].MemoryBytes = 15
 			s.loadModel("a")
 		}, false},
-		{"room will be free", func(s *testSite) {
+		{"memory is being freed", func(s *testSite) {
 			s.owner.servers["s"].MemoryBytes = 15
 			s.loadModel("a")
 			s.propose(unload("a", "s"))
--- a/pkg/control/explore/explore_test.go
+++ b/pkg/control/explore/explore_test.go
@@ -98,7 +98,7 @@
 			}
 			if w.failure != "" {
 				found[index] = &violation{seed: seed, failure: w.failure}
-				lower(&stop, int64(index))
+				atomicMin(&stop, int64(index))
 			}
 		})
 	}
@@ -112,8 +112,8 @@
 	return nil, explored
 }
 
-// lower sets limit to value if value is less.
-func lower(limit *atomic.Int64, value int64) {
+// atomicMin sets limit to value if value is less.
+func atomicMin(limit *atomic.Int64, value int64) {
 	for {
 		current := limit.Load()
 		if value >= current || limit.CompareAndSwap(current, value) {
--- a/pkg/control/explore/faults_test.go
+++ b/pkg/control/explore/faults_test.go
@@ -37,13 +37,13 @@
 	{"answers lost after the effect", func(w *simulation) { w.withOdds(6*time.Second, odds{answerLost: 0.5}) }},
 	{"orders late", func(w *simulation) { w.withOdds(6*time.Second, odds{late: 0.5}) }},
 	{"orders twice", func(w *simulation) { w.withOdds(6*time.Second, odds{duplicated: 0.5}) }},
-	{"lowered count races a wake", func(w *simulation) {
+	{"replica limit lowered while a request waits", func(w *simulation) {
 		w.edit("m0", 0)
 		w.nodes[1].useTree(w.nodes[1].incarnation, w.newest())
 		w.nodes[2].report("m0", 1, 0)
 		w.after(3*time.Second, func() { w.edit("m0", 1) })
 	}},
-	{"engines out of reach of the next owner", func(w *simulation) {
+	{"engines unreachable for the next owner", func(w *simulation) {
 		for _, n := range w.nodes {
 			if n != w.owner() {
 				w.cutFor(n.address(), w.servers[0].address, 8*time.Second)
@@ -153,21 +153,21 @@
 		name  string
 		leave func(w *simulation)
 	}{
-		{"the platform tells", func(w *simulation) { w.listLeaving(w.servers[0]) }},
-		{"the engine tells", func(w *simulation) { w.servers[0].leaving = true }},
-		{"the engine tells while the list lags", func(w *simulation) {
+		{"announced by the platform", func(w *simulation) { w.listLeaving(w.servers[0]) }},
+		{"announced by the engine", func(w *simulation) { w.servers[0].leaving = true }},
+		{"announced by the engine while the list lags", func(w *simulation) {
 			w.listLag = 30 * time.Second
 			w.servers[0].leaving = true
 		}},
-		{"the engine tells while the list is down", func(w *simulation) {
+		{"announced by the engine while the list is down", func(w *simulation) {
 			w.listDown = true
 			w.servers[0].leaving = true
 		}},
-		{"the platform tells while the engine is out of reach", func(w *simulation) {
+		{"announced by the platform while the engine is unreachable", func(w *simulation) {
 			w.servers[0].down = true
 			w.listLeaving(w.servers[0])
 		}},
-		{"a node missed the news", func(w *simulation) {
+		{"a node missed the owner's view", func(w *simulation) {
 			missed := w.notOwner()
 			w.cutFor(w.owner().address(), missed.address(), time.Minute)
 			w.servers[0].leaving = true
--- a/pkg/control/explore/oracle_test.go
+++ b/pkg/control/explore/oracle_test.go
@@ -7,8 +7,8 @@
 	"martenwheel.dev/pkg/membership"
 )
 
-// oracle is a Membership that knows the true state of all nodes with a delay, and
-// reports nodes as dead that the schedule makes look dead.
+// oracle is a Membership that knows the true state of all nodes with a delay. It
+// also reports a live node as dead until its presumedDeadUntil.
 type oracle struct {
 	node *node
 	sim  *simulation
--- a/pkg/control/explore/schedule_faults_test.go
+++ b/pkg/control/explore/schedule_faults_test.go
@@ -98,7 +98,7 @@
 	})
 }
 
-// presumeDead makes a live node look dead to the others for a while.
+// presumeDead makes the oracle report a live node as dead for a while.
 func (s *schedule) presumeDead() {
 	n := s.anyNode()
 	n.presumedDeadUntil = s.now.Add(s.randomDuration(time.Second, 8*time.Second))
--- a/pkg/control/explore/switches_test.go
+++ b/pkg/control/explore/switches_test.go
@@ -19,8 +19,8 @@
 var mechanisms = []mechanism{
 	{"fenced inventories", switches.Set{NoFence: true}},
 	{"unknown servers count", switches.Set{UnknownIsEmpty: true}},
-	{"doubt settled by inventory", switches.Set{UnknownOutcomeIsRefused: true}},
-	{"wishes checked", switches.Set{TrustDecider: true, NoRecheck: true}},
+	{"unknown outcome settled by inventory", switches.Set{UnknownOutcomeIsRefused: true}},
+	{"policy actions checked", switches.Set{TrustDecider: true, NoRecheck: true}},
 	{"tree floor", switches.Set{NoTreeFloor: true}},
 }
 
--- a/pkg/control/formation.go
+++ b/pkg/control/formation.go
@@ -138,7 +138,7 @@
 // waitForMembers gives recorded members some time to report their view if a
 // majority of them is alive, or may be since this node does not know them yet.
 // The wait is limited because they may know of no group: its founder may have
-// died before it told them.
+// died before it contacted them.
 func (c *cellControl) waitForMembers(members []api.NodeRef) bool {
 	f := &c.formation
 	now := c.machine.now
--- a/pkg/control/quorum/group.go
+++ b/pkg/control/quorum/group.go
@@ -191,7 +191,7 @@
 	case Prepare:
 		g.receivePrepare(now, from, m)
 	case Promise:
-		if g.checkGranted(now, m.Granted, m.Promised) {
+		if g.checkAnswer(now, m.Granted, m.Promised) {
 			g.receivePromise(now, from, m)
 		}
 	case Accept:
@@ -199,7 +199,7 @@
 	case Heartbeat:
 		g.receiveHeartbeat(now, from, m)
 	case Accepted:
-		if g.checkGranted(now, m.Granted, m.Promised) {
+		if g.checkAnswer(now, m.Granted, m.Promised) {
 			g.receiveAccepted(now, from, m)
 		}
 	case TakeOver:
--- a/pkg/control/quorum/member.go
+++ b/pkg/control/quorum/member.go
@@ -94,13 +94,13 @@
 	g.send(to, Accepted{Cell: cell, Term: term, Version: version, Granted: true, Promised: g.promised})
 }
 
-// checkGranted returns whether a request was granted. If it was refused, the
+// checkAnswer returns whether a request was granted. If it was refused, the
 // higher term that the member follows is noted.
-func (g *Group) checkGranted(now time.Time, checkGranted bool, promised uint64) bool {
-	if !checkGranted {
+func (g *Group) checkAnswer(now time.Time, granted bool, promised uint64) bool {
+	if !granted {
 		g.NoticeTerm(now, promised)
 	}
-	return checkGranted
+	return granted
 }
 
 // NoticeTerm records that some member or engine follows term. A leader or
--- a/pkg/control/weights/share_test.go
+++ b/pkg/control/weights/share_test.go
@@ -32,7 +32,7 @@
 			Claim{Cell: "a", Wanted: 9, Urgent: 9},
 			[]Claim{{Cell: "b", Wanted: 9, UpdatedAt: heard}}, 7, 2 * 37.0 / 47,
 		},
-		{"what the other can't use is open", Claim{Cell: "a", Wanted: 9}, []Claim{{Cell: "b", Wanted: 1, UpdatedAt: heard}}, 7, 2 * 10.0 / 12},
+		{"slots that the other can't use are available", Claim{Cell: "a", Wanted: 9}, []Claim{{Cell: "b", Wanted: 1, UpdatedAt: heard}}, 7, 2 * 10.0 / 12},
 		{"a lost owner's claim expires", Claim{Cell: "a", Wanted: 9}, []Claim{{Cell: "b", Wanted: 9, UpdatedAt: heard.Add(-ClaimExpiry)}}, 8, 2},
 		{"one slot at least", Claim{Cell: "a"}, []Claim{{Cell: "b", Wanted: 50, Urgent: 50, UpdatedAt: heard}}, 1, 2 * 1.0 / 202},
 	}
--- a/pkg/coordinator/adapters.go
+++ b/pkg/coordinator/adapters.go
@@ -33,8 +33,8 @@
 func (h *Holder) recordAdapterUse(now time.Time, service string, need backend.Need, d *demand) {
 	for _, s := range h.serversWith(service, need.Model) {
 		if known := s.holds[need.Model]; known != nil {
-			if used, has := known.adapters[need.Adapter]; has && d.last.After(used) {
-				known.adapters[need.Adapter] = d.last
+			if used, has := known.adapters[need.Adapter]; has && d.lastArrival.After(used) {
+				known.adapters[need.Adapter] = d.lastArrival
 			}
 		}
 	}
@@ -60,7 +60,7 @@
 func (h *Holder) adapterServer(now time.Time, service string, need backend.Need, e *route.Engine) *serverState {
 	var able []*serverState
 	for _, s := range h.serversWith(service, need.Model) {
-		if s.removed || !s.usable(now) || s.asking || s.unresolved != nil || s.holds[need.Model] == nil {
+		if s.removed || !s.usable(now) || s.awaitingAnswer || s.unresolved != nil || s.holds[need.Model] == nil {
 			continue
 		}
 		if s.busy != nil {
--- a/pkg/coordinator/announcements.go
+++ b/pkg/coordinator/announcements.go
@@ -13,7 +13,7 @@
 
 // Said is what a node believes about a server from the server's own announcements.
 type Said struct {
-	Server  string // the ID of its incarnation
+	Server  string // ID of its incarnation
 	Leaving bool
 	Limited bool
 	Limit   float64 // requests per second, if Limited
@@ -22,7 +22,7 @@
 	LimitAge   time.Duration // age of the announcement of the limit
 }
 
-// newSaid returns the message about a server.
+// newSaid returns the message that reports what is believed of a server.
 func newSaid(now time.Time, server string, b backpressure.SharedState) Said {
 	s := Said{Server: server, Leaving: b.Leaving, Limited: b.Limited, Limit: b.Limit, KnowsLimit: !b.LimitAt.IsZero()}
 	if s.KnowsLimit {
@@ -42,28 +42,28 @@
 
 // SaidVersion identifies the last change of servers' announcements that a node was sent.
 type SaidVersion struct {
-	Term   uint64 // of the holder that counts the changes
-	Number uint64 // of the last change; zero: nothing was sent
+	Term   uint64 // term of the holder that counts the changes
+	Number uint64 // number of the last change; zero: nothing was sent
 }
 
 // Limits of the exchange of servers' announcements.
 const (
-	// maxSaidPerMessage is how many servers one message covers; the others follow with the next message.
-	maxSaidPerMessage = 64
-	// saidRetention is how long the holder keeps a limit that ended, or a server that it does not list: until
-	// all nodes were told.
-	saidRetention = time.Minute
+	// maxAnnouncementsPerMessage is how many servers one message covers; the others follow with the next message.
+	maxAnnouncementsPerMessage = 64
+	// announcementRetention is how long the holder keeps a limit that ended, or a server that it does not list: until
+	// all nodes have been sent it.
+	announcementRetention = time.Minute
 )
 
-// pendingSaid holds the announcements that this node received from servers and has not sent to the holder yet. The
-// zero value is empty. Safe for concurrent use.
-type pendingSaid struct {
+// pendingAnnouncements holds the announcements that this node received from servers and has not sent to the holder yet.
+// The zero value is empty. Safe for concurrent use.
+type pendingAnnouncements struct {
 	mu      sync.Mutex
-	beliefs map[string]backpressure.SharedState // by the incarnation of the server
+	beliefs map[string]backpressure.SharedState // by ID of the server's incarnation
 }
 
 // add queues what is believed of a server.
-func (l *pendingSaid) add(server string, b backpressure.SharedState) {
+func (l *pendingAnnouncements) add(server string, b backpressure.SharedState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.beliefs == nil {
@@ -73,12 +73,12 @@
 }
 
 // take returns and removes the announcements to send now.
-func (l *pendingSaid) take(now time.Time) []Said {
+func (l *pendingAnnouncements) take(now time.Time) []Said {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var list []Said
 	for server, b := range l.beliefs {
-		if len(list) == maxSaidPerMessage {
+		if len(list) == maxAnnouncementsPerMessage {
 			break
 		}
 		list = append(list, newSaid(now, server, b))
@@ -88,14 +88,14 @@
 }
 
 // addAll queues all current beliefs again: the last holder may not have passed on what it was sent.
-func (l *pendingSaid) addAll(servers *backend.Directory) {
+func (l *pendingAnnouncements) addAll(servers *backend.Directory) {
 	for id, b := range activeBeliefs(servers) {
 		l.add(id, b)
 	}
 }
 
 // restore queues announcements again that did not reach the holder, unless there are newer ones.
-func (l *pendingSaid) restore(now time.Time, list []Said) {
+func (l *pendingAnnouncements) restore(now time.Time, list []Said) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, s := range list {
@@ -105,72 +105,72 @@
 	}
 }
 
-// Heard handles a server's announcement that changed what this node believes of it.
-func (m *Member) Heard(h backend.SignalUpdate) {
-	logBelief(m.Logger, h, "")
-	if h.Change&(backpressure.LeavingSet|backpressure.LimitSet|backpressure.LimitEnded) != 0 {
-		m.pendingSaid.add(h.Server, h.Shared)
+// SignalsChanged handles a server's announcement that changed what this node believes of it.
+func (m *Member) SignalsChanged(update backend.SignalUpdate) {
+	logBelief(m.Logger, update, "")
+	if update.Change&(backpressure.LeavingSet|backpressure.LimitSet|backpressure.LimitEnded) != 0 {
+		m.pendingAnnouncements.add(update.Server, update.Shared)
 	}
 }
 
 // logBelief logs a change of belief; by tells who reported it, empty: the server itself.
-func logBelief(logger hclog.Logger, h backend.SignalUpdate, by string) {
-	fields := []any{"server", h.Server}
-	if h.Change&backpressure.LeavingSet != 0 {
+func logBelief(logger hclog.Logger, update backend.SignalUpdate, reporter string) {
+	fields := []any{"server", update.Server}
+	if update.Change&backpressure.LeavingSet != 0 {
 		fields = append(fields, "leaving", true)
 	}
-	if h.Change&backpressure.BackOffSet != 0 {
-		fields = append(fields, "rest_ms", h.BackOff.Milliseconds())
+	if update.Change&backpressure.BackOffSet != 0 {
+		fields = append(fields, "rest_ms", update.BackOff.Milliseconds())
 	}
-	if h.Change&backpressure.LimitSet != 0 {
-		fields = append(fields, "limit", h.Shared.Limit)
+	if update.Change&backpressure.LimitSet != 0 {
+		fields = append(fields, "limit", update.Shared.Limit)
 	}
-	if h.Change&backpressure.LimitEnded != 0 {
+	if update.Change&backpressure.LimitEnded != 0 {
 		fields = append(fields, "limit_ended", true)
 	}
-	if by != "" {
-		fields = append(fields, "told_by", by)
+	if reporter != "" {
+		fields = append(fields, "told_by", reporter)
 	}
 	logger.Info("server asks", fields...)
 }
 
-// takeSaid applies the announcements in the answer to a heartbeat that was sent at the given time. An answer that
-// was delayed by a suspension is too old.
-func (m *Member) takeSaid(sent time.Time, answer *BeatAnswer) {
+// applyAnnouncements applies the announcements in the answer to a heartbeat that was sent at the given time. An answer
+// that was delayed by a suspension is too old.
+func (m *Member) applyAnnouncements(sent time.Time, answer *BeatAnswer) {
 	now := m.Time.Now()
 	if now.Sub(sent) > heartbeatTimeout {
 		return
 	}
 	if m.Holder.address() != m.Self.Peers { // otherwise this node's own beliefs are the same or newer
 		for _, s := range answer.Said {
-			if h := m.Servers.MergeSignals(s.Server, s.belief(now)); h.Change != 0 {
-				logBelief(m.Logger, h, "holder")
+			if update := m.Servers.MergeSignals(s.Server, s.belief(now)); update.Change != 0 {
+				logBelief(m.Logger, update, "holder")
 			}
 		}
 	}
-	if m.saidKnown.Term != answer.SaidVersion.Term {
-		m.pendingSaid.addAll(m.Servers)
+	if m.announcementsKnown.Term != answer.SaidVersion.Term {
+		m.pendingAnnouncements.addAll(m.Servers)
 	}
-	m.saidKnown = answer.SaidVersion
+	m.announcementsKnown = answer.SaidVersion
 }
 
-// exchangeSaid applies the announcements that a node reports and returns to it what changed.
-func (h *Holder) exchangeSaid(now time.Time, b *Beat, answer *BeatAnswer) {
+// exchangeAnnouncements applies the announcements that a node reports and returns to it what changed.
+func (h *Holder) exchangeAnnouncements(now time.Time, b *Beat, answer *BeatAnswer) {
 	own := b.Node.Peers == h.address()
-	for _, s := range b.Said[:min(len(b.Said), maxSaidPerMessage)] {
-		heard := h.Servers.MergeSignals(s.Server, s.belief(now))
-		if heard.Change != 0 {
-			logBelief(h.Logger, heard, b.Node.Name)
+	for _, s := range b.Said[:min(len(b.Said), maxAnnouncementsPerMessage)] {
+		update := h.Servers.MergeSignals(s.Server, s.belief(now))
+		if update.Change != 0 {
+			logBelief(h.Logger, update, b.Node.Name)
 		}
-		if heard.Change != 0 || own || h.beliefs.get(s.Server) == nil { // beliefs of this node, and of the last term, are already applied
-			h.noteSaid(now, s.Server, heard.Shared)
+		if update.Change != 0 || own || h.beliefs.get(s.Server) == nil { // beliefs of this node, and of the last term, are already applied
+			h.noteBelief(now, s.Server, update.Shared)
 		}
 	}
 	known := uint64(0)
 	if b.KnowsSaid.Term == h.term {
 		known = b.KnowsSaid.Number
 	}
-	ids, number := h.beliefs.since(known, maxSaidPerMessage, func(announcedBelief) bool { return true })
+	ids, number := h.beliefs.since(known, maxAnnouncementsPerMessage, func(announcedBelief) bool { return true })
 	for _, id := range ids {
 		answer.Said = append(answer.Said, newSaid(now, id, h.beliefs.get(id).belief))
 	}
@@ -183,17 +183,17 @@
 	at     time.Time
 }
 
-// noteSaid queues what this node now believes of a server for sending to the nodes. The server may not be listed yet.
-func (h *Holder) noteSaid(now time.Time, server string, b backpressure.SharedState) {
+// noteBelief queues what this node now believes of a server for sending to the nodes. The server may not be listed yet.
+func (h *Holder) noteBelief(now time.Time, server string, b backpressure.SharedState) {
 	h.beliefs.set(server, announcedBelief{b, now})
-	h.planSoon = true // other servers must hold what it holds
+	h.planSoon = true // if the server leaves or is limited, other servers must load its models
 }
 
-// beginSaid queues all of this node's beliefs about servers at the start of a term.
-func (h *Holder) beginSaid(now time.Time) {
+// beginBeliefs queues all of this node's beliefs about servers at the start of a term.
+func (h *Holder) beginBeliefs(now time.Time) {
 	h.beliefs = changeLog[announcedBelief]{}
 	for id, b := range activeBeliefs(h.Servers) {
-		h.noteSaid(now, id, b)
+		h.noteBelief(now, id, b)
 	}
 }
 
@@ -208,11 +208,11 @@
 	}
 }
 
-// expireSaid drops limits that ended, and servers that are gone.
-func (h *Holder) expireSaid(now time.Time) {
+// expireBeliefs drops limits that ended, and servers that are gone.
+func (h *Holder) expireBeliefs(now time.Time) {
 	snapshot := h.Servers.Snapshot()
 	h.beliefs.deleteIf(func(id string, n announcedBelief) bool {
 		over := snapshot.Member(id) == nil || !n.belief.Limited && !n.belief.Leaving
-		return over && now.Sub(n.at) > saidRetention
+		return over && now.Sub(n.at) > announcementRetention
 	})
 }
--- a/pkg/coordinator/changelog.go
+++ b/pkg/coordinator/changelog.go
@@ -26,7 +26,7 @@
 	return nil
 }
 
-// set sets a value and counts a change.
+// set sets the value of an ID and counts a change.
 func (l *changeLog[T]) set(id string, value T) {
 	if l.entries == nil {
 		l.entries = make(map[string]*logEntry[T])
@@ -35,7 +35,7 @@
 	l.entries[id] = &logEntry[T]{value, l.number}
 }
 
-// deleteIf deletes the values for which over returns true.
+// deleteIf deletes the values for which match returns true.
 func (l *changeLog[T]) deleteIf(match func(id string, value T) bool) {
 	for id, c := range l.entries {
 		if match(id, c.value) {
@@ -44,8 +44,8 @@
 	}
 }
 
-// since returns the IDs that changed after the given number and that tells accepts, at most most of them, oldest
-// changes first, and the number up to which they are complete.
+// since returns the IDs whose values changed after the change with the given number and for which include returns
+// true, oldest changes first and no more than limit. It also returns the number of the last change that the list covers.
 func (l *changeLog[T]) since(number uint64, limit int, include func(T) bool) ([]string, uint64) {
 	if number >= l.number {
 		return nil, l.number
--- a/pkg/coordinator/explore_announcements_test.go
+++ b/pkg/coordinator/explore_announcements_test.go
@@ -8,7 +8,7 @@
 	"martenwheel.dev/pkg/backpressure"
 )
 
-// maxAnnouncementPause is the longest time between two announcements of servers.
+// maxAnnouncementPause is the longest time between two simulated announcements by servers.
 const maxAnnouncementPause = 2 * time.Second
 
 // leaveAnnouncement is a server's announcement to one incarnation of a node that it leaves.
@@ -32,7 +32,7 @@
 	}
 	id := list[random.IntN(len(list))].ID
 	heard := n.node.servers.MergeSignals(id, backpressure.SharedState{Leaving: true})
-	n.member.Heard(heard)
+	n.member.SignalsChanged(heard)
 	sim.logEvent("%s announces to %s that it leaves", id, n.name)
 	return leaveAnnouncement{n, id, time.Since(sim.leaseStore.started)}, true
 }
--- a/pkg/coordinator/explore_harmless_test.go
+++ b/pkg/coordinator/explore_harmless_test.go
@@ -24,8 +24,8 @@
 type harmlessRequest struct {
 	crashing    *crashingRequest
 	fingerprint quarantine.Fingerprint
-	random      *rand.Rand    // for the callers; not safe for concurrent use
-	runTime     time.Duration // of one copy
+	random      *rand.Rand    // used by flood; not safe for concurrent use
+	runTime     time.Duration // time that one copy runs
 
 	mu                sync.Mutex
 	completed, broken int
@@ -65,12 +65,12 @@
 			return
 		}
 		run := quarantine.Run{Request: h.fingerprint, Service: "s", Server: n.listedIncarnation(server), Round: n.member.NextRound(h.fingerprint), RequestID: "id"}
-		run.Doubts, run.Again = n.member.InDoubt(h.fingerprint, run.Server)
+		run.Doubts, run.Again = n.member.SuspectedRounds(h.fingerprint, run.Server)
 		sentTo := n.servers.Snapshot().Member(run.Server)
 		if h.run(n, server) {
-			n.member.Ran(h.fingerprint)
+			n.member.Completed(h.fingerprint)
 			if standing == quarantine.Suspected {
-				n.member.ReleaseTurn(h.fingerprint, run.Server)
+				n.member.ReleaseTrial(h.fingerprint, run.Server)
 			}
 			return
 		}
@@ -103,7 +103,7 @@
 			return standing, false
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		granted, _ := n.member.TakeTurn(ctx, h.fingerprint, "s", n.listedIncarnation(server))
+		granted, _ := n.member.RequestTrial(ctx, h.fingerprint, "s", n.listedIncarnation(server))
 		cancel()
 		if granted {
 			h.crashing.sim.logEvent("%s got a trial of the harmless request at %s", n.name, server)
@@ -113,32 +113,32 @@
 	return 0, false
 }
 
-// run runs a copy. It returns false if its server ended meanwhile.
+// run runs a copy. It returns false if its server ended or restarted meanwhile.
 func (h *harmlessRequest) run(n *simNode, server string) bool {
 	incarnation := h.crashing.incarnation(server)
 	known := h.crashing.sim.serverIDs()[server]
 	time.Sleep(h.runTime)
-	whole := known && h.crashing.sim.serverIDs()[server] && h.crashing.incarnation(server) == incarnation
+	completed := known && h.crashing.sim.serverIDs()[server] && h.crashing.incarnation(server) == incarnation
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if whole {
+	if completed {
 		h.completed++
 	} else {
 		h.broken++
 	}
-	return whole
+	return completed
 }
 
-// reportCrash reports a server that ended while a copy ran there.
+// reportCrash reports that a server crashed while a copy ran there.
 func (h *harmlessRequest) reportCrash(n *simNode, r quarantine.Run, sentTo *backend.Member, standing quarantine.Standing) {
 	if h.crashing.proxied {
-		n.member.Doubted(h.crashing.sim.t.Context(), r)
+		n.member.CrashSuspected(h.crashing.sim.t.Context(), r)
 		n.reportEndByRecord(r, sentTo)
 		return
 	}
-	n.member.Ended(r)
+	n.member.ServerCrashed(r)
 	if standing == quarantine.Suspected {
-		n.member.ReleaseTurn(r.Request, r.Server)
+		n.member.ReleaseTrial(r.Request, r.Server)
 	}
 }
 
--- a/pkg/coordinator/explore_limit_test.go
+++ b/pkg/coordinator/explore_limit_test.go
@@ -30,7 +30,7 @@
 type limitedServer struct {
 	sim    *simulation
 	limit  float64
-	random *rand.Rand // for the callers; not safe for concurrent use
+	random *rand.Rand // used by flood; not safe for concurrent use
 
 	mu       sync.Mutex
 	rations  map[string]*backpressure.Ration // by name of the node's incarnation
@@ -42,7 +42,7 @@
 		rations: make(map[string]*backpressure.Ration)}
 }
 
-// flood sends requests for the given time.
+// flood sends requests of all nodes at demandFactor times the limit for the given time.
 func (s *limitedServer) flood(length time.Duration) {
 	pause := time.Duration(float64(time.Second) / (demandFactor * s.limit))
 	for began := time.Now(); time.Since(began) < length; time.Sleep(pause) {
@@ -60,9 +60,9 @@
 	if n.isFrozen() || !n.waitUntilRunning() {
 		return
 	}
-	slot, err := n.member.TakeSlot(s.sim.t.Context(), []backpressure.Ask{{Server: "server-0", Limit: s.limit}}, backpressure.MaxWait)
+	slot, err := n.member.RequestSlot(s.sim.t.Context(), []backpressure.Ask{{Server: "server-0", Limit: s.limit}}, backpressure.MaxWait)
 	if err != nil {
-		slot = backpressure.Slot{Granted: s.ration(n).Take(time.Now(), n.member.Self.Name, "server-0", backpressure.UncoordinatedShare*s.limit, n.member.Fleet())}
+		slot = backpressure.Slot{Granted: s.ration(n).Take(time.Now(), n.member.Self.Name, "server-0", backpressure.UncoordinatedShare*s.limit, n.member.FleetSize())}
 	}
 	if !slot.Granted {
 		return
@@ -86,7 +86,8 @@
 	return s.rations[n.name]
 }
 
-// check checks the fullest window and, over a time without faults, the used share of the limit.
+// check verifies the number of requests in the fullest window and, over a time without faults, the
+// used share of the limit.
 func (s *limitedServer) check(faultsEnded time.Time, length time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/coordinator/explore_quarantine_test.go
+++ b/pkg/coordinator/explore_quarantine_test.go
@@ -22,14 +22,14 @@
 	sim         *simulation
 	fingerprint quarantine.Fingerprint
 	random      *rand.Rand    // for the caller; not safe for concurrent use
-	timeToCrash time.Duration // from its start to the crash of the server
+	timeToCrash time.Duration // from the start of a run to the crash of its server
 	sticky      bool          // all are sent to one server, which keeps its name and is behind a proxy
 	proxied     bool          // all servers are behind proxies
 	unlisted    bool          // also sent to servers that the node does not list
 	maxTries    int           // servers that one request may be sent to; zero means defaultMaxTries
 
 	mu       sync.Mutex
-	crashes  []time.Time // when servers crashed
+	crashes  []time.Time // when servers crashed under the request
 	arrivals []arrival
 }
 
@@ -42,9 +42,9 @@
 
 // Times of a crashing request.
 const (
-	maxResendPause    = 900 * time.Millisecond // longest pause until it is sent again
-	crashTime         = 120 * time.Millisecond // from its start to the crash of the server
-	shortCrashTime    = 5 * time.Millisecond   // from its start to the crash, before a node can report anything
+	maxResendPause    = 900 * time.Millisecond // longest pause until the request is sent again
+	crashTime         = 120 * time.Millisecond // from the start of a run to the crash of its server
+	shortCrashTime    = 5 * time.Millisecond   // from the start of a run to the crash, before a node can report anything
 	defaultMaxTries   = 3                      // servers that one request may be sent to
 	maxFaultPhase     = 6 * time.Second        // longest phase with faults
 	maxFaultFreePhase = 8 * time.Second        // longest phase without faults, not counting contactTime
@@ -80,11 +80,11 @@
 	})
 }
 
-// TestBUDGETWhereEndsShowLate has all servers behind proxies, which accept connections after the
-// server has ended, and the request is sent to one node right after the other. A crash shows only
+// TestBUDGETWhereCrashesShowLate has all servers behind proxies, which accept connections after the
+// server has crashed, and the request is sent to one node right after the other. A crash shows only
 // once the server's record disappears. By then the request had been at all servers, since each node
 // knew only its own tries and counted none of them as a crash.
-func TestBUDGETWhereEndsShowLate(t *testing.T) {
+func TestBUDGETWhereCrashesShowLate(t *testing.T) {
 	for _, tries := range []int{1, defaultMaxTries} {
 		t.Run(fmt.Sprintf("%d tries", tries), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -154,7 +154,7 @@
 		}
 		if standing == quarantine.Suspected {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-			granted, _ := n.member.TakeTurn(ctx, r.fingerprint, "s", n.listedIncarnation(server))
+			granted, _ := n.member.RequestTrial(ctx, r.fingerprint, "s", n.listedIncarnation(server))
 			cancel()
 			if !granted || !n.waitUntilRunning() {
 				return
@@ -165,7 +165,7 @@
 		}
 		incarnation := r.incarnation(server)
 		run := quarantine.Run{Request: r.fingerprint, Service: "s", Server: n.listedIncarnation(server), Round: n.member.NextRound(r.fingerprint), RequestID: "id"}
-		run.Doubts, run.Again = n.member.InDoubt(r.fingerprint, run.Server)
+		run.Doubts, run.Again = n.member.SuspectedRounds(r.fingerprint, run.Server)
 		sentTo := n.servers.Snapshot().Member(run.Server)
 		r.noteArrival(n, server)
 		time.Sleep(r.timeToCrash)
@@ -174,16 +174,16 @@
 			return
 		}
 		if r.sticky || r.proxied {
-			n.member.Doubted(r.sim.t.Context(), run)
+			n.member.CrashSuspected(r.sim.t.Context(), run)
 			n.reportEndByRecord(run, sentTo)
 			if standing == quarantine.Suspected {
 				return // the trial is kept until it expires
 			}
 			continue
 		}
-		n.member.Ended(run)
+		n.member.ServerCrashed(run)
 		if standing == quarantine.Suspected {
-			n.member.ReleaseTurn(r.fingerprint, run.Server)
+			n.member.ReleaseTrial(r.fingerprint, run.Server)
 		}
 	}
 }
@@ -230,16 +230,16 @@
 	return server
 }
 
-// recordTimeout is the time within which the record of an ended server shows its end, as in package
+// recordTimeout is the time within which the record of a crashed server disappears, as in package
 // relay.
 const recordTimeout = 5 * time.Second
 
-// reportEndByRecord reports the end of a server once its record shows it. The proxy before the
-// server does not refuse connections.
+// reportEndByRecord reports the crash of a server once its record has disappeared. The proxy before
+// the server does not refuse connections.
 func (n *simNode) reportEndByRecord(r quarantine.Run, m *backend.Member) {
 	r.ByRecord = true
 	if m != nil {
-		m.OnEnd(recordTimeout, func() { n.member.Ended(r) })
+		m.OnEnd(recordTimeout, func() { n.member.ServerCrashed(r) })
 	}
 }
 
@@ -266,7 +266,7 @@
 	r.crashes = append(r.crashes, time.Now())
 }
 
-// check checks the arrivals against the users' rule.
+// check verifies the arrivals by the users' rule.
 func (r *crashingRequest) check() {
 	if len(r.crashes) < 3 {
 		r.sim.t.Logf("only %d servers crashed", len(r.crashes))
--- a/pkg/coordinator/explore_quota_test.go
+++ b/pkg/coordinator/explore_quota_test.go
@@ -39,7 +39,7 @@
 type greedyTenant struct {
 	sim    *simulation
 	tenant *tenant.Tenant
-	random *rand.Rand // for the caller; not safe for concurrent use
+	random *rand.Rand // used by flood; not safe for concurrent use
 
 	mu      sync.Mutex
 	granted []grant
@@ -55,7 +55,7 @@
 	return &greedyTenant{sim: sim, tenant: sim.table.Tenants().Named("a"), random: rand.New(rand.NewPCG(seed, 5))}
 }
 
-// flood sends requests for the given time.
+// flood sends requests at greedyFactor times the quota for the given time.
 func (g *greedyTenant) flood(length time.Duration) {
 	const step = 10 * time.Millisecond
 	due := 0.0
@@ -103,7 +103,7 @@
 	return fullestWindow, end
 }
 
-// check checks the fullest window.
+// check verifies that no window exceeds what may run of the tenant.
 func (g *greedyTenant) check() {
 	fullest, end := g.fullestWindow()
 	terms := g.sim.leaseStore.stored.Record.Term
@@ -113,7 +113,7 @@
 	}
 }
 
-// holderChangesTime is how long the holder keeps changing.
+// holderChangesTime is how long a test keeps disrupting the holder.
 const holderChangesTime = 24 * time.Second
 
 // holderNode returns the node that holds the lease, or the first one if none does.
@@ -177,9 +177,9 @@
 	}
 }
 
-// TestQUOTAWhileNothingIsInReach cuts all nodes off from each other while the store is down, from
+// TestQUOTAWhileNodesAreIsolated cuts all nodes off from each other while the store is down, from
 // the moment at which the tenant exceeds its quota.
-func TestQUOTAWhileNothingIsInReach(t *testing.T) {
+func TestQUOTAWhileNodesAreIsolated(t *testing.T) {
 	for _, each := range []time.Duration{700 * time.Millisecond, time.Second, 2 * time.Second, 4 * time.Second} {
 		t.Run("each "+each.String(), func(t *testing.T) {
 			runGreedyTenant(t, each, func(sim *simulation) { sim.isolateNodes(2500 * time.Millisecond) })
--- a/pkg/coordinator/explore_test.go
+++ b/pkg/coordinator/explore_test.go
@@ -28,8 +28,8 @@
 // Durations of the parts of a schedule.
 const (
 	faultTime   = 25 * time.Second
-	settleTime  = 8 * time.Second  // after the faults, before the site must serve
-	recoverTime = 20 * time.Second // within which the site must then serve
+	settleTime  = 8 * time.Second  // pause after the faults, before the site must serve
+	recoverTime = 20 * time.Second // time within which the site must then serve
 )
 
 // TestSchedules runs random schedules of faults against nodes with the real lease, holder and
@@ -287,10 +287,11 @@
 }
 
 // checkOrders checks all orders that reached servers on time. Two holders must not use the same
-// fence, nor give orders to the same server within turnTime, and loads must keep to the ceiling. The
-// engines check memory and adapter places themselves. By the users' rules, orders that a holder
-// gives while it continues without the store are exempt from turnTime and the ceiling, since servers
-// refuse lower fences; Give checks that such a holder really has no contact with the store.
+// fence, nor give orders to the same server within holderChangePause, and loads must keep to the
+// ceiling. The engines check memory and adapter places themselves. By the users' rules, orders that
+// a holder gives while it continues without the store are exempt from holderChangePause and the
+// ceiling, since servers refuse lower fences; SendOrder checks that such a holder really has no
+// contact with the store.
 func (sim *simulation) checkOrders() {
 	holders := make(map[uint64]string)
 	lastOrders := make(map[string]receivedOrder)
@@ -301,7 +302,7 @@
 		}
 		holders[g.order.Fence] = g.order.Holder
 		before, known := lastOrders[g.server]
-		if known && !g.order.Offline && !before.order.Offline && nodeOf(before.order.Holder) != nodeOf(g.order.Holder) && g.at.Sub(before.at) < turnTime {
+		if known && !g.order.Offline && !before.order.Offline && nodeOf(before.order.Holder) != nodeOf(g.order.Holder) && g.at.Sub(before.at) < holderChangePause {
 			sim.t.Errorf("%s received an order of %s and, %v later, one of %s", g.server, before.order.Holder, g.at.Sub(before.at), g.order.Holder)
 		}
 		lastOrders[g.server] = g
--- a/pkg/coordinator/fleet.go
+++ b/pkg/coordinator/fleet.go
@@ -22,8 +22,8 @@
 
 // begin starts a term with the number in the lease's record. A record without a number may have been lost: the fleet is
 // then as large as this node lists it, and if the record comes from a restored backup, the size counts as unknown.
-func (f *fleet) begin(now time.Time, recorded, listed int, copied bool) {
-	f.begunAt, f.sizeUnknown = now, recorded == 0 && copied
+func (f *fleet) begin(now time.Time, recorded, listed int, restored bool) {
+	f.begunAt, f.sizeUnknown = now, recorded == 0 && restored
 	if recorded == 0 {
 		recorded = listed
 	}
--- a/pkg/coordinator/fleet_test.go
+++ b/pkg/coordinator/fleet_test.go
@@ -68,9 +68,9 @@
 	})
 }
 
-// TestHolderLendsRepeats checks that the retries lent stay within the slack, and that a new holder
+// TestHolderLendsRetries checks that the retries lent stay within the slack, and that a new holder
 // lends none at first.
-func TestHolderLendsRepeats(t *testing.T) {
+func TestHolderLendsRetries(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		s := newSite(t)
 		first := s.start("first")
--- a/pkg/coordinator/handover.go
+++ b/pkg/coordinator/handover.go
@@ -40,18 +40,18 @@
 		return
 	}
 	h.heartbeatsCountedAt = now
-	beating := 0
+	recent := 0
 	for _, n := range h.nodes {
 		if now.Sub(n.seen) <= heartbeatWindow {
-			beating++
+			recent++
 		}
 	}
 	if now.Sub(h.termBegan) > joinGrace {
-		asking := float64(max(beating, 1)) / float64(max(h.fleet.known(), 1))
+		asking := float64(max(recent, 1)) / float64(max(h.fleet.known(), 1))
 		h.heartbeatShare.Store(&asking)
 	}
 	last := h.currentMajority(now)
-	if h.fleet.isMajority(beating) {
+	if h.fleet.isMajority(recent) {
 		next := majority{since: now, until: now.Add(majorityTTL + min(h.planTook, maxTickPause))}
 		if last != nil {
 			next.since = last.since
@@ -60,7 +60,7 @@
 	}
 	if is := h.hasMajority(now); is != h.majorityLogged {
 		h.majorityLogged = is
-		h.Logger.Info("most nodes ask this holder", "is", is, "asked", beating, "fleet", h.fleet.known(), "term", h.term)
+		h.Logger.Info("most nodes ask this holder", "is", is, "asked", recent, "fleet", h.fleet.known(), "term", h.term)
 	}
 }
 
@@ -78,8 +78,9 @@
 	since, until time.Time
 }
 
-// MayContinueOffline tells whether this holder may give orders while the store does not answer: servers check fences
-// and so refuse its orders after those of a later holder, and most nodes ask this holder. Safe for concurrent use.
+// MayContinueOffline tells whether this holder may give orders while the store does not answer. Servers must check
+// fences, so that they refuse its orders after those of a later holder, and most nodes must ask this holder. Safe for
+// concurrent use.
 func (h *Holder) MayContinueOffline() bool {
 	return h.Fenced && h.hasMajority(h.Time.Now())
 }
@@ -145,8 +146,8 @@
 	record, _ := h.Lease.Current()
 	before := h.Lease.Previous()
 	h.awaitingHandover, h.fenceAll = false, false
-	if since, is := h.Lease.TookOverAfterRestore(); is {
-		h.takeOverCopy(since, before)
+	if since, restored := h.Lease.TookOverAfterRestore(); restored {
+		h.takeOverAfterRestore(since, before)
 		return
 	}
 	switch {
@@ -155,7 +156,7 @@
 	case !h.Fenced || before.Holder == "":
 		return // the last holder never continues without the store, or it released the lease
 	case h.Lease.OwnPreviousTerm() > 0:
-		h.requireFences("an earlier life of this node") // which can't be asked any more
+		h.requireFences("an earlier life of this node") // it ended, so it can't be asked for its orders
 		return
 	}
 	h.awaitingHandover = true
@@ -180,10 +181,10 @@
 	}()
 }
 
-// takeOverCopy begins a term whose record comes from a restored backup of the store: it lacks recent orders of the
+// takeOverAfterRestore begins a term whose record comes from a restored backup of the store: it lacks recent orders of the
 // last holder, and may lack that holder itself. That holder gave no order later than PermitTime after the store was
 // gone, and servers get no orders until then; where they check fences, each must also refuse late orders.
-func (h *Holder) takeOverCopy(since time.Time, before lease.Record) {
+func (h *Holder) takeOverAfterRestore(since time.Time, before lease.Record) {
 	h.quietUntil = latest(h.quietUntil, since.Add(lease.PermitTime+h.HandoverPause))
 	for _, s := range h.servers {
 		s.quietUntil, s.recheck = latest(s.quietUntil, h.quietUntil), true
@@ -209,7 +210,7 @@
 func (h *Holder) raiseFences(now time.Time) {
 	var orders []fenceOrder
 	for _, s := range h.servers {
-		if !s.needsFence || s.untouched || s.asking || s.sequenceUnknown || s.busy != nil || s.member == nil || now.Before(latest(s.quietUntil, s.avoidUntil)) {
+		if !s.needsFence || s.untouched || s.awaitingAnswer || s.sequenceUnknown || s.busy != nil || s.member == nil || now.Before(latest(s.quietUntil, s.avoidUntil)) {
 			continue
 		}
 		e := h.engineOf(s)
@@ -221,7 +222,7 @@
 			s.needsFence, s.quietUntil = false, latest(s.quietUntil, now.Add(maxOrderDelay))
 			continue
 		}
-		s.asking = true
+		s.awaitingAnswer = true
 		orders = append(orders, fenceOrder{s, s.member, Order{Need: need, Holder: h.Lease.Self, Fence: h.term, Expected: s.sequence}})
 	}
 	if len(orders) > 0 {
@@ -231,7 +232,7 @@
 
 // fenceOrder is an order without effect.
 type fenceOrder struct {
-	server *serverState // for the holder's goroutine only
+	server *serverState // used by the goroutine of Run only
 	member *backend.Member
 	order  Order
 }
@@ -248,10 +249,10 @@
 		go func() {
 			result, err := Result(0), err
 			if err == nil {
-				o.order.Offline, o.order.May = permit.Offline, sendAllowed(permit, o.member)
+				o.order.Offline, o.order.CheckSend = permit.Offline, sendCheck(permit, o.member)
 				ctx, cancel := context.WithTimeout(h.runCtx, h.Time.Until(permit.Until))
 				defer cancel()
-				result, err = h.Orders.Give(ctx, o.member, o.order)
+				result, err = h.Orders.SendOrder(ctx, o.member, o.order)
 			}
 			h.post(func() {
 				if h.term == term {
@@ -275,7 +276,7 @@
 // fenceRaised handles the outcome of an order that shows the fence.
 func (h *Holder) fenceRaised(now time.Time, s *serverState, result Result, err error) {
 	h.Logger.Info("fence raised", "server", s.id, "fence", h.term, "sequence", s.sequence, "result", result, "error", err)
-	s.asking = false
+	s.awaitingAnswer = false
 	s.sequenceUnknown, s.reportAt = true, now.Add(reportLag)
 	switch {
 	case err != nil:
--- a/pkg/coordinator/handover_test.go
+++ b/pkg/coordinator/handover_test.go
@@ -31,9 +31,9 @@
 	return cancel
 }
 
-// startFollowedHolder starts a site with fences, one server and a holder to which one node sends
+// startHolderWithHeartbeats starts a site with fences, one server and a holder to which one node sends
 // heartbeats until stopHeartbeats is called.
-func startFollowedHolder(t *testing.T) (s *site, first *node, stopHeartbeats func()) {
+func startHolderWithHeartbeats(t *testing.T) (s *site, first *node, stopHeartbeats func()) {
 	s = newSite(t, []string{"m0"})
 	s.fenced = true
 	first = s.start("a")
@@ -49,7 +49,7 @@
 	for _, test := range []struct {
 		name      string
 		fenced    bool
-		followers int // of a fleet of five, that send heartbeats once the store is down
+		followers int // how many of five nodes send heartbeats once the store is down
 		want      bool
 	}{
 		{"all follow", true, 5, true},
@@ -93,7 +93,7 @@
 // server is about to use.
 func TestNextHolderIsToldOfOrders(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		s, first, stopHeartbeats := startFollowedHolder(t)
+		s, first, stopHeartbeats := startHolderWithHeartbeats(t)
 		first.store.unreachable.Store(true)
 		time.Sleep(3 * time.Second)
 		first.requestLoad(t, "m5")
@@ -124,16 +124,16 @@
 	})
 }
 
-// TestLIMITLateOrdersThatNoIntentTellsOf has a holder end that continued without the store, and one
+// TestLIMITLateOrdersWithoutAnIntent has a holder end that continued without the store, and one
 // of its orders arrive some time after the next holder took the lease. Servers that have seen the
 // next holder's fence must refuse it; an order that arrived before must be noticed. The engines
 // report orders that exceed their memory.
-func TestLIMITLateOrdersThatNoIntentTellsOf(t *testing.T) {
+func TestLIMITLateOrdersWithoutAnIntent(t *testing.T) {
 	const fenceSeen = tickInterval + handoverTimeout + tickInterval
 	for _, delay := range []time.Duration{0, tickInterval, 500 * time.Millisecond, fenceSeen, time.Second, 2 * time.Second, 3 * time.Second} {
 		t.Run(delay.String(), func(t *testing.T) {
 			bubble(t, func(t *testing.T) {
-				s, first, stopHeartbeats := startFollowedHolder(t)
+				s, first, stopHeartbeats := startHolderWithHeartbeats(t)
 				s.leaseStore.setDown(true)
 				time.Sleep(3 * time.Second)
 				s.engines.loseAnswers(1)
@@ -170,7 +170,7 @@
 	for _, delay := range []time.Duration{time.Second, 5 * time.Second, 8 * time.Second} {
 		t.Run(delay.String(), func(t *testing.T) {
 			bubble(t, func(t *testing.T) {
-				s, first, stopHeartbeats := startFollowedHolder(t)
+				s, first, stopHeartbeats := startHolderWithHeartbeats(t)
 				s.engines.loseAnswers(1)
 				first.requestLoad(t, "m5")
 				for !s.engines.hasDelayedOrders() {
@@ -221,7 +221,7 @@
 		least, most time.Duration // from the end of the holder to the next order
 	}{
 		{true, 0, 2 * time.Second},
-		{false, turnTime, turnTime + 3*time.Second},
+		{false, holderChangePause, holderChangePause + 3*time.Second},
 	} {
 		t.Run(fmt.Sprintf("fenced %t", test.fenced), func(t *testing.T) {
 			bubble(t, func(t *testing.T) {
@@ -253,10 +253,10 @@
 	}
 }
 
-// TestHolderWithoutTheStoreEndsAsMostNodesLeaveIt checks that a holder without the store gives up
+// TestOfflineHolderResignsWithoutAMajority checks that a holder without the store gives up
 // once most nodes no longer send it heartbeats. While it acts as the holder it admits all that
 // quotas and rate limits of servers allow, and so does the next holder that most nodes ask.
-func TestHolderWithoutTheStoreEndsAsMostNodesLeaveIt(t *testing.T) {
+func TestOfflineHolderResignsWithoutAMajority(t *testing.T) {
 	const most = 2 * time.Second // after the last heartbeat
 	bubble(t, func(t *testing.T) {
 		s := newSite(t, []string{"m0"})
@@ -280,7 +280,7 @@
 		if reply, err := n.holder.HandleMessage(t.Context(), api.NodeRef{}, Borrow{Service: "s"}); err != nil || reply.(BorrowAnswer).Term != 0 {
 			t.Errorf("the holder still lends retries: %+v, %v", reply, err)
 		}
-		if answer := n.takeSlot(t, "server-0", 1); answer.Term != 0 {
+		if answer := n.requestSlot(t, "server-0", 1); answer.Term != 0 {
 			t.Errorf("the holder still grants slots: %+v", answer)
 		}
 	})
--- a/pkg/coordinator/harness_test.go
+++ b/pkg/coordinator/harness_test.go
@@ -25,15 +25,15 @@
 
 // Sizes and times of the test engines.
 const (
-	engineBytes   = 200
-	modelBytes    = 80
-	adapterPlaces = 2
-	loadTime      = 4 * time.Second // unless the test sets another one
-	diskLoadTime  = 500 * time.Millisecond
-	modelCount    = 40
-	loadRate      = 2
-	turnTime      = 3 * time.Second
-	ceilingWindow = 5 * time.Second
+	engineBytes       = 200
+	modelBytes        = 80
+	adapterPlaces     = 2
+	loadTime          = 4 * time.Second // unless the test sets another one
+	diskLoadTime      = 500 * time.Millisecond
+	modelCount        = 40
+	loadRate          = 2
+	holderChangePause = 3 * time.Second
+	ceilingWindow     = 5 * time.Second
 )
 
 // memoryStore is a lease store in memory.
@@ -115,14 +115,14 @@
 
 // engineState is the state of one server.
 type engineState struct {
-	incarnation int64 // increases with each restart under the same name
-	models      map[string]map[string]bool
-	sequence    uint64
-	fence       uint64
-	busyUntil   time.Time
-	loading     string
-	unloading   string
-	onDisk      []string // models whose weights are cached on the server's disk
+	incarnation    int64 // increases with each restart under the same name
+	models         map[string]map[string]bool
+	sequence       uint64
+	fence          uint64
+	busyUntil      time.Time
+	loadingModel   string
+	unloadingModel string
+	onDisk         []string // models whose weights are cached on the server's disk
 }
 
 // resetServer restarts a server under its name: it holds nothing and counts orders from zero again.
@@ -136,17 +136,17 @@
 	if e.busyUntil.IsZero() || time.Now().Before(e.busyUntil) {
 		return
 	}
-	if e.loading != "" {
-		e.models[e.loading] = make(map[string]bool)
+	if e.loadingModel != "" {
+		e.models[e.loadingModel] = make(map[string]bool)
 	}
-	delete(e.models, e.unloading)
-	e.loading, e.unloading, e.busyUntil = "", "", time.Time{}
+	delete(e.models, e.unloadingModel)
+	e.loadingModel, e.unloadingModel, e.busyUntil = "", "", time.Time{}
 }
 
 // usedBytes returns the memory of the models that the server holds or is loading.
 func (e *engineState) usedBytes() int {
 	n := len(e.models)
-	if e.loading != "" {
+	if e.loadingModel != "" {
 		n++
 	}
 	return n * modelBytes
@@ -160,8 +160,8 @@
 	return n
 }
 
-// Give implements Orders.
-func (e *engines) Give(ctx context.Context, s *backend.Member, o Order) (Result, error) {
+// SendOrder implements Orders.
+func (e *engines) SendOrder(ctx context.Context, s *backend.Member, o Order) (Result, error) {
 	time.Sleep(max(e.answerDelay, 5*time.Millisecond))
 	if ctx.Err() != nil {
 		return 0, ctx.Err()
@@ -216,7 +216,7 @@
 	}
 	s.fence = o.Fence
 	_, holds := s.models[o.Need.Model]
-	if o.Load && !holds && o.Need.Adapter == "" && s.loading != o.Need.Model && s.usedBytes()+modelBytes > engineBytes {
+	if o.Load && !holds && o.Need.Adapter == "" && s.loadingModel != o.Need.Model && s.usedBytes()+modelBytes > engineBytes {
 		e.t.Errorf("order to load %s exceeds the server's memory", o.Need.Model)
 	}
 	switch {
@@ -227,12 +227,12 @@
 	case o.Load == holds:
 		return Already
 	case o.Load:
-		s.loading, s.busyUntil = o.Need.Model, time.Now().Add(e.loadDuration)
+		s.loadingModel, s.busyUntil = o.Need.Model, time.Now().Add(e.loadDuration)
 		if slices.Contains(s.onDisk, o.Need.Model) {
 			s.busyUntil = time.Now().Add(diskLoadTime)
 		}
 	default:
-		s.unloading, s.busyUntil = o.Need.Model, time.Now().Add(50*time.Millisecond)
+		s.unloadingModel, s.busyUntil = o.Need.Model, time.Now().Add(50*time.Millisecond)
 	}
 	s.sequence++
 	return Accepted
@@ -259,8 +259,8 @@
 	}
 }
 
-// Report implements Orders.
-func (e *engines) Report(_ context.Context, s *backend.Member) (Report, error) {
+// FetchReport implements Orders.
+func (e *engines) FetchReport(_ context.Context, s *backend.Member) (Report, error) {
 	time.Sleep(2 * time.Millisecond)
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -353,7 +353,7 @@
 	table         *route.Table
 	serverRecords []*backend.Server
 	knownNodes    []Node       // that a starting node knows of
-	logger        hclog.Logger // of the nodes; nil discards everything
+	logger        hclog.Logger // logger of the nodes; nil discards everything
 	fenced        bool         // holders rely on the servers' fences
 
 	mu               sync.Mutex
@@ -434,10 +434,10 @@
 	decider, _ := policy.ByName(policy.NameDemandFirst)
 	n.holder = &Holder{Quarantine: new(quarantine.Table),
 		Lease: n.lease, Routes: func() *route.Table { return s.table }, Servers: n.servers, Orders: s.engines,
-		Transport: directTransport{site: s}, Decider: decider, HandoverPause: turnTime, Fenced: s.fenced,
+		Transport: directTransport{site: s}, Decider: decider, HandoverPause: holderChangePause, Fenced: s.fenced,
 		Ceiling: Ceiling{Window: ceilingWindow}, Budget: s.retryBudget(), Logger: s.logger, Nodes: func() []Node { return s.knownNodes },
 	}
-	n.lease.Fleet, n.lease.AllowOffline = n.holder.Fleet, n.holder.MayContinueOffline
+	n.lease.Fleet, n.lease.AllowOffline = n.holder.FleetSize, n.holder.MayContinueOffline
 	s.mu.Lock()
 	s.runningNodes[name] = n
 	s.mu.Unlock()
--- a/pkg/coordinator/heartbeats.go
+++ b/pkg/coordinator/heartbeats.go
@@ -11,8 +11,8 @@
 	uses    map[demandKey]Use
 }
 
-// takeHeartbeat handles a node's heartbeat.
-func (h *Holder) takeHeartbeat(now time.Time, b Beat) BeatAnswer {
+// handleHeartbeat handles a node's heartbeat.
+func (h *Holder) handleHeartbeat(now time.Time, b Beat) BeatAnswer {
 	if !h.ensureTerm() {
 		return BeatAnswer{}
 	}
@@ -27,7 +27,7 @@
 			d.rate.add(now, arrivals{u.Arrivals, u.Weight})
 			d.rate.count.addRate(now, u.Rate)
 			d.rate.weight.addRate(now, u.WeightedRate)
-			d.last = now
+			d.lastArrival = now
 		}
 	}
 	h.fleet.observe(now, len(h.nodes))
@@ -39,10 +39,10 @@
 	answer := BeatAnswer{Version: NodesVersion{h.term, h.roster.number}, Scarce: now.Before(h.scarceUntil),
 		Store: h.store.export(h.term), Fleet: h.fleet.known()}
 	answer.Evidence = h.exchangeEvidence(now, b.Evidence)
-	answer.Crowded = h.takePlaces(now, b)
+	answer.Crowded = h.applyPlaces(now, b)
 	h.exchangeSpeeds(now, &b, &answer)
-	h.exchangeSaid(now, &b, &answer)
-	answer.ScarceTenants = h.takeSpent(now, spendReport{spent: b.Spent, first: first, balances: b.QuotasLeft, at: now})
+	h.exchangeAnnouncements(now, &b, &answer)
+	answer.ScarceTenants = h.handleSpent(now, spendReport{spent: b.Spent, first: first, balances: b.QuotasLeft, at: now})
 	if h.Clock != nil {
 		answer.StoreClock, _ = h.Clock.Latest()
 	}
@@ -53,7 +53,7 @@
 	return answer
 }
 
-// noteNode records a node's heartbeat and returns the node's state without uses. The state of a later
+// noteNode records a node's heartbeat and returns the node's state, in which uses are still empty. The state of a later
 // incarnation of the node is left as it is.
 func (h *Holder) noteNode(now time.Time, node Node) *nodeState {
 	n := h.nodes[node.Name]
@@ -77,8 +77,8 @@
 	return n
 }
 
-// lend permits a retry if the shared budget allows it.
-func (h *Holder) lend(now time.Time, b Borrow) BorrowAnswer {
+// lendRetry permits a retry if the shared budget allows it.
+func (h *Holder) lendRetry(now time.Time, b Borrow) BorrowAnswer {
 	if !h.ensureTerm() {
 		return BorrowAnswer{}
 	}
@@ -97,10 +97,10 @@
 		}
 	}
 	h.speeds.expire(now)
-	h.expireSaid(now)
+	h.expireBeliefs(now)
 	h.interest.sweep(now)
 	for key, d := range h.demands {
-		if !d.waits(now) && d.rate.count.at(now) < minRate && now.Sub(d.last) > time.Minute {
+		if !d.waits(now) && d.rate.count.at(now) < minRate && now.Sub(d.lastArrival) > time.Minute {
 			delete(h.demands, key)
 		}
 	}
--- a/pkg/coordinator/beats_bench_test.go
+++ b/pkg/coordinator/heartbeats_bench_test.go
@@ -34,10 +34,10 @@
 	return n, heartbeats
 }
 
-// BenchmarkBeatsOfALargeFleet measures a heartbeat and its answer, for a node that does not know the
-// changes of the last second, in which one node restarted. With all nodes in each answer this took
-// 235 microseconds and 25,643 bytes.
-func BenchmarkBeatsOfALargeFleet(b *testing.B) {
+// BenchmarkHeartbeatsOfALargeFleet measures a heartbeat and its answer, for a node that does not
+// know the changes of the last second, in which one node restarted. With all nodes in each answer
+// this took 235 microseconds and 25,643 bytes.
+func BenchmarkHeartbeatsOfALargeFleet(b *testing.B) {
 	n, heartbeats := startLargeFleet(b)
 	defer n.stop()
 	bytesOf := func(answer any) int {
--- a/pkg/coordinator/holder.go
+++ b/pkg/coordinator/holder.go
@@ -43,17 +43,17 @@
 	Servers       *backend.Directory
 	Orders        Orders
 	Transport     peer.Transport
-	Clock         *storeclock.Clock // of the store; nil: no store clock is known
+	Clock         *storeclock.Clock // the store's clock; nil: unknown
 	Decider       policy.Decider
 	HandoverPause time.Duration // pause between orders of two holders to one server
 	Fenced        bool          // servers refuse orders of terms lower than the highest they have seen
 	Ceiling       Ceiling
-	Budget        relay.BudgetConfig                // for retries, part of which the holder lends
-	Tolerance     quota.Tolerance                   // for usage beyond tenants' quotas
+	Budget        relay.BudgetConfig                // budget of retries, part of which the holder lends to nodes
+	Tolerance     quota.Tolerance                   // how far usage may exceed tenants' quotas
 	Nodes         func() []Node                     // nodes that this node knows of
 	HolderSilence func(now time.Time) time.Duration // time since this node last had an answer from a holder; zero if nil
-	// KnownScarce returns the tenants that the last holder reported to this node as scarce; none if nil.
-	KnownScarce func() []string
+	// ScarceTenants returns the tenants that the last holder reported to this node as scarce; none if nil.
+	ScarceTenants func() []string
 	// Complete tells whether this node knows all servers; if nil, it does.
 	Complete func() bool
 	// Quarantine is this node's evidence against requests that crash servers.
@@ -70,15 +70,15 @@
 	nodes           map[string]*nodeState
 	fleet           fleet
 	retryPool       relay.SlackPool
-	trials          quarantine.Trials          // of suspected requests
+	trials          quarantine.Trials          // trials of suspected requests
 	suspicions      suspicionLimit             // limits the suspicions that are forwarded
-	speeds          serverSpeeds               // as sent to the nodes
-	beliefs         changeLog[announcedBelief] // from servers' announcements, by incarnation
+	speeds          serverSpeeds               // speeds of servers, as sent to the nodes
+	beliefs         changeLog[announcedBelief] // what servers announced, by ID of the incarnation
 	quotas          quota.Pool                 // safe for concurrent use
 	places          holderPlaces
-	slots           backpressure.Slots // at servers with a request limit; safe for concurrent use
-	announcedScarce []string           // tenants that nodes were told to ask the holder about
-	pendingSpend    []spendReport      // reports that wait until the configuration is read
+	slots           backpressure.Slots // slots at servers with a request limit; safe for concurrent use
+	announcedScarce []string           // tenants last announced to the nodes as scarce
+	pendingSpend    []spendReport      // reports of quota usage that wait until the configuration is read
 	// scarceRecordedAt is when the lease's record was last written because tenants became scarce.
 	scarceRecordedAt time.Time
 	sharesLoggedAt   time.Time // when the division of scarce tenants' quotas was last logged
@@ -87,13 +87,13 @@
 	termBegan        time.Time // when the term began at this node
 	demands          map[demandKey]*demand
 	servers          map[string]*serverState
-	indices          map[string]*index           // of the last plan, by service
-	learned          int                         // number of servers learned of in this term
-	interest         interest                    // which nodes were asked for which models
+	indices          map[string]*index           // indices of servers made for the last plan, by service
+	learnedServers   int                         // number of servers learned of in this term
+	interest         interest                    // models that were recently requested at each node
 	instances        map[string]*instance        // state that outlives a server's incarnations, by server name
 	crashingLoads    map[demandKey]*crashingLoad // models during whose loads servers crashed
 	fetchStarts      []time.Time                 // start times of loads from the weight store
-	store            storeLimit                  // how many loads from the weight store run at full speed at once
+	store            storeLimit                  // learns how many loads from the weight store run at full speed at once
 
 	awaitingHandover    bool                     // the last holder was asked for the orders it gave without the store
 	quietUntil          time.Time                // end of the pause after the last holder raised its fence at all servers
@@ -127,14 +127,14 @@
 // demand is the demand for one model or adapter.
 type demand struct {
 	rate         rates
-	last         time.Time // last arrival
+	lastArrival  time.Time
 	waitingSince time.Time // when the first load request that still counts arrived
 	logged       bool      // the load request was logged
 	waitLogged   bool      // the long wait was logged
 	waitsUntil   time.Time // when the load request expires if no server holds the model
 	deadline     time.Time
 	priority     int // 0 is the most urgent
-	request      string
+	requestID    string
 }
 
 func (h *Holder) init() {
@@ -191,10 +191,10 @@
 	}
 	now := h.Time.Now()
 	h.expire(now)
-	h.updateOverloaded(now)
+	h.updateOverloadedModels(now)
 	h.countHeartbeats(now)
 	h.learnRecords(now)
-	h.noteOverloaded(now)
+	h.markOverloadedServers(now)
 	h.plan(now)
 }
 
@@ -205,7 +205,7 @@
 	h.interest = interest{}
 	h.roster.begin()
 	h.demands = make(map[demandKey]*demand)
-	h.servers, h.indices, h.learned = make(map[string]*serverState), nil, 0
+	h.servers, h.indices, h.learnedServers = make(map[string]*serverState), nil, 0
 	h.instances = make(map[string]*instance)
 	h.fetchStarts = nil
 	h.crashingLoads = make(map[demandKey]*crashingLoad)
@@ -217,13 +217,13 @@
 	h.lastExpiry, h.termBegan = now, now
 	h.majority.Store(nil)
 	h.heartbeatShare.Store(nil)
-	_, copied := h.Lease.TookOverAfterRestore()
-	h.fleet.begin(now, record.Fleet, len(h.Nodes()), copied)
+	_, restored := h.Lease.TookOverAfterRestore()
+	h.fleet.begin(now, record.Fleet, len(h.Nodes()), restored)
 	h.retryPool.Budget = h.Budget
 	h.retryPool.Begin(now)
 	h.trials = quarantine.Trials{}
 	h.speeds = serverSpeeds{}
-	h.beginSaid(now)
+	h.beginBeliefs(now)
 	h.Quarantine.MergeStored(now, record.Aged(storeNow))
 	h.announcedScarce, h.pendingSpend = nil, nil
 	h.beginPlaces(now, term)
@@ -232,7 +232,7 @@
 	h.quietUntil = time.Time{}
 	h.inheritIntents(now, storeNow, record.Intents)
 	h.takeOver(term)
-	h.Logger.Info("coordinating", "term", term, "intents", len(record.Intents), "fleet", record.Fleet, "listed", len(h.Nodes()), "copied", copied)
+	h.Logger.Info("coordinating", "term", term, "intents", len(record.Intents), "fleet", record.Fleet, "listed", len(h.Nodes()), "copied", restored)
 	for _, n := range h.Nodes() {
 		if n.Peers != record.Address {
 			h.Transport.Send(n.Peers, Announcement{Term: term, Holder: record.Holder, Address: record.Address})
@@ -286,25 +286,25 @@
 	}
 }
 
-// Fleet returns the number of nodes of the site, the maximum of recent times; zero if no holder in this
+// FleetSize returns the number of nodes of the site, the maximum of recent times; zero if no holder in this
 // process knew any. Safe for concurrent use.
-func (h *Holder) Fleet() int { return h.fleet.known() }
+func (h *Holder) FleetSize() int { return h.fleet.known() }
 
 // HandleMessage implements peer.Handler.
 func (h *Holder) HandleMessage(ctx context.Context, from api.NodeRef, message peer.Message) (peer.Message, error) {
 	switch m := message.(type) {
 	case Beat:
-		return callOnLoop(ctx, h, func() BeatAnswer { return h.takeHeartbeat(h.Time.Now(), m) })
+		return callOnLoop(ctx, h, func() BeatAnswer { return h.handleHeartbeat(h.Time.Now(), m) })
 	case WishMessage:
 		return h.answerLoadRequest(ctx, m, string(from.ID))
 	case Draw:
-		return h.draw(h.Time.Now(), m), nil
+		return h.decideDraw(h.Time.Now(), m), nil
 	case AskPlace:
 		return h.decidePlace(h.Time.Now(), m), nil
 	case AskSlot:
 		return h.grantSlot(h.Time.Now(), m), nil
 	case PlaceNews:
-		h.takePlaceNews(h.Time.Now(), m)
+		h.applyPlaceNews(h.Time.Now(), m)
 		return nil, nil
 	case TakeTurn:
 		return callOnLoop(ctx, h, func() TurnAnswer { return h.grantTrial(h.Time.Now(), m) })
@@ -313,7 +313,7 @@
 	case ReleaseTurn:
 		return nil, h.runOnLoop(ctx, func() { h.releaseTrial(h.Time.Now(), m) })
 	case Borrow:
-		return callOnLoop(ctx, h, func() BorrowAnswer { return h.lend(h.Time.Now(), m) })
+		return callOnLoop(ctx, h, func() BorrowAnswer { return h.lendRetry(h.Time.Now(), m) })
 	default:
 		return nil, errMessage
 	}
@@ -322,13 +322,13 @@
 // answerLoadRequest handles a load request. It answers after the next plan, which tells when the model
 // will be ready.
 func (h *Holder) answerLoadRequest(ctx context.Context, w WishMessage, node string) (WishAnswer, error) {
-	type taken struct {
+	type acceptedRequest struct {
 		answer  WishAnswer
 		planned <-chan struct{}
 	}
-	result, err := callOnLoop(ctx, h, func() taken {
-		answer, planned := h.takeLoadRequest(h.Time.Now(), w, node)
-		return taken{answer, planned}
+	result, err := callOnLoop(ctx, h, func() acceptedRequest {
+		answer, planned := h.handleLoadRequest(h.Time.Now(), w, node)
+		return acceptedRequest{answer, planned}
 	})
 	if err != nil || result.planned == nil {
 		return result.answer, err
@@ -377,9 +377,9 @@
 // waits tells whether a request waits for the model.
 func (d *demand) waits(now time.Time) bool { return now.Before(d.waitsUntil) }
 
-// takeLoadRequest handles a load request of the named node. If no server holds the model, it also
+// handleLoadRequest handles a load request of the named node. If no server holds the model, it also
 // returns a channel that is closed after the next plan, when the time to ready can be estimated.
-func (h *Holder) takeLoadRequest(now time.Time, w WishMessage, node string) (WishAnswer, <-chan struct{}) {
+func (h *Holder) handleLoadRequest(now time.Time, w WishMessage, node string) (WishAnswer, <-chan struct{}) {
 	if !h.ensureTerm() {
 		return WishAnswer{}, nil
 	}
@@ -390,8 +390,8 @@
 	if !d.waits(now) {
 		d.waitingSince, d.waitLogged, d.logged = now, false, false
 	}
-	d.waitsUntil, d.last = latest(d.waitsUntil, now.Add(loadRequestTTL)), now
-	d.priority, d.deadline, d.request = w.Priority, now.Add(w.Left), w.RequestID
+	d.waitsUntil, d.lastArrival = latest(d.waitsUntil, now.Add(loadRequestTTL)), now
+	d.priority, d.deadline, d.requestID = w.Priority, now.Add(w.Left), w.RequestID
 	answer := WishAnswer{Term: h.term}
 	if w.Gone {
 		h.noteConnectionRefused(now, w.Missing)
@@ -413,7 +413,7 @@
 	return answer, planned
 }
 
-// signalPlanned wakes those that wait for a plan.
+// signalPlanned wakes the load requests that wait for a plan.
 func (h *Holder) signalPlanned() {
 	close(h.nextPlan)
 	h.nextPlan = make(chan struct{})
--- a/pkg/coordinator/holder_test.go
+++ b/pkg/coordinator/holder_test.go
@@ -168,8 +168,8 @@
 	})
 }
 
-// TestONEHolderAtATime checks that orders of two holders never reach one server within turnTime, and
-// that fences never decrease.
+// TestONEHolderAtATime checks that orders of two holders never reach one server within
+// holderChangePause, and that fences never decrease.
 func TestONEHolderAtATime(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		s := newSite(t, []string{"m0"}, []string{"m1"})
@@ -199,7 +199,7 @@
 			if had && g.order.Fence < before.order.Fence {
 				t.Errorf("fence %d after %d at %s", g.order.Fence, before.order.Fence, g.server)
 			}
-			if had && g.order.Holder != before.order.Holder && g.at.Sub(before.at) < turnTime {
+			if had && g.order.Holder != before.order.Holder && g.at.Sub(before.at) < holderChangePause {
 				t.Errorf("orders of %s and %s within %v at server %s", before.order.Holder, g.order.Holder, g.at.Sub(before.at), g.server)
 			}
 			last[g.server] = g
@@ -248,10 +248,10 @@
 	})
 }
 
-// TestRepeatsLeaveTheFirstOrderInDoubt has an unanswered order be repeated, the repeat fail for
-// another reason, and then the first order take effect. The holder must still count what it loads.
-// The engines report orders that exceed their memory.
-func TestRepeatsLeaveTheFirstOrderInDoubt(t *testing.T) {
+// TestRepeatsLeaveTheFirstOrderUnresolved has an unanswered order be repeated, the repetition fail
+// for another reason, and then the first order take effect. The holder must still count what it
+// loads. The engines report orders that exceed their memory.
+func TestRepeatsLeaveTheFirstOrderUnresolved(t *testing.T) {
 	for name, fail := range map[string]func(s *site){
 		"the repeat is not written": func(s *site) { s.leaseStore.setDown(true) },
 		"the repeat conflicts":      func(s *site) { s.engines.applyDelayedOrders() },
@@ -286,10 +286,10 @@
 	}
 }
 
-// TestAdaptersInDoubtForLongKeepTheirPlace has the order of an adapter answered only after a long
+// TestAdaptersOfUnresolvedOrdersKeepTheirPlace has the order of an adapter answered only after a long
 // time, while other adapters wait for the same place. The engines report orders that exceed their
 // places.
-func TestAdaptersInDoubtForLongKeepTheirPlace(t *testing.T) {
+func TestAdaptersOfUnresolvedOrdersKeepTheirPlace(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		s := newSite(t, []string{"m0"})
 		n := s.start("a")
@@ -391,11 +391,11 @@
 	})
 }
 
-// TestLIMITAnOrderInDoubtBeyondTheServersCount has a holder that believes a server took one order
+// TestLIMITAnUnresolvedOrderBeyondTheServersCount has a holder that believes a server took one order
 // more than it did, and an order with that expected count still on the way. That order takes effect
 // once the server's count gets there, so nothing else may be ordered until it can no longer arrive.
 // An outdated record hides that the adapter is on its way.
-func TestLIMITAnOrderInDoubtBeyondTheServersCount(t *testing.T) {
+func TestLIMITAnUnresolvedOrderBeyondTheServersCount(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		s := newSite(t, []string{"m0"}, []string{"m0"})
 		setRecords := func(version revision.Revision, adapters ...[]string) {
--- a/pkg/coordinator/incarnations.go
+++ b/pkg/coordinator/incarnations.go
@@ -66,9 +66,9 @@
 }
 
 // mayTakeLateOrder tells whether an order that was meant for another incarnation may be carried out by this
-// one once it has accepted count orders, the sequence that the order expects. The order was not given with
-// what the server holds by then in mind, so that sequence must not be reached. An incarnation that has
-// accepted no order holds nothing and has memory for any.
+// one once it has accepted count orders, the sequence that the order expects. As the late order does not
+// consider what the server holds by then, it could exceed the server's memory, so the server must not reach that
+// sequence. An incarnation that has accepted no order holds nothing and has memory for any.
 func (i *instance) mayTakeLateOrder(now time.Time, incarnation string, count uint64) bool {
 	i.outstanding = slices.DeleteFunc(i.outstanding, func(o outstandingOrder) bool { return !now.Before(o.until) })
 	return slices.ContainsFunc(i.outstanding, func(o outstandingOrder) bool { return o.incarnation != incarnation && o.after == count+1 })
--- a/pkg/coordinator/lives_test.go
+++ b/pkg/coordinator/incarnations_test.go
@@ -65,9 +65,9 @@
 	})
 }
 
-// TestONENoTurnsAtAServerThatStartsAgain checks that two holders keep turnTime between their orders
-// to a server that restarted in between.
-func TestONENoTurnsAtAServerThatStartsAgain(t *testing.T) {
+// TestONEPauseBetweenHoldersAtARestartedServer checks that two holders keep holderChangePause between
+// their orders to a server that restarted in between.
+func TestONEPauseBetweenHoldersAtARestartedServer(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		s := newSite(t, []string{})
 		s.engines.loadDuration = 100 * time.Millisecond
@@ -81,9 +81,9 @@
 		b := s.start("b")
 		defer b.stop()
 		b.waitForLease()
-		requestUntilLoaded(t, b, "m6", turnTime+3*loadTime)
+		requestUntilLoaded(t, b, "m6", holderChangePause+3*loadTime)
 		orders := s.engines.receivedOrders()
-		if between := orders[len(orders)-1].at.Sub(orders[0].at); len(orders) != 2 || between < turnTime {
+		if between := orders[len(orders)-1].at.Sub(orders[0].at); len(orders) != 2 || between < holderChangePause {
 			t.Errorf("%d orders, want 2; the last one came %v after the first", len(orders), between)
 		}
 	})
@@ -141,12 +141,13 @@
 	})
 }
 
-// TestAnOrderForAnEndedIncarnation checks that such an order is not sent.
+// TestAnOrderForAnEndedIncarnation checks that an order decided for an incarnation is not sent to the
+// next one.
 func TestAnOrderForAnEndedIncarnation(t *testing.T) {
 	directory := &backend.Directory{}
 	directory.Replace([]*backend.Server{{ID: backend.Incarnation{Instance: "i", Started: 1}.ID()}}, 1)
 	first := directory.Snapshot().Members()["i~1"]
-	may := sendAllowed(lease.Permit{Until: time.Now().Add(time.Hour)}, first)
+	may := sendCheck(lease.Permit{Until: time.Now().Add(time.Hour)}, first)
 	if err := may(); err != nil {
 		t.Error(err)
 	}
--- a/pkg/coordinator/index.go
+++ b/pkg/coordinator/index.go
@@ -9,7 +9,7 @@
 // for each plan, so that a plan's work grows with the servers and replicas, not with servers times models and adapters:
 // with 10,000 servers, 574 models and 1,072 adapters, that would be 16 million lookups per plan.
 type index struct {
-	servers []*serverState // by ID
+	servers []*serverState // sorted by ID
 	byModel map[string][]*serverState
 }
 
@@ -18,24 +18,24 @@
 	if known := h.indices[service]; known != nil {
 		return known
 	}
-	x := &index{byModel: make(map[string][]*serverState)}
+	idx := &index{byModel: make(map[string][]*serverState)}
 	for s := range h.serversOf(service) {
-		x.servers = append(x.servers, s)
+		idx.servers = append(idx.servers, s)
 	}
-	slices.SortFunc(x.servers, func(a, b *serverState) int { return cmp.Compare(a.id, b.id) })
-	for _, s := range x.servers {
+	slices.SortFunc(idx.servers, func(a, b *serverState) int { return cmp.Compare(a.id, b.id) })
+	for _, s := range idx.servers {
 		for model := range s.holds {
-			x.byModel[model] = append(x.byModel[model], s)
+			idx.byModel[model] = append(idx.byModel[model], s)
 		}
 		if s.busy != nil && s.holds[s.busy.need.Model] == nil {
-			x.byModel[s.busy.need.Model] = append(x.byModel[s.busy.need.Model], s)
+			idx.byModel[s.busy.need.Model] = append(idx.byModel[s.busy.need.Model], s)
 		}
 	}
 	if h.indices == nil {
 		h.indices = make(map[string]*index)
 	}
-	h.indices[service] = x
-	return x
+	h.indices[service] = idx
+	return idx
 }
 
 // serversWith returns the servers of a service that hold a model or carry out an order about it, as of the last plan.
@@ -49,7 +49,7 @@
 	if s.member == nil {
 		return
 	}
-	if x := h.indices[s.member.Service]; x != nil && !slices.Contains(x.byModel[model], s) {
-		x.byModel[model] = append(x.byModel[model], s)
+	if idx := h.indices[s.member.Service]; idx != nil && !slices.Contains(idx.byModel[model], s) {
+		idx.byModel[model] = append(idx.byModel[model], s)
 	}
 }
--- a/pkg/coordinator/loadrequests.go
+++ b/pkg/coordinator/loadrequests.go
@@ -7,25 +7,25 @@
 	"martenwheel.dev/pkg/relay"
 )
 
-// outlookTTL is how long the answer to a load request is reused for all requests of this node that need the same:
-// notices tell earlier when the model is ready.
-const outlookTTL = 800 * time.Millisecond
+// loadStatusTTL is how long the answer to a load request is reused for all requests of this node that need the same
+// model. If the model is ready earlier, a Notice tells it.
+const loadStatusTTL = 800 * time.Millisecond
 
 // sentLoadRequest is a load request that was sent, and its answer.
 type sentLoadRequest struct {
-	at      time.Time
-	done    chan struct{} // closed when the answer has arrived
-	short   bool          // the request named a server that rejects requests
-	outlook relay.LoadStatus
-	err     error
+	at     time.Time
+	done   chan struct{} // closed when the answer has arrived
+	short  bool          // the request named a server that rejects requests
+	status relay.LoadStatus
+	err    error
 }
 
-// Wake implements relay.Waker.
-func (m *Member) Wake(ctx context.Context, w relay.LoadRequest) (relay.LoadStatus, error) {
+// RequestLoad implements relay.ModelLoader.
+func (m *Member) RequestLoad(ctx context.Context, w relay.LoadRequest) (relay.LoadStatus, error) {
 	key := demandKey{w.Service, w.Need.String()}
 	m.mu.Lock()
 	known := m.loadRequests[key]
-	fresh := known == nil || m.Time.Since(known.at) > outlookTTL || w.Missing != "" || w.Short != "" && !known.short
+	fresh := known == nil || m.Time.Since(known.at) > loadStatusTTL || w.Missing != "" || w.Short != "" && !known.short
 	if fresh {
 		known = &sentLoadRequest{at: m.Time.Now(), done: make(chan struct{}), short: w.Short != ""}
 		if m.loadRequests == nil || len(m.loadRequests) > maxLoadRequests {
@@ -35,7 +35,7 @@
 	}
 	m.mu.Unlock()
 	if fresh {
-		known.outlook, known.err = m.sendLoadRequest(ctx, w)
+		known.status, known.err = m.sendLoadRequest(ctx, w)
 		close(known.done)
 	}
 	select {
@@ -43,7 +43,7 @@
 	case <-ctx.Done():
 		return relay.LoadStatus{}, ctx.Err()
 	}
-	o := known.outlook
+	o := known.status
 	o.Age = m.Time.Since(known.at)
 	if o.ReadyIn > 0 {
 		o.ReadyIn = max(o.ReadyIn-o.Age, time.Millisecond)
@@ -51,8 +51,8 @@
 	return o, known.err
 }
 
-// Borrow implements relay.Lender.
-func (m *Member) Borrow(ctx context.Context, service string) (bool, error) {
+// BorrowRetry implements relay.Lender.
+func (m *Member) BorrowRetry(ctx context.Context, service string) (bool, error) {
 	answer, err := callHolder[BorrowAnswer](ctx, m, Borrow{Service: service})
 	if err == nil && answer.Term == 0 {
 		err = ErrNoHolder
@@ -68,13 +68,13 @@
 	if server := m.locateServer(ctx, w); server != "" {
 		return relay.LoadStatus{Server: server}, nil
 	}
-	outlook, err := m.askHolder(ctx, w)
-	if err == nil && outlook.Server != "" && m.EnsureServers != nil {
-		if outlook.Server = m.learnServers(ctx, []string{outlook.Server}); outlook.Server == "" {
-			outlook.ReadyIn = learnRetry
+	status, err := m.askHolder(ctx, w)
+	if err == nil && status.Server != "" && m.EnsureServers != nil {
+		if status.Server = m.learnServers(ctx, []string{status.Server}); status.Server == "" {
+			status.ReadyIn = learnRetry
 		}
 	}
-	return outlook, err
+	return status, err
 }
 
 // learnRetry is how long a request waits before another attempt to load the details of the server that can serve it.
--- a/pkg/coordinator/member.go
+++ b/pkg/coordinator/member.go
@@ -38,10 +38,10 @@
 type Member struct {
 	Self      Node
 	Lease     *lease.Lease
-	Holder    *Holder // of this node; active while the lease is held here
+	Holder    *Holder // holder of this node; active while this node has the lease
 	Transport peer.Transport
 	Servers   *backend.Directory
-	Clock     *storeclock.Clock // of the store; nil: not needed
+	Clock     *storeclock.Clock // the store's clock; nil: not needed
 	// Configured is called with the configuration version in force at the holder; may be nil.
 	Configured func(version uint64)
 	Candidate  func() bool // whether this node is among the first to take the lease; nil: it is
@@ -55,30 +55,30 @@
 	Time       clock.Clock
 	Logger     hclog.Logger
 
-	nodes           atomic.Pointer[[]Node]
-	fleet           atomic.Int64
-	version         NodesVersion    // of nodes; for Run alone
-	partialNodes    []Node          // list received so far; nil: the list is complete; for Run alone
-	moreNodes       bool            // the last answer held only part of the list; for Run alone
-	nextHeartbeat   time.Time       // latest time of the next heartbeat; for Run alone
-	serversScarce   bool            // as of the last answer; for Run alone
-	reportedRunning map[replica]int // running requests in the last heartbeat; for Run alone
-	storeLimit      StoreLimit      // learned by the last holder; for Run alone
-	storeLimitTerm  uint64          // term of the holder that was sent storeLimit; for Run alone
-	stopping        atomic.Bool
-	ledger          quota.Ledger
-	deputyLedger    quota.Ledger // what this node admits as the deputy while no holder answers
-	pendingEvidence evidenceQueue
-	isolated        isolatedRuns
-	suspicions      suspicionLimit // limits the suspicions that this node sends
-	places          memberPlaces
-	slotBackoffs    slotBackoffs
-	pendingSaid     pendingSaid  // announcements of servers that the holder was not sent yet
-	saidKnown       SaidVersion  // last change of servers' announcements received; for Run alone
-	speedsKnown     PacesVersion // last change of servers' speeds received; for Run alone
-	evidence        uint64       // checksum of the holder's evidence, as last received; for Run alone
-	heartbeatNow    chan struct{}
-	started         sync.Once
+	nodes                atomic.Pointer[[]Node]
+	fleet                atomic.Int64
+	version              NodesVersion    // version of the list in nodes; for Run alone
+	partialNodes         []Node          // list received so far; nil: the list is complete; for Run alone
+	moreNodes            bool            // the last answer held only part of the list; for Run alone
+	nextHeartbeat        time.Time       // latest time of the next heartbeat; for Run alone
+	serversScarce        bool            // models waited for servers recently, by the last answer; for Run alone
+	reportedRunning      map[replica]int // running requests in the last heartbeat; for Run alone
+	storeLimit           StoreLimit      // learned by the last holder; for Run alone
+	storeLimitTerm       uint64          // term of the holder that was sent storeLimit; for Run alone
+	stopping             atomic.Bool
+	ledger               quota.Ledger
+	deputyLedger         quota.Ledger // what this node admits as the deputy while no holder answers
+	pendingEvidence      evidenceQueue
+	isolated             isolatedRuns
+	suspicions           suspicionLimit // limits the suspicions that this node sends
+	places               memberPlaces
+	slotBackoffs         slotBackoffs
+	pendingAnnouncements pendingAnnouncements // announcements of servers not sent to the holder yet
+	announcementsKnown   SaidVersion          // last change of servers' announcements received; for Run alone
+	speedsKnown          PacesVersion         // last change of servers' speeds received; for Run alone
+	evidence             uint64               // checksum of the holder's evidence, as last received; for Run alone
+	heartbeatNow         chan struct{}
+	started              sync.Once
 
 	mu              sync.Mutex
 	arrivals        map[demandKey]arrivals
@@ -108,12 +108,12 @@
 	return []Node{m.self()}
 }
 
-// Fleet returns the number of nodes that divide shared budgets: no fewer than there are, zero before a
+// FleetSize returns the number of nodes that divide shared budgets: no fewer than there are, zero before a
 // holder answered. It keeps its value while no holder answers.
-func (m *Member) Fleet() int { return int(m.fleet.Load()) }
+func (m *Member) FleetSize() int { return int(m.fleet.Load()) }
 
-// Known tells whether a holder has sent the list of nodes.
-func (m *Member) Known() bool { return m.nodes.Load() != nil }
+// NodesKnown tells whether a holder has sent the list of nodes.
+func (m *Member) NodesKnown() bool { return m.nodes.Load() != nil }
 
 // Stop tells the others that this node is leaving.
 func (m *Member) Stop() {
@@ -224,7 +224,7 @@
 	m.connected = false
 	waited := m.Time.Since(m.unansweredSince)
 	m.mu.Unlock()
-	if !m.Known() || m.Candidate == nil || m.Candidate() || waited > suspectDelay {
+	if !m.NodesKnown() || m.Candidate == nil || m.Candidate() || waited > suspectDelay {
 		m.Lease.Suspect()
 	}
 }
@@ -241,11 +241,11 @@
 	if err != nil {
 		m.ledger.Return(beat.Spent)
 		m.places.ledger.Return(sent, beat.Places)
-		m.pendingSaid.restore(sent, beat.Said)
+		m.pendingAnnouncements.restore(sent, beat.Said)
 		return err
 	}
 	m.reportedRunning = running
-	m.takeAnswer(sent, &answer)
+	m.applyAnswer(sent, &answer)
 	return nil
 }
 
@@ -261,21 +261,21 @@
 	return Beat{
 		Node: m.self(), Uses: m.uses(m.Time.Now()), Knows: m.version, Partial: true, Paged: true, Store: store, Spent: m.ledger.Report(), QuotasLeft: quotasLeft,
 		Evidence: knownEvidence(m.Quarantine, m.Time.Now(), m.evidence),
-		Paces:    m.Servers.TakeReports(speedReportShare(m.Fleet())), KnowsPaces: m.speedsKnown,
+		Paces:    m.Servers.TakeQueuedPaces(speedReportShare(m.FleetSize())), KnowsPaces: m.speedsKnown,
 		Places: m.places.ledger.AllReports(m.Time.Now()),
-		Said:   m.pendingSaid.take(m.Time.Now()), KnowsSaid: m.saidKnown,
+		Said:   m.pendingAnnouncements.take(m.Time.Now()), KnowsSaid: m.announcementsKnown,
 	}
 }
 
-// takeAnswer processes the answer to a heartbeat that was sent at the given time.
-func (m *Member) takeAnswer(sent time.Time, answer *BeatAnswer) {
+// applyAnswer processes the answer to a heartbeat that was sent at the given time.
+func (m *Member) applyAnswer(sent time.Time, answer *BeatAnswer) {
 	m.noteTerm(m.Time.Now(), answer.Version.Term)
 	m.setScarce(answer.ScarceTenants)
 	m.places.ledger.UpdateOverloaded(m.Time.Now(), answer.Crowded)
-	m.takeEvidence(answer.Evidence.Parts)
+	m.applyEvidence(answer.Evidence.Parts)
 	m.evidence = answer.Evidence.Sum
-	m.takeSpeeds(sent, answer)
-	m.takeSaid(sent, answer)
+	m.applySpeeds(sent, answer)
+	m.applyAnnouncements(sent, answer)
 	if m.Clock != nil && answer.StoreClock > 0 {
 		m.Clock.ObserveLatest(sent, answer.StoreClock)
 	}
@@ -288,7 +288,7 @@
 		m.storeLimit = answer.Store
 	}
 	m.fleet.Store(int64(answer.Fleet))
-	m.takeNodes(answer)
+	m.applyNodes(answer)
 	m.moreNodes = answer.More
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -338,10 +338,10 @@
 		m.heartbeatSoon()
 		return nil, nil
 	case EvidenceNotice:
-		m.takeEvidence(n.Evidence)
+		m.applyEvidence(n.Evidence)
 		return nil, nil
 	case DoubtNews:
-		m.takeEvidence([]quarantine.Evidence{n.Evidence})
+		m.applyEvidence([]quarantine.Evidence{n.Evidence})
 		return DoubtTaken{}, nil
 	case DeputyDraw:
 		return m.drawAsDeputy(ctx, n)
--- a/pkg/coordinator/messages.go
+++ b/pkg/coordinator/messages.go
@@ -17,7 +17,7 @@
 //   - orders.go: gives orders, one at a time to each server; reports.go finds out their outcome
 //   - server.go: the state of one server; incarnations.go handles servers that restart under the same name
 //   - handover.go: takes over from an earlier holder that went on without the store
-//   - outlook.go: estimates when a model will be ready
+//   - readytime.go: estimates when a model will be ready
 //
 // Files of both sides, each about one kind of exchange:
 //
@@ -60,7 +60,7 @@
 	Arrivals     int       // requests since the last heartbeat
 	Weight       float64   // sum of the arrivals' policy.UrgencyWeight
 	Rate         float64   // recent arrivals per second; sent only with the first heartbeat to a holder
-	WeightedRate float64   // the same, weighted by urgency; sent with Rate
+	WeightedRate float64   // Rate weighted by urgency; sent with Rate
 }
 
 // Running counts the requests of a node for a model that run at one server.
@@ -69,7 +69,7 @@
 	InFlight int
 }
 
-// Beat is a node's heartbeat to the holder. It reports what the node serves.
+// Beat is a node's heartbeat to the holder, which reports the requests that the node serves.
 type Beat struct {
 	Node  Node
 	Uses  []Use
@@ -85,7 +85,7 @@
 	// Evidence is the node's evidence against requests that crash servers.
 	Evidence KnownEvidence
 	Places   []admission.Report // all requests of the node at servers whose memory is configured
-	Paces    []backend.Pace     // speeds seen in streams since the last heartbeat, see serverSpeeds
+	Paces    []backend.Pace     // speeds of servers, measured in streams since the last heartbeat
 	// KnowsPaces is the last change of servers' speeds that the node was sent.
 	KnowsPaces PacesVersion
 	Said       []Said // announced by servers to this node since the last heartbeat
@@ -121,7 +121,7 @@
 	Evidence KnownEvidence
 	// Crowded are the overloaded models, whose requests need the holder's permission.
 	Crowded []admission.Key
-	Paces   []backend.Slowness // of servers whose speed changed
+	Paces   []backend.Slowness // slowness of the servers whose speed changed
 	// PacesVersion is the last change that Paces include.
 	PacesVersion PacesVersion
 	Said         []Said // announcements of servers that changed
--- a/pkg/coordinator/orders.go
+++ b/pkg/coordinator/orders.go
@@ -20,9 +20,9 @@
 	Fence    uint64
 	Expected uint64 // sequence that the server must have: the number of orders accepted before this one
 	Offline  bool   // given while the store does not answer; not sent to the server
-	// May is called right before the order is sent; an error prevents it, as the machine may have been
+	// CheckSend is called right before the order is sent; an error prevents it, as the machine may have been
 	// suspended after the order was decided. Nil: nothing is checked.
-	May func() error
+	CheckSend func() error
 }
 
 // Result is a server's answer to an order.
@@ -51,8 +51,8 @@
 // Orders sends orders to servers and fetches their reports. An error leaves open whether an order was
 // accepted, or will be.
 type Orders interface {
-	Give(ctx context.Context, m *backend.Member, o Order) (Result, error)
-	Report(ctx context.Context, m *backend.Member) (Report, error)
+	SendOrder(ctx context.Context, m *backend.Member, o Order) (Result, error)
+	FetchReport(ctx context.Context, m *backend.Member) (Report, error)
 }
 
 // order is a change that the holder orders from a server.
@@ -68,12 +68,12 @@
 	orderTimeout      = 500 * time.Millisecond
 	reportTimeout     = 400 * time.Millisecond
 	reportPause       = 250 * time.Millisecond
-	duePollInterval   = 100 * time.Millisecond // between reports on operations that should be done by now
-	overdueAfter      = time.Second            // after which an operation counts as overdue
+	duePollInterval   = 100 * time.Millisecond // interval of reports on operations that should be done by now
+	overdueAfter      = time.Second            // delay after which an operation counts as overdue
 	reportLag         = 300 * time.Millisecond // usual delay of a report behind the server's state
-	reportSettleTime  = time.Second            // after an order, until reports surely show it
+	reportSettleTime  = time.Second            // time after an order until reports surely show it
 	adapterTime       = 25 * time.Millisecond  // expected load time of an adapter
-	adapterRecordTime = 3 * time.Second        // until a server's record shows a loaded adapter
+	adapterRecordTime = 3 * time.Second        // time until a server's record shows a loaded adapter
 	refusedPause      = 2 * time.Second
 	unloadTime        = 300 * time.Millisecond
 )
@@ -81,7 +81,7 @@
 // sendOrder records the intent of an order in the lease and sends the order, in its own goroutine.
 func (h *Holder) sendOrder(s *serverState, o order, fetch bool, expected time.Duration, reason string) {
 	now := h.Time.Now()
-	s.asking = true
+	s.awaitingAnswer = true
 	o.after = s.sequence + 1
 	if o.need.Adapter == "" {
 		s.busy = &operation{order: o, since: now, readyAt: now.Add(expected), fetch: fetch, nominal: expected}
@@ -121,11 +121,11 @@
 	return math.Round(100*d.rate.count.at(now)) / 100
 }
 
-// ErrNotGiven means that an order was certainly not sent.
-var ErrNotGiven = errors.New("coordinator: the order was not sent")
+// ErrNotSent means that an order was certainly not sent.
+var ErrNotSent = errors.New("coordinator: the order was not sent")
 
-// ErrOtherIncarnation means that a different incarnation of the server answers than the one assumed to run. The server's
-// record will show it soon.
+// ErrOtherIncarnation means that a different incarnation of the server answers than the one assumed to run. The
+// server's record will show it soon.
 var ErrOtherIncarnation = errors.New("coordinator: another incarnation of the server answers")
 
 // errIncarnationOver prevents an order from reaching a later incarnation of the server than the one it was
@@ -138,8 +138,8 @@
 // errPermitOver prevents an order from being sent after its permit expired.
 var errPermitOver = errors.New("coordinator: the order's permit has expired")
 
-// sendAllowed returns a check that allows orders to a server while a permit is valid.
-func sendAllowed(permit lease.Permit, server *backend.Member) func() error {
+// sendCheck returns a check that allows orders to a server while a permit is valid.
+func sendCheck(permit lease.Permit, server *backend.Member) func() error {
 	return func() error {
 		switch {
 		case !permit.Valid():
@@ -163,20 +163,20 @@
 	if permit.Term != o.Fence || !permit.Valid() {
 		return 0, errNotWritten
 	}
-	o.Offline, o.May = permit.Offline, sendAllowed(permit, server)
+	o.Offline, o.CheckSend = permit.Offline, sendCheck(permit, server)
 	end := h.Time.Now().Add(orderTimeout)
 	if permit.Until.Before(end) {
 		end = permit.Until // the next holder relies on it
 	}
 	ctx, cancel := context.WithTimeout(h.runCtx, h.Time.Until(end))
 	defer cancel()
-	return h.Orders.Give(ctx, server, o)
+	return h.Orders.SendOrder(ctx, server, o)
 }
 
 // handleOrderResult handles the outcome of an order.
 func (h *Holder) handleOrderResult(s *serverState, o order, result Result, err error) {
 	now := h.Time.Now()
-	s.asking = false
+	s.awaitingAnswer = false
 	h.planSoon = true
 	if isFinal(err) {
 		h.instance(s.id).closeOrder(s.id, o.after)
@@ -190,7 +190,7 @@
 	// The first order may still take effect, whatever the result of its repetition.
 	repeated := s.unresolved != nil
 	switch {
-	case errors.Is(err, errNotWritten), errors.Is(err, ErrNotGiven):
+	case errors.Is(err, errNotWritten), errors.Is(err, ErrNotSent):
 		if !repeated {
 			h.undoOrder(s, o)
 		}
@@ -214,7 +214,7 @@
 // isFinal tells whether an order can't be carried out any more: the server answered it, or it was never
 // sent.
 func isFinal(err error) bool {
-	return err == nil || errors.Is(err, errNotWritten) || errors.Is(err, ErrNotGiven)
+	return err == nil || errors.Is(err, errNotWritten) || errors.Is(err, ErrNotSent)
 }
 
 // backOffUnsent pauses after an order that was certainly not sent: all orders if the store failed, or those
--- a/pkg/coordinator/places.go
+++ b/pkg/coordinator/places.go
@@ -29,7 +29,7 @@
 
 // PlaceNews reports changes of a node's requests at overloaded servers to the holder.
 type PlaceNews struct {
-	Node string // see placeNodeID
+	Node string // incarnation of the node, see placeNodeID
 	News []admission.Report
 }
 
@@ -52,32 +52,32 @@
 	sendScheduled atomic.Bool // sendPlaceNews is scheduled
 }
 
-// NextPlace implements relay.Places.
-func (m *Member) NextPlace() uint64 { return m.places.ledger.NextID() }
+// NewPlaceID implements relay.Places.
+func (m *Member) NewPlaceID() uint64 { return m.places.ledger.NextID() }
 
-// SentToPlace implements relay.Places.
-func (m *Member) SentToPlace(r admission.Report) {
+// ReportPlaceSent implements relay.Places.
+func (m *Member) ReportPlaceSent(r admission.Report) {
 	if m.places.ledger.Sent(m.Time.Now(), r) {
 		m.schedulePlaceNews()
 	}
 }
 
-// AnsweredInPlace implements relay.Places.
-func (m *Member) AnsweredInPlace(id uint64) {
+// ReportPlaceAnswered implements relay.Places.
+func (m *Member) ReportPlaceAnswered(id uint64) {
 	if m.places.ledger.Answered(m.Time.Now(), id) {
 		m.schedulePlaceNews()
 	}
 }
 
-// LeftPlace implements relay.Places.
-func (m *Member) LeftPlace(id uint64, key admission.Key) {
+// ReleasePlace implements relay.Places.
+func (m *Member) ReleasePlace(id uint64, key admission.Key) {
 	if m.places.ledger.Ended(m.Time.Now(), id, key) {
 		m.schedulePlaceNews()
 	}
 }
 
-// TakePlace implements relay.Places. It asks the holder only for models that the holder announced as overloaded.
-func (m *Member) TakePlace(ctx context.Context, r *admission.Request) (admission.Verdict, error) {
+// RequestPlace implements relay.Places. It asks the holder only for models that the holder announced as overloaded.
+func (m *Member) RequestPlace(ctx context.Context, r *admission.Request) (admission.Verdict, error) {
 	now := m.Time.Now()
 	switch m.places.ledger.Check(now, r) {
 	case admission.Free:
@@ -124,7 +124,7 @@
 	}
 	news := PlaceNews{Node: placeNodeID(m.Self), News: list}
 	if record.Address == m.Self.Peers {
-		m.Holder.takePlaceNews(m.Time.Now(), news)
+		m.Holder.applyPlaceNews(m.Time.Now(), news)
 		return
 	}
 	m.Transport.Send(record.Address, news)
@@ -196,8 +196,8 @@
 	return answer
 }
 
-// takePlaceNews applies the changes that a node reports between its heartbeats.
-func (h *Holder) takePlaceNews(now time.Time, n PlaceNews) {
+// applyPlaceNews applies the changes that a node reports between its heartbeats.
+func (h *Holder) applyPlaceNews(now time.Time, n PlaceNews) {
 	if term, held := h.Lease.Held(); held && h.places.term.Load() == term {
 		h.logPlaceFaults(now, n.Node, h.places.model.AddReports(now, n.Node, n.News, false)...)
 	}
@@ -218,26 +218,26 @@
 	h.Logger.Warn("place not believed", "node", node, "error", faults[0], "count", len(faults))
 }
 
-// takePlaces applies the list of all requests of a node, sent with its heartbeat, and returns the overloaded models.
-func (h *Holder) takePlaces(now time.Time, b Beat) []admission.Key {
+// applyPlaces applies the list of all requests of a node, sent with its heartbeat, and returns the overloaded models.
+func (h *Holder) applyPlaces(now time.Time, b Beat) []admission.Key {
 	node := placeNodeID(b.Node)
 	whole := len(b.Places) < admission.MaxReports // otherwise the list may be truncated
 	h.logPlaceFaults(now, node, h.places.model.AddReports(now, node, b.Places, whole)...)
 	return h.places.announced
 }
 
-// updateOverloaded determines which models are overloaded, and notifies all nodes at once if a model was added.
-func (h *Holder) updateOverloaded(now time.Time) {
+// updateOverloadedModels determines which models are overloaded, and notifies all nodes at once if a model was added.
+func (h *Holder) updateOverloadedModels(now time.Time) {
 	h.places.model.Expire(now)
-	crowded := h.places.model.Overloaded(now, h.replicas)
-	added := slices.ContainsFunc(crowded, func(k admission.Key) bool { return !slices.Contains(h.places.announced, k) })
-	if added || len(crowded) != len(h.places.announced) {
-		h.Logger.Info("crowded models", "models", crowded, "before", h.places.announced, "term", h.term)
+	overloaded := h.places.model.Overloaded(now, h.replicas)
+	added := slices.ContainsFunc(overloaded, func(k admission.Key) bool { return !slices.Contains(h.places.announced, k) })
+	if added || len(overloaded) != len(h.places.announced) {
+		h.Logger.Info("crowded models", "models", overloaded, "before", h.places.announced, "term", h.term)
 	}
-	h.places.announced = crowded
+	h.places.announced = overloaded
 	if added {
 		for _, n := range h.nodes {
-			h.Transport.Send(n.node.Peers, CrowdNotice{Term: h.term, Crowded: crowded})
+			h.Transport.Send(n.node.Peers, CrowdNotice{Term: h.term, Crowded: overloaded})
 		}
 	}
 }
--- a/pkg/coordinator/places_test.go
+++ b/pkg/coordinator/places_test.go
@@ -47,14 +47,14 @@
 
 // newOverloadedRequest returns a request to the overloaded model, with a prompt of 6,000 tokens.
 func newOverloadedRequest(m *Member) *admission.Request {
-	return &admission.Request{Place: admission.Place{ID: m.NextPlace()}, Key: overloadedKey, Need: "m0", Work: admission.Work{Tokens: 6000, Out: 54},
+	return &admission.Request{Place: admission.Place{ID: m.NewPlaceID()}, Key: overloadedKey, Need: "m0", Work: admission.Work{Tokens: 6000, Out: 54},
 		Rank: 1, Target: 800 * time.Millisecond, Patience: 3200 * time.Millisecond, Left: 5 * time.Second, Servers: []string{"server-0", "server-1"}}
 }
 
 // sendToOverloaded has a node send a request to a server and returns the request's ID.
 func sendToOverloaded(m *Member, server string) uint64 {
 	r := newOverloadedRequest(m)
-	m.SentToPlace(admission.Report{ID: r.Place.ID, Key: r.Key, Need: r.Need, Server: server, Work: r.Work, Rank: r.Rank, Target: r.Target, Left: 30 * time.Second})
+	m.ReportPlaceSent(admission.Report{ID: r.Place.ID, Key: r.Key, Need: r.Need, Server: server, Work: r.Work, Rank: r.Rank, Target: r.Target, Left: 30 * time.Second})
 	return r.Place.ID
 }
 
@@ -75,15 +75,15 @@
 	}
 }
 
-// takePlace asks for a place at a node and checks that the answer does not take long.
-func (sim *simulation) takePlace(m *Member, r *admission.Request) admission.Verdict {
-	return takeWithin(sim.t, m, r, 2*drawTimeout)
+// requestPlace asks for a place at a node and checks that the answer does not take long.
+func (sim *simulation) requestPlace(m *Member, r *admission.Request) admission.Verdict {
+	return requestPlaceWithin(sim.t, m, r, 2*drawTimeout)
 }
 
-func takeWithin(t testing.TB, m *Member, r *admission.Request, bound time.Duration) admission.Verdict {
+func requestPlaceWithin(t testing.TB, m *Member, r *admission.Request, bound time.Duration) admission.Verdict {
 	t.Helper()
 	began := time.Now()
-	v, _ := m.TakePlace(t.Context(), r)
+	v, _ := m.RequestPlace(t.Context(), r)
 	if took := time.Since(began); took > bound {
 		t.Errorf("the verdict took %v", took)
 	}
@@ -95,16 +95,16 @@
 func TestNodesAskForOverloadedModelsOnly(t *testing.T) {
 	withSimulation(t, func(sim *simulation) {
 		_, other := sim.holderAndOther()
-		if v := sim.takePlace(other.member, newOverloadedRequest(other.member)); v.Kind != admission.Stand {
+		if v := sim.requestPlace(other.member, newOverloadedRequest(other.member)); v.Kind != admission.Stand {
 			t.Errorf("before the overload: %v", v.Kind)
 		}
 		sim.overload()
-		if v := sim.takePlace(other.member, newOverloadedRequest(other.member)); v.Kind != admission.Refuse && v.Kind != admission.Wait {
+		if v := sim.requestPlace(other.member, newOverloadedRequest(other.member)); v.Kind != admission.Refuse && v.Kind != admission.Wait {
 			t.Errorf("at servers with 36 prompts to read: %v", v.Kind)
 		}
 		elsewhere := newOverloadedRequest(other.member)
 		elsewhere.Key.Model = "m3"
-		if v := sim.takePlace(other.member, elsewhere); v.Kind != admission.Stand {
+		if v := sim.requestPlace(other.member, elsewhere); v.Kind != admission.Stand {
 			t.Errorf("for a model without overload: %v", v.Kind)
 		}
 	})
@@ -143,15 +143,15 @@
 		}
 		time.Sleep(2 * time.Second)
 		for _, id := range ids {
-			other.member.AnsweredInPlace(id)
-			other.member.LeftPlace(id, overloadedKey)
+			other.member.ReportPlaceAnswered(id)
+			other.member.ReleasePlace(id, overloadedKey)
 		}
 		time.Sleep(200 * time.Millisecond)
-		if v := sim.takePlace(other.member, newOverloadedRequest(other.member)); v.Kind != admission.Go {
+		if v := sim.requestPlace(other.member, newOverloadedRequest(other.member)); v.Kind != admission.Go {
 			t.Errorf("once all have ended: %v", v.Kind)
 		}
 		time.Sleep(8 * time.Second)
-		if v := sim.takePlace(other.member, newOverloadedRequest(other.member)); v.Kind != admission.Stand {
+		if v := sim.requestPlace(other.member, newOverloadedRequest(other.member)); v.Kind != admission.Stand {
 			t.Errorf("some seconds later: %v", v.Kind)
 		}
 	})
@@ -163,13 +163,13 @@
 	withSimulation(t, func(sim *simulation) {
 		sim.overload()
 		holder, other := sim.holderAndOther()
-		if v := sim.takePlace(other.member, newOverloadedRequest(other.member)); v.Kind == admission.Stand {
+		if v := sim.requestPlace(other.member, newOverloadedRequest(other.member)); v.Kind == admission.Stand {
 			t.Error("the holder does not decide")
 		}
 		sim.crash(holder)
 		began := time.Now()
 		for range 10 {
-			sim.takePlace(other.member, newOverloadedRequest(other.member))
+			sim.requestPlace(other.member, newOverloadedRequest(other.member))
 		}
 		if took := time.Since(began); took > 2*drawTimeout {
 			t.Errorf("ten requests waited %v in all for a holder that is gone", took)
@@ -207,7 +207,7 @@
 		time.Sleep(nodeExpiry + time.Second)
 		_, third := sim.holderAndOther()
 		third.member.places.ledger.UpdateOverloaded(time.Now(), []admission.Key{overloadedKey})
-		if v := sim.takePlace(third.member, newOverloadedRequest(third.member)); v.Kind != admission.Go {
+		if v := sim.requestPlace(third.member, newOverloadedRequest(third.member)); v.Kind != admission.Go {
 			t.Errorf("after the node with all places became silent: %v", v.Kind)
 		}
 	})
@@ -224,12 +224,12 @@
 		}
 		time.Sleep(2 * time.Second)
 		for _, id := range ids {
-			other.member.LeftPlace(id, overloadedKey)
+			other.member.ReleasePlace(id, overloadedKey)
 		}
 		other.member.places.ledger.NewReports(time.Now()) // takes the reports as if they had been sent and lost
 		time.Sleep(3 * time.Second)
 		other.member.places.ledger.UpdateOverloaded(time.Now(), []admission.Key{overloadedKey})
-		if v := sim.takePlace(other.member, newOverloadedRequest(other.member)); v.Kind != admission.Go {
+		if v := sim.requestPlace(other.member, newOverloadedRequest(other.member)); v.Kind != admission.Go {
 			t.Errorf("three seconds after the reports were lost: %v", v.Kind)
 		}
 	})
@@ -265,7 +265,7 @@
 		unknown.Servers = []string{"nobody"}
 		for _, r := range []*admission.Request{bad, unknown} {
 			other.member.places.ledger.UpdateOverloaded(time.Now(), []admission.Key{overloadedKey})
-			if v := sim.takePlace(other.member, r); v.Kind != admission.Stand {
+			if v := sim.requestPlace(other.member, r); v.Kind != admission.Stand {
 				t.Errorf("%+v: %v", r, v.Kind)
 			}
 			time.Sleep(2 * time.Second)
--- a/pkg/coordinator/plan.go
+++ b/pkg/coordinator/plan.go
@@ -46,7 +46,7 @@
 		if d.waits(now) {
 			w.waiting[need.Model] = append(w.waiting[need.Model], d)
 		}
-		if need.Adapter != "" && now.Sub(d.last) < adapterUseTime {
+		if need.Adapter != "" && now.Sub(d.lastArrival) < adapterUseTime {
 			w.adapters[need.Model]++
 		}
 	}
@@ -117,7 +117,7 @@
 // the two can take effect.
 func (h *Holder) resendUnresolved(now time.Time) {
 	for _, s := range h.servers {
-		if s.unresolved == nil || !s.resend || s.asking || !s.usable(now) {
+		if s.unresolved == nil || !s.resend || s.awaitingAnswer || !s.usable(now) {
 			continue
 		}
 		o := *s.unresolved
@@ -156,7 +156,7 @@
 	for _, action := range h.Decider.Decide(now, input) {
 		s := h.servers[string(action.Server)]
 		m := e.Models[string(action.Model)]
-		if s == nil || m == nil || s.busy != nil || s.asking || s.unresolved != nil || !s.usable(now) {
+		if s == nil || m == nil || s.busy != nil || s.awaitingAnswer || s.unresolved != nil || !s.usable(now) {
 			continue
 		}
 		if !h.prepare(now, s) {
@@ -189,7 +189,7 @@
 		h.scarceUntil = now.Add(scarcePeriod)
 	}
 	if len(queue) > 0 {
-		estimateQueue(now, queue, h.lanes(now, service), slots, h.expectedReady[service])
+		estimateQueue(now, queue, h.queueServers(now, service), slots, h.expectedReady[service])
 	}
 	h.logWaits(now, service, queue, &w)
 }
@@ -258,10 +258,10 @@
 	input := policy.Input{LoadSlots: h.storeSlots(now), LoadRate: e.LoadsPerSecond * h.Ceiling.Window.Seconds()}
 	servers := h.indexOf(service).servers
 	input.Servers = make([]policy.Server, 0, len(servers))
-	room := adapterMemory(e)
+	adapterReserve := adapterMemory(e)
 	for _, s := range servers {
 		input.Servers = append(input.Servers, policy.Server{
-			ID: api.ServerID(s.id), Zone: s.member.Zone, CapacityBytes: e.WeightBytes, FreeBytes: s.freeBytes(e, room),
+			ID: api.ServerID(s.id), Zone: s.member.Zone, CapacityBytes: e.WeightBytes, FreeBytes: s.freeBytes(e, adapterReserve),
 			Leaving:   s.excluded(now),
 			Reachable: s.usable(now) && s.unresolved == nil && (s.busy == nil || !s.busy.load),
 			Cached:    s.cached,
@@ -306,7 +306,7 @@
 	}
 	model.Demand.InFlight = w.inFlight[name]
 	if d != nil {
-		model.Demand.LastArrival = d.last
+		model.Demand.LastArrival = d.lastArrival
 		model.Demand.Rate, model.Demand.WeightedRate = d.rate.count.at(now), d.rate.weight.at(now)
 		model.Spares = spareReplicas(model.Demand.Rate, servers)
 	}
--- a/pkg/coordinator/quarantine.go
+++ b/pkg/coordinator/quarantine.go
@@ -82,20 +82,20 @@
 	return m.Quarantine.NextRound(m.Time.Now(), f)
 }
 
-// InDoubt implements relay.Quarantine.
-func (m *Member) InDoubt(f quarantine.Fingerprint, server string) (rounds int, again bool) {
+// SuspectedRounds implements relay.Quarantine.
+func (m *Member) SuspectedRounds(f quarantine.Fingerprint, server string) (rounds int, again bool) {
 	return m.Quarantine.SuspectedRounds(m.Time.Now(), f, server)
 }
 
 // clearanceWait is how long evidence of an isolated run is held back after its server's crash, as reports of other
 // requests at the same server may clear it: nodes learn of a crash by the server's record, up to 270 ms after each
 // other in the soak test. The trial stays taken meanwhile, so that the request crashes no other server; callers of a
-// harmless request are not told that it is in quarantine.
+// harmless request get no refusal because of a quarantine.
 const clearanceWait = 500 * time.Millisecond
 
 // clearanceWaitByRecord is used instead if only the server's record showed the crash: a node that does not reach the
-// store for a while learns of it as much later; one that is in touch, within the users' 3 s. With 0.5 s a harmless
-// request is in quarantine until then, at each later offset of TestLateEvidenceClearsAHarmlessRequest.
+// store for a while learns of it as much later; one in contact with the store, within the 3 s of the users' rules. With
+// 0.5 s a harmless request is in quarantine until then (TestLateEvidenceClearsAHarmlessRequest, at each larger delay).
 const clearanceWaitByRecord = 3200 * time.Millisecond
 
 // joinPeriod is how long clearanceWaitByRecord is used for all isolated runs after the holder first answered this
@@ -160,8 +160,8 @@
 	return known
 }
 
-// Ended implements relay.Quarantine.
-func (m *Member) Ended(r quarantine.Run) {
+// ServerCrashed implements relay.Quarantine.
+func (m *Member) ServerCrashed(r quarantine.Run) {
 	if !r.Decisive() {
 		m.reportCrash(r)
 		return
@@ -170,15 +170,15 @@
 	if !m.isolated.begin(run) {
 		return
 	}
-	shows := clearanceWait
+	wait := clearanceWait
 	if r.ByRecord || m.isJoining(m.Time.Now()) {
-		shows = clearanceWaitByRecord
+		wait = clearanceWaitByRecord
 		go m.keepTrial(r)
 	}
-	time.AfterFunc(shows, func() {
+	time.AfterFunc(wait, func() {
 		m.reportCrash(r)
 		m.isolated.end(run)
-		m.ReleaseTurn(r.Request, r.Server)
+		m.ReleaseTrial(r.Request, r.Server)
 	})
 }
 
@@ -198,20 +198,21 @@
 	m.announceEvidence(change)
 }
 
-// Ran implements relay.Quarantine.
-func (m *Member) Ran(f quarantine.Fingerprint) {
+// Completed implements relay.Quarantine.
+func (m *Member) Completed(f quarantine.Fingerprint) {
 	change := m.Quarantine.Completed(m.Time.Now(), f)
 	m.logStanding(change, "the request ran to its end")
 	m.announceEvidence(change)
 }
 
-// Lives implements relay.Quarantine.
-func (m *Member) Lives(server string, sent time.Time) {
+// ServerAlive implements relay.Quarantine.
+func (m *Member) ServerAlive(server string, sent time.Time) {
 	m.Quarantine.ServerAlive(m.Time.Now(), server, sent)
 }
 
-// Lift takes a request out of quarantine on behalf of an operator. It returns whether there was evidence against it.
-func (m *Member) Lift(f quarantine.Fingerprint) bool {
+// LiftQuarantine takes a request out of quarantine on behalf of an operator. It returns whether there was evidence
+// against it.
+func (m *Member) LiftQuarantine(f quarantine.Fingerprint) bool {
 	change := m.Quarantine.Clear(m.Time.Now(), f)
 	m.logStanding(change, "lifted by an operator")
 	m.announceEvidence(change)
@@ -240,7 +241,7 @@
 // broadcastEvidence sends evidence to all nodes that this one knows. The holder also sends it to nodes that joined
 // after this node last received the list.
 func (m *Member) broadcastEvidence(list []quarantine.Evidence) {
-	notice, others := EvidenceNotice{Evidence: list}, m.others()
+	notice, others := EvidenceNotice{Evidence: list}, m.otherNodes()
 	sendAll(m.Transport, others, notice)
 	if _, held := m.Lease.Held(); held {
 		m.Holder.post(func() {
@@ -250,8 +251,8 @@
 	}
 }
 
-// others returns the addresses of the other nodes, and of the holder even if this node has no list of nodes yet.
-func (m *Member) others() []string {
+// otherNodes returns the addresses of the other nodes, and of the holder even if this node has no list of nodes yet.
+func (m *Member) otherNodes() []string {
 	var list []string
 	for _, n := range m.Nodes() {
 		list = append(list, n.Peers)
@@ -262,25 +263,25 @@
 	return slices.DeleteFunc(list, func(address string) bool { return address == m.Self.Peers })
 }
 
-// takeEvidence merges evidence of other nodes. The holder forwards all that is new to it: it knows all nodes, while
+// applyEvidence merges evidence of other nodes. The holder forwards all that is new to it: it knows all nodes, while
 // others may not know those that joined last. If only changes of standing were forwarded, two nodes would take their
 // first crashes for one round when a holder has just begun, and four instead of three servers would crash under a
 // request (8 of 48 runs of TestBUDGETOfARequestThatCrashesServers).
-func (m *Member) takeEvidence(list []quarantine.Evidence) {
+func (m *Member) applyEvidence(list []quarantine.Evidence) {
 	now := m.Time.Now()
 	_, held := m.Lease.Held()
 	for _, e := range list {
 		c := m.Quarantine.Merge(now, e)
 		m.logStanding(c, "told by another node")
-		ranHere := e.Standing() != quarantine.Free && c.Now == quarantine.Free // other nodes must learn of it
-		if held || ranHere {
+		completedHere := e.Standing() != quarantine.Free && c.Now == quarantine.Free // a completed run known here clears it: others must know
+		if held || completedHere {
 			m.announceEvidence(c)
 		}
 	}
 }
 
-// TakeTurn implements relay.Quarantine.
-func (m *Member) TakeTurn(ctx context.Context, f quarantine.Fingerprint, service, server string) (bool, error) {
+// RequestTrial implements relay.Quarantine.
+func (m *Member) RequestTrial(ctx context.Context, f quarantine.Fingerprint, service, server string) (bool, error) {
 	answer, err := callHolder[TurnAnswer](ctx, m, TakeTurn{Evidence: m.Quarantine.Evidence(m.Time.Now(), f, service), Server: server})
 	if err == nil && answer.Term == 0 {
 		err = ErrNoHolder
@@ -288,12 +289,12 @@
 	if err != nil {
 		return false, err
 	}
-	m.takeEvidence(answer.Known)
+	m.applyEvidence(answer.Known)
 	return answer.Granted, nil
 }
 
-// ReleaseTurn implements relay.Quarantine.
-func (m *Member) ReleaseTurn(f quarantine.Fingerprint, server string) {
+// ReleaseTrial implements relay.Quarantine.
+func (m *Member) ReleaseTrial(f quarantine.Fingerprint, server string) {
 	record, known := m.Lease.Current()
 	if !known || m.isolated.has(isolatedRun{f, server}) {
 		return // the trial ends by itself
--- a/pkg/coordinator/quarantine_test.go
+++ b/pkg/coordinator/quarantine_test.go
@@ -27,12 +27,12 @@
 		}
 		first.member.nodes.Store(&[]Node{first.member.Self})
 		f := quarantine.FingerprintOf("POST", "h", "/", nil)
-		first.member.Ended(quarantine.Run{Request: f, Service: "s", Server: "server-0", Round: 1, RequestID: "id"})
-		const spreads = 100 * time.Millisecond // callers retry after 200 ms or more
-		time.Sleep(spreads)
+		first.member.ServerCrashed(quarantine.Run{Request: f, Service: "s", Server: "server-0", Round: 1, RequestID: "id"})
+		const spreadTime = 100 * time.Millisecond // callers retry after 200 ms or more
+		time.Sleep(spreadTime)
 		for _, n := range sim.nodes {
 			if round := n.member.NextRound(f); round != 2 {
-				t.Errorf("%s expects round %d for the next run, %v after the first crash, want 2", n.name, round, spreads)
+				t.Errorf("%s expects round %d for the next run, %v after the first crash, want 2", n.name, round, spreadTime)
 			}
 		}
 	})
@@ -57,7 +57,7 @@
 				time.Sleep(5 * time.Second)
 				harmless, crashing := quarantine.FingerprintOf("POST", "h", "/", []byte("innocent")), quarantine.FingerprintOf("POST", "h", "/", []byte("fatal"))
 				reportCrash := func(n *simNode, f quarantine.Fingerprint, server string, round int) {
-					n.member.Ended(quarantine.Run{Request: f, Service: "s", Server: server, Round: round, RequestID: "id", ByRecord: true})
+					n.member.ServerCrashed(quarantine.Run{Request: f, Service: "s", Server: server, Round: round, RequestID: "id", ByRecord: true})
 				}
 				one, other := sim.nodes[0], sim.nodes[1]
 				for i, server := range []string{"server-0", "server-1"} {
@@ -65,7 +65,7 @@
 					reportCrash(other, crashing, server, 1) // all its tries belong to one round: no crash has shown yet
 				}
 				time.Sleep(200 * time.Millisecond)
-				if granted, err := one.member.TakeTurn(t.Context(), harmless, "s", "server-2"); err != nil || !granted {
+				if granted, err := one.member.RequestTrial(t.Context(), harmless, "s", "server-2"); err != nil || !granted {
 					t.Fatal("the harmless request gets no trial", err)
 				}
 				time.Sleep(4 * time.Second) // the record disappears after three missed heartbeats
@@ -78,7 +78,7 @@
 						}
 					}
 					waited := time.Since(crashed)
-					if granted, _ := other.member.TakeTurn(t.Context(), harmless, "s", "server-3"); granted && waited < delay {
+					if granted, _ := other.member.RequestTrial(t.Context(), harmless, "s", "server-3"); granted && waited < delay {
 						t.Fatalf("it gets another trial after %v, before the evidence on the server's crash arrived", waited)
 					}
 				}
@@ -104,10 +104,10 @@
 		time.Sleep(5 * time.Second)
 		harmless, crashing := quarantine.FingerprintOf("POST", "h", "/", []byte("innocent")), quarantine.FingerprintOf("POST", "h", "/", []byte("fatal"))
 		reportCrash := func(n *simNode, f quarantine.Fingerprint, server string, round int) {
-			n.member.Ended(quarantine.Run{Request: f, Service: "s", Server: server, Round: round, RequestID: "id"})
+			n.member.ServerCrashed(quarantine.Run{Request: f, Service: "s", Server: server, Round: round, RequestID: "id"})
 		}
-		takeTrial := func(n *simNode, f quarantine.Fingerprint, server string) bool {
-			granted, err := n.member.TakeTurn(t.Context(), f, "s", server)
+		requestTrial := func(n *simNode, f quarantine.Fingerprint, server string) bool {
+			granted, err := n.member.RequestTrial(t.Context(), f, "s", server)
 			if err != nil {
 				t.Error(err)
 			}
@@ -119,17 +119,17 @@
 			reportCrash(one, crashing, server, i+1)
 		}
 		time.Sleep(200 * time.Millisecond)
-		if !takeTrial(one, harmless, "server-2") {
+		if !requestTrial(one, harmless, "server-2") {
 			t.Error("the harmless request gets no trial")
 		}
 		reportCrash(one, harmless, "server-2", one.member.NextRound(harmless))
-		one.member.ReleaseTurn(harmless, "server-2")
+		one.member.ReleaseTrial(harmless, "server-2")
 		for step := range 20 {
 			time.Sleep(50 * time.Millisecond)
 			if step == 5 {
 				reportCrash(other, crashing, "server-2", 1)
 			}
-			if step < 8 && takeTrial(other, harmless, "server-3") {
+			if step < 8 && requestTrial(other, harmless, "server-3") {
 				t.Errorf("the harmless request gets another trial in step %d", step)
 			}
 			for _, n := range sim.nodes {
@@ -138,14 +138,14 @@
 				}
 			}
 		}
-		if !takeTrial(other, harmless, "server-3") {
+		if !requestTrial(other, harmless, "server-3") {
 			t.Error("the harmless request gets no second trial")
 		}
-		if !takeTrial(other, crashing, "server-4") {
+		if !requestTrial(other, crashing, "server-4") {
 			t.Error("the crashing request gets no trial")
 		}
 		reportCrash(other, crashing, "server-4", other.member.NextRound(crashing))
-		other.member.ReleaseTurn(crashing, "server-4")
+		other.member.ReleaseTrial(crashing, "server-4")
 		time.Sleep(time.Second)
 		for _, n := range sim.nodes {
 			if got := n.member.Standing(crashing); got != quarantine.Quarantined {
@@ -165,7 +165,7 @@
 		time.Sleep(700 * time.Millisecond)
 		harmless, crashing := quarantine.FingerprintOf("POST", "h", "/", []byte("innocent")), quarantine.FingerprintOf("POST", "h", "/", []byte("fatal"))
 		reportCrash := func(n *simNode, f quarantine.Fingerprint, server string, round int) {
-			n.member.Ended(quarantine.Run{Request: f, Service: "s", Server: server, Round: round, RequestID: "id"})
+			n.member.ServerCrashed(quarantine.Run{Request: f, Service: "s", Server: server, Round: round, RequestID: "id"})
 		}
 		one, other := sim.nodes[0], sim.nodes[1]
 		for i, server := range []string{"server-0", "server-1"} {
@@ -202,16 +202,16 @@
 				one, other := nodes[0], nodes[1]
 				f := quarantine.FingerprintOf("POST", "h", "/", []byte("fatal"))
 				for i := range crashes {
-					one.member.Ended(quarantine.Run{Request: f, Service: "s", Server: fmt.Sprintf("server-%d", i), Round: i + 1, RequestID: "id"})
+					one.member.ServerCrashed(quarantine.Run{Request: f, Service: "s", Server: fmt.Sprintf("server-%d", i), Round: i + 1, RequestID: "id"})
 				}
 				time.Sleep(200 * time.Millisecond)
-				if granted, err := one.member.TakeTurn(t.Context(), f, "s", "server-5"); !granted {
+				if granted, err := one.member.RequestTrial(t.Context(), f, "s", "server-5"); !granted {
 					t.Fatalf("the request gets no trial: %v", err)
 				}
-				one.member.Ended(quarantine.Run{Request: f, Service: "s", Server: "server-5", Round: crashes + 1, RequestID: "id"})
-				one.member.ReleaseTurn(f, "server-5")
+				one.member.ServerCrashed(quarantine.Run{Request: f, Service: "s", Server: "server-5", Round: crashes + 1, RequestID: "id"})
+				one.member.ReleaseTrial(f, "server-5")
 				for range 2 * clearanceWait / time.Millisecond {
-					granted, err := other.member.TakeTurn(t.Context(), f, "s", "server-6")
+					granted, err := other.member.RequestTrial(t.Context(), f, "s", "server-6")
 					if err != nil {
 						t.Fatal(err)
 					}
--- a/pkg/coordinator/quotas.go
+++ b/pkg/coordinator/quotas.go
@@ -135,7 +135,7 @@
 func (m *Member) admitAlone(ctx context.Context, t *tenant.Tenant, r quota.Request, cause error) relay.Admission {
 	answer, err := m.drawFromDeputy(ctx, DeputyDraw(newDraw(t, r)))
 	if err != nil {
-		return toAdmission(m.ledger.DecideAloneFor(m.Time.Now(), t, r, m.Fleet()), err)
+		return toAdmission(m.ledger.DecideAloneFor(m.Time.Now(), t, r, m.FleetSize()), err)
 	}
 	if answer.Granted {
 		m.ledger.DeputyGrantedFor(t, r)
@@ -174,7 +174,7 @@
 // besides the holder.
 func (m *Member) deputy() (Node, bool) {
 	record, known := m.Lease.Current()
-	if !known || !m.Known() {
+	if !known || !m.NodesKnown() {
 		return Node{}, false
 	}
 	var deputy Node
@@ -225,8 +225,8 @@
 // errNoDeputy means that no node can decide on quotas in place of the holder.
 var errNoDeputy = errors.New("coordinator: no deputy is known")
 
-// GiveBack implements relay.Quotas.
-func (m *Member) GiveBack(t *tenant.Tenant, r quota.Request) { m.ledger.GiveBackFor(t, r) }
+// Refund implements relay.Quotas.
+func (m *Member) Refund(t *tenant.Tenant, r quota.Request) { m.ledger.GiveBackFor(t, r) }
 
 // holderSilence returns how long this node has had no answer from a holder.
 func (h *Holder) holderSilence(now time.Time) time.Duration {
@@ -236,8 +236,8 @@
 	return h.HolderSilence(now)
 }
 
-// KnownScarce returns the tenants that the holder last reported to this node as scarce.
-func (m *Member) KnownScarce() []string { return m.ledger.Scarce() }
+// ScarceTenants returns the tenants that the holder last reported to this node as scarce.
+func (m *Member) ScarceTenants() []string { return m.ledger.Scarce() }
 
 // HolderSilence returns how long this node has had no answer from the holder; zero if it never had one.
 func (m *Member) HolderSilence(now time.Time) time.Duration { return m.ledger.SinceHeard(now) }
@@ -250,9 +250,9 @@
 	return nil
 }
 
-// draw decides on a request of a tenant. It does not wait for the goroutine of Run, which may be planning. Safe for
+// decideDraw decides on a request of a tenant. It does not wait for the goroutine of Run, which may be planning. Safe for
 // concurrent use.
-func (h *Holder) draw(now time.Time, d Draw) DrawAnswer {
+func (h *Holder) decideDraw(now time.Time, d Draw) DrawAnswer {
 	h.init()
 	term, held := h.Lease.Held()
 	if !held {
@@ -287,8 +287,8 @@
 	record, _ := h.Lease.Current()
 	start := quota.Start{Gap: h.holderSilence(now), Scarce: record.Inherited(h.Lease.Now())}
 	byLastHolder := 0
-	if h.KnownScarce != nil {
-		for _, name := range h.KnownScarce() {
+	if h.ScarceTenants != nil {
+		for _, name := range h.ScarceTenants() {
 			if !slices.ContainsFunc(start.Scarce, func(one quota.Inherited) bool { return one.Tenant == name }) {
 				start.Scarce = append(start.Scarce, quota.Inherited{Balance: quota.Balance{Tenant: name}})
 				byLastHolder++
@@ -307,10 +307,10 @@
 	return h.quotas.Balances(h.Time.Now(), term)
 }
 
-// takeSpent counts what a node admitted without asking, and notifies all nodes at once if a tenant became scarce
+// handleSpent counts what a node admitted without asking, and notifies all nodes at once if a tenant became scarce
 // by it. It returns the tenants that nodes must ask about. A node's first heartbeat of the term also reports the
 // time before it.
-func (h *Holder) takeSpent(now time.Time, r spendReport) []string {
+func (h *Holder) handleSpent(now time.Time, r spendReport) []string {
 	h.beginQuotas(now, h.term)
 	h.pendingSpend = append(h.pendingSpend, r)
 	tenants := h.tenants()
--- a/pkg/coordinator/shares_test.go
+++ b/pkg/coordinator/quotas_draw_test.go
@@ -76,7 +76,7 @@
 			{Tenant: "none", Amount: 1e9, Spent: []quota.Spent{{Tenant: "a", Amount: 1e9}}},
 			{Tenant: "a", Route: "none", Priority: -5, Amount: 1, Part: -1, Within: -1, Returns: -1},
 		} {
-			if answer := holder.holder.draw(time.Now(), d); !answer.Granted {
+			if answer := holder.holder.decideDraw(time.Now(), d); !answer.Granted {
 				t.Errorf("%+v: %+v", d, answer)
 			}
 		}
--- a/pkg/coordinator/quotas_test.go
+++ b/pkg/coordinator/quotas_test.go
@@ -48,9 +48,9 @@
 	return m
 }
 
-// demandQuota requests tokens of a tenant at the given rate per second, at all members in turn. It
+// requestTokens requests tokens of a tenant at the given rate per second, at all members in turn. It
 // returns what was granted in each step of 10 ms, and how much was refused.
-func demandQuota(t *testing.T, members []*Member, requester *tenant.Tenant, rate float64, length time.Duration) (granted []float64, refused float64) {
+func requestTokens(t *testing.T, members []*Member, requester *tenant.Tenant, rate float64, length time.Duration) (granted []float64, refused float64) {
 	t.Helper()
 	const step = 10 * time.Millisecond
 	due, next := 0.0, 0
@@ -111,10 +111,10 @@
 		s, holder, members, stop := startQuotaSite(t, 60)
 		greedy, modest := s.table.Tenants().Named("a"), s.table.Tenants().Named("b")
 		holder.stop() // takes a second itself
-		if _, refused := demandQuota(t, members, modest, 0.5*quotaRate, gap); refused > 0 {
+		if _, refused := requestTokens(t, members, modest, 0.5*quotaRate, gap); refused > 0 {
 			t.Errorf("%g tokens of a tenant at half of its quota were refused within %v", refused, gap)
 		}
-		if granted, _ := demandQuota(t, members, greedy, 8*quotaRate, gap); sum(granted) > 4*quotaRate {
+		if granted, _ := requestTokens(t, members, greedy, 8*quotaRate, gap); sum(granted) > 4*quotaRate {
 			t.Errorf("%g tokens of a tenant at eight times its quota were granted within %v", sum(granted), gap)
 		}
 		stop()
@@ -136,11 +136,11 @@
 	bubble(t, func(t *testing.T) {
 		s, holder, members, stop := startQuotaSite(t, 5)
 		greedy, modest := s.table.Tenants().Named("a"), s.table.Tenants().Named("b")
-		if granted, _ := demandQuota(t, members, modest, 0.9*quotaRate, 10*time.Second); fullestWindow(granted) < 0.99*8*0.9*quotaRate {
+		if granted, _ := requestTokens(t, members, modest, 0.9*quotaRate, 10*time.Second); fullestWindow(granted) < 0.99*8*0.9*quotaRate {
 			t.Errorf("only %g tokens of a tenant at 0.9 of its quota were granted within 8 s", fullestWindow(granted))
 		}
 		allowed := 9 * quotaRate * (1 + quotaOverage)
-		granted, _ := demandQuota(t, members, greedy, 4*quotaRate, 12*time.Second)
+		granted, _ := requestTokens(t, members, greedy, 4*quotaRate, 12*time.Second)
 		if fullestWindow(granted) > allowed || fullestWindow(granted) < 7.5*quotaRate {
 			t.Errorf("%g tokens of a tenant at four times its quota were granted within 8 s, want its quota, at most %g", fullestWindow(granted), allowed)
 		}
@@ -151,7 +151,7 @@
 		for _, m := range members {
 			m.Lease.Announced(record)
 		}
-		after, _ := demandQuota(t, members, greedy, 4*quotaRate, 12*time.Second)
+		after, _ := requestTokens(t, members, greedy, 4*quotaRate, 12*time.Second)
 		granted = append(granted, after...)
 		if fullestWindow(granted) > allowed {
 			t.Errorf("with another holder %g tokens were granted within 8 s, at most %g are allowed", fullestWindow(granted), allowed)
--- a/pkg/coordinator/outlook.go
+++ b/pkg/coordinator/readytime.go
@@ -21,11 +21,11 @@
 	return cmp.Or(cmp.Compare(other.gainRate, q.gainRate), cmp.Compare(q.model.Name, other.model.Name))
 }
 
-// lane is a server in the queue estimate: when it may start its next load, how long a load takes there, and
+// queueServer is a server in the queue estimate: when it may start its next load, how long a load takes there, and
 // whether the weights come from the weight store.
-type lane struct {
-	free time.Time
-	load func(m *route.Model) (took time.Duration, fetch bool)
+type queueServer struct {
+	freeAt   time.Time
+	loadTime func(m *route.Model) (took time.Duration, fetch bool)
 }
 
 // storeSlots are the times when each of the concurrent loads from the weight store may start, in order.
@@ -39,7 +39,7 @@
 	return latest(free, s[0])
 }
 
-// occupy gives the first slot to a load from the store, until it is done.
+// occupy gives the slot that is free first to a load from the store until done.
 func (s storeSlots) occupy(done time.Time) {
 	if len(s) > 0 {
 		s[0] = done
@@ -67,9 +67,9 @@
 	return append(slots, busy...)
 }
 
-// lanes returns the servers of a service that can take loads.
-func (h *Holder) lanes(now time.Time, service string) []lane {
-	var list []lane
+// queueServers returns the servers of a service that can take loads.
+func (h *Holder) queueServers(now time.Time, service string) []queueServer {
+	var list []queueServer
 	for s := range h.serversOf(service) {
 		if s.excluded(now) || s.gone(now) {
 			continue
@@ -83,7 +83,7 @@
 				free = latest(free, at)
 			}
 		}
-		list = append(list, lane{free: free, load: s.loadTime})
+		list = append(list, queueServer{freeAt: free, loadTime: s.loadTime})
 	}
 	return list
 }
@@ -138,7 +138,7 @@
 				continue
 			}
 			d.waitLogged = true
-			h.Logger.Info("load waits", "model", q.model.Name, "service", service, "request_id", d.request,
+			h.Logger.Info("load waits", "model", q.model.Name, "service", service, "request_id", d.requestID,
 				"waited_ms", now.Sub(d.waitingSince).Milliseconds(), "before_it", i,
 				"expected_ms", h.expectedReady[service][q.model.Name].Sub(now).Milliseconds())
 		}
@@ -146,17 +146,17 @@
 }
 
 // estimateQueue estimates when each queued model will be ready: each goes in order to the server that has it
-// ready first, and waits for the weight store if its weights come from there. It changes lanes and slots.
-func estimateQueue(now time.Time, queue []queued, lanes []lane, slots storeSlots, ready map[string]time.Time) {
+// ready first, and waits for the weight store if its weights come from there. It changes servers and slots.
+func estimateQueue(now time.Time, queue []queued, servers []queueServer, slots storeSlots, ready map[string]time.Time) {
 	// Models that the decider did not place at once wait for replicas to become idle.
-	for i := range lanes {
-		lanes[i].free = latest(lanes[i].free, now.Add(policy.IdleWait))
+	for i := range servers {
+		servers[i].freeAt = latest(servers[i].freeAt, now.Add(policy.IdleWait))
 	}
 	for _, q := range queue {
 		first, at, fetched := -1, time.Time{}, false
-		for i := range lanes {
-			took, fetch := lanes[i].load(q.model)
-			if done := slots.startAt(lanes[i].free, fetch).Add(unloadTime + took); first < 0 || done.Before(at) {
+		for i := range servers {
+			took, fetch := servers[i].loadTime(q.model)
+			if done := slots.startAt(servers[i].freeAt, fetch).Add(unloadTime + took); first < 0 || done.Before(at) {
 				first, at, fetched = i, done, fetch
 			}
 		}
@@ -166,7 +166,7 @@
 		if fetched {
 			slots.occupy(at)
 		}
-		lanes[first].free = at
+		servers[first].freeAt = at
 		ready[q.model.Name] = at
 	}
 }
@@ -193,7 +193,7 @@
 		return 0
 	}
 	ready := make(map[string]time.Time)
-	estimateQueue(now, []queued{{model: e.Models[model]}}, h.lanes(now, service), h.storeSlotsFrom(now), ready)
+	estimateQueue(now, []queued{{model: e.Models[model]}}, h.queueServers(now, service), h.storeSlotsFrom(now), ready)
 	if at, found := ready[model]; found {
 		return at.Sub(now)
 	}
--- a/pkg/coordinator/outlook_test.go
+++ b/pkg/coordinator/readytime_test.go
@@ -15,21 +15,21 @@
 	"martenwheel.dev/pkg/route"
 )
 
-// TestExpectOrdersLoadsByGain checks that models are loaded in the order of their gain, each on the
-// server that has it ready first.
-func TestExpectOrdersLoadsByGain(t *testing.T) {
+// TestEstimateQueueOrdersLoadsByGain checks that models are loaded in the order of their gain, each
+// on the server that has it ready first.
+func TestEstimateQueueOrdersLoadsByGain(t *testing.T) {
 	now := time.Now()
 	after := func(d time.Duration) time.Time { return now.Add(d) }
 	model := func(name string) *route.Model { return &route.Model{Name: name} }
-	lanes := func() []lane {
-		return []lane{
-			{free: after(2 * time.Second), load: func(m *route.Model) (time.Duration, bool) {
+	servers := func() []queueServer {
+		return []queueServer{
+			{freeAt: after(2 * time.Second), loadTime: func(m *route.Model) (time.Duration, bool) {
 				if m.Name == "copied" {
 					return time.Second, false // from its disk
 				}
 				return 4 * time.Second, true
 			}},
-			{free: now, load: func(*route.Model) (time.Duration, bool) { return 4 * time.Second, true }},
+			{freeAt: now, loadTime: func(*route.Model) (time.Duration, bool) { return 4 * time.Second, true }},
 		}
 	}
 	first := queued{model: model("first"), gainRate: 3}
@@ -39,7 +39,7 @@
 		t.Error("the queue is out of order")
 	}
 	got := make(map[string]time.Time)
-	estimateQueue(now, []queued{first, onDisk, last}, lanes(), nil, got)
+	estimateQueue(now, []queued{first, onDisk, last}, servers(), nil, got)
 	want := map[string]time.Time{
 		"first":  after(policy.IdleWait + unloadTime + 4*time.Second), // at the second server, which is free
 		"copied": after(2*time.Second + unloadTime + time.Second),     // at the first server, which has it on disk
@@ -56,13 +56,13 @@
 	}
 }
 
-// TestExpectWaitsForTheStore checks the prediction where servers are free, but the weight store
+// TestEstimateQueueWaitsForTheStore checks the prediction where servers are free, but the weight store
 // serves one load at a time and one is in progress. Loads from a server's disk do not wait for it.
-func TestExpectWaitsForTheStore(t *testing.T) {
+func TestEstimateQueueWaitsForTheStore(t *testing.T) {
 	now := time.Now()
-	var lanes []lane
+	var servers []queueServer
 	for range 9 {
-		lanes = append(lanes, lane{free: now, load: func(m *route.Model) (time.Duration, bool) {
+		servers = append(servers, queueServer{freeAt: now, loadTime: func(m *route.Model) (time.Duration, bool) {
 			if m.Name == "copied" {
 				return time.Second, false
 			}
@@ -74,7 +74,7 @@
 		queue = append(queue, queued{model: &route.Model{Name: name}})
 	}
 	got := make(map[string]time.Time)
-	estimateQueue(now, queue, lanes, storeSlots{now.Add(3 * time.Second)}, got)
+	estimateQueue(now, queue, servers, storeSlots{now.Add(3 * time.Second)}, got)
 	want := map[string]time.Duration{
 		"first":  3*time.Second + unloadTime + 4*time.Second,
 		"copied": policy.IdleWait + unloadTime + time.Second,
@@ -87,9 +87,9 @@
 	}
 }
 
-// TestOutlookCountsTheQueue requests many models at once from two servers. The longest predicted
+// TestReadyTimeCountsTheQueue requests many models at once from two servers. The longest predicted
 // wait must be near the real one.
-func TestOutlookCountsTheQueue(t *testing.T) {
+func TestReadyTimeCountsTheQueue(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		const loadRequests = 6
 		s := newSite(t, []string{"m0", "m1"}, []string{"m2", "m3"})
--- a/pkg/coordinator/reports.go
+++ b/pkg/coordinator/reports.go
@@ -14,19 +14,19 @@
 // uncertain.
 func (h *Holder) pollServers(now time.Time) {
 	for _, s := range h.servers {
-		if s.member == nil || s.asking || s.reportAt.IsZero() || now.Before(s.reportAt) || s.member.BackOff(now) > 0 || !h.configured(s.member.Service) {
+		if s.member == nil || s.awaitingAnswer || s.reportAt.IsZero() || now.Before(s.reportAt) || s.member.BackOff(now) > 0 || !h.configured(s.member.Service) {
 			continue
 		}
 		if s.busy == nil && s.unresolved == nil && !s.sequenceUnknown && !s.recheck {
 			s.reportAt = time.Time{}
 			continue
 		}
-		s.asking = true
+		s.awaitingAnswer = true
 		server, term := s.member, h.term
 		go func() {
 			ctx, cancel := context.WithTimeout(h.runCtx, reportTimeout)
 			defer cancel()
-			report, err := h.Orders.Report(ctx, server)
+			report, err := h.Orders.FetchReport(ctx, server)
 			h.post(func() {
 				if h.term == term {
 					h.handleReport(h.Time.Now(), s, report, err)
@@ -38,7 +38,7 @@
 
 // handleReport handles a server's report, which may lag a little behind its state.
 func (h *Holder) handleReport(now time.Time, s *serverState, r Report, err error) {
-	s.asking = false
+	s.awaitingAnswer = false
 	s.reportAt = now.Add(reportPause)
 	if s.reportDue(now) {
 		s.reportAt = now.Add(duePollInterval)
--- a/pkg/coordinator/roster.go
+++ b/pkg/coordinator/roster.go
@@ -47,7 +47,7 @@
 // this term, or all nodes. With whole lists, 302 nodes that come and go get 25.6 kB per heartbeat, which takes 0.24 ms
 // to make; after a loss of all nodes the holder, at 3.7 MB per second, answers most heartbeats too late, and the nodes
 // never learn of each other. With changes, and one node that restarts per second, it is 2.2 kB and 0.05 ms
-// (BenchmarkBeatsOfALargeFleet).
+// (BenchmarkHeartbeatsOfALargeFleet).
 func (h *Holder) addNodeChanges(b *Beat, answer *BeatAnswer) {
 	if b.Knows == answer.Version {
 		return
@@ -81,9 +81,9 @@
 // any link, however many nodes there are.
 const maxNodesPerAnswer = 256
 
-// takeNodes applies the list of nodes in an answer. A list in several answers is used only when it is complete: which
-// nodes watch the store and which relay changes follows from all nodes.
-func (m *Member) takeNodes(answer *BeatAnswer) {
+// applyNodes applies the list of nodes in an answer. A list in several answers is used only when it is complete: each
+// node derives from the whole list which nodes watch the store and which relay its changes.
+func (m *Member) applyNodes(answer *BeatAnswer) {
 	nodes := answer.Nodes
 	switch {
 	case answer.Partial && m.partialNodes != nil:
--- a/pkg/coordinator/roster_test.go
+++ b/pkg/coordinator/roster_test.go
@@ -67,7 +67,7 @@
 				if answer.Partial {
 					partial++
 				}
-				m.takeNodes(&answer)
+				m.applyNodes(&answer)
 				whole := sendHeartbeat(t, n, Beat{Node: m.Self})
 				if got, want := namesOf(m.Nodes()), namesOf(whole.Nodes); !slices.Equal(got, want) {
 					t.Fatalf("seed %d: %s knows %v, the holder %v", seed, m.Self.Name, got, want)
@@ -191,8 +191,8 @@
 				if len(answer.Nodes) > maxNodesPerAnswer {
 					t.Errorf("an answer contains %d nodes", len(answer.Nodes))
 				}
-				m.takeNodes(&answer)
-				if known := m.Known(); known == answer.More {
+				m.applyNodes(&answer)
+				if known := m.NodesKnown(); known == answer.More {
 					t.Errorf("after an answer with more to come, %t, the nodes are known: %t", answer.More, known)
 				}
 				if answers == 0 { // a node joins between the pages
--- a/pkg/coordinator/scaling_test.go
+++ b/pkg/coordinator/scaling_test.go
@@ -24,12 +24,12 @@
 	reports map[string]int
 }
 
-// Report implements Orders.
-func (c reportCounter) Report(ctx context.Context, m *backend.Member) (Report, error) {
+// FetchReport implements Orders.
+func (c reportCounter) FetchReport(ctx context.Context, m *backend.Member) (Report, error) {
 	c.mu.Lock()
 	c.reports[m.ID]++
 	c.mu.Unlock()
-	return c.engines.Report(ctx, m)
+	return c.engines.FetchReport(ctx, m)
 }
 
 // largeSite returns a site with the given number of servers. Each holds two models; none holds m39.
--- a/pkg/coordinator/server.go
+++ b/pkg/coordinator/server.go
@@ -17,12 +17,12 @@
 	member          *backend.Member   // nil: gone
 	removed         bool              // the platform no longer lists it
 	sequence        uint64            // number of orders that it has certainly accepted
-	version         revision.Revision // of the record that was last read
+	version         revision.Revision // version of the record that was last read
 	holds           map[string]*holding
 	cached          map[string]tier // where copies of weights are kept near it
-	quietUntil      time.Time       // no orders before: orders of another holder may have just arrived
+	quietUntil      time.Time       // no orders before this time, as orders of another holder may have just arrived
 	recheck         bool            // request another report after quietUntil
-	asking          bool            // an order or a report is under way
+	awaitingAnswer  bool            // an order or a report is under way
 	reportAt        time.Time       // when to request the next report; zero: not needed
 	overloadedUntil time.Time       // it rejects requests, by its limit or as it backs off
 	sequenceUnknown bool            // sequence, or what it holds, is uncertain: a report is needed
@@ -33,11 +33,11 @@
 	maxLateSequence uint64          // highest sequence that orders of earlier holders lead to
 	needsFence      bool            // late orders of the last holder may still change it
 	unresolved      *order          // order without an answer, outcome unknown; only the same order may follow
-	resend          bool            // by a report, the unresolved order was not accepted yet
+	resend          bool            // a report showed that the unresolved order was not accepted yet: send it again
 	avoidUntil      time.Time       // it refused an order or did not answer
 	goneUntil       time.Time       // it refused a connection
 	reserved        reservation
-	acceptedAt      time.Time // of the last order; reports lag behind it
+	acceptedAt      time.Time // when the last order was accepted; reports lag behind it
 	instance        *instance // shared by all incarnations of the server
 }
 
@@ -45,7 +45,7 @@
 type holding struct {
 	since    time.Time
 	adapters map[string]time.Time // last use of each
-	arriving map[string]time.Time // adapters being loaded, with the time by which they should show
+	arriving map[string]time.Time // adapters being loaded, with the time by which the server's record should show them
 }
 
 // tier tells where a copy of weights is kept.
@@ -155,7 +155,7 @@
 
 // learnServer handles a server that the holder did not know.
 func (h *Holder) learnServer(now time.Time, s *serverState) {
-	if h.learned++; h.learned > maxInitialReports && !s.recheck && s.inherited == (lease.Intent{}) {
+	if h.learnedServers++; h.learnedServers > maxInitialReports && !s.recheck && s.inherited == (lease.Intent{}) {
 		s.untouched = true
 		return
 	}
@@ -328,7 +328,8 @@
 	return has
 }
 
-// recheckHolding requests a report from a server that told a node that it lacks a model that it should hold.
+// recheckHolding requests a report from a server that rejected a node's request because it lacks a model that it
+// should hold.
 func (h *Holder) recheckHolding(now time.Time, id string, need backend.Need) {
 	s := h.servers[id]
 	if s == nil || s.sequenceUnknown || !s.ready(now, need) {
--- a/pkg/coordinator/copies_test.go
+++ b/pkg/coordinator/server_test.go
@@ -16,9 +16,9 @@
 	s.serverRecords[i].OnDisk = models
 }
 
-// TestOutlookCountsACopy checks that the predicted wait for a model whose weights are on a server's
-// disk is the time of a load from there, and that the model is ready by then.
-func TestOutlookCountsACopy(t *testing.T) {
+// TestReadyTimeCountsACopyOnDisk checks that the predicted wait for a model whose weights are on a
+// server's disk is the time of a load from there, and that the model is ready by then.
+func TestReadyTimeCountsACopyOnDisk(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		s := newSite(t, []string{"m0", "m1"}, []string{"m2", "m3"})
 		s.setOnDisk(1, "m5")
@@ -77,8 +77,8 @@
 	})
 }
 
-// TestOutlookCountsAFailingStore checks that the predicted wait grows while no order can be written.
-func TestOutlookCountsAFailingStore(t *testing.T) {
+// TestReadyTimeCountsAFailingStore checks that the predicted wait grows while no order can be written.
+func TestReadyTimeCountsAFailingStore(t *testing.T) {
 	h, now := &Holder{}, time.Now()
 	if got := h.expectedOutage(now); got != 0 {
 		t.Errorf("a working store is expected to fail for %v", got)
--- a/pkg/coordinator/simulation_test.go
+++ b/pkg/coordinator/simulation_test.go
@@ -42,7 +42,7 @@
 	// configDelay is how long a new incarnation of a node runs before it has read the configuration.
 	configDelay time.Duration
 	nodes       []*simNode
-	restarts    int     // incarnations of nodes, and servers started under new names
+	restarts    int     // number of incarnations of nodes and of servers started under new names
 	loadRate    float64 // ceiling of loads, per second
 
 	mu               sync.Mutex
@@ -68,7 +68,7 @@
 	*node
 	member  *Member
 	sim     *simulation
-	name    string // of this incarnation
+	name    string // name of this incarnation
 	started time.Time
 	crashed chan struct{}
 
@@ -106,10 +106,10 @@
 }
 
 // chance reports whether a fault of the given probability hits this call.
-func (sim *simulation) chance(share func(faultRates) float64) bool {
+func (sim *simulation) chance(probability func(faultRates) float64) bool {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	return sim.callRandom.Float64() < share(sim.faults)
+	return sim.callRandom.Float64() < probability(sim.faults)
 }
 
 // randomDuration draws a duration between least and most.
@@ -160,14 +160,14 @@
 	quarantineTable := new(quarantine.Table)
 	n.holder = &Holder{Quarantine: quarantineTable,
 		Lease: nodeLease, Routes: n.routes, Servers: servers, Orders: n, Transport: n,
-		Decider: decider, HandoverPause: turnTime, Fenced: sim.fenced, Ceiling: Ceiling{Window: ceilingWindow}, Logger: sim.logger(n.name),
+		Decider: decider, HandoverPause: holderChangePause, Fenced: sim.fenced, Ceiling: Ceiling{Window: ceilingWindow}, Logger: sim.logger(n.name),
 	}
 	n.member = &Member{Quarantine: quarantineTable,
 		Self:  Node{Name: fmt.Sprintf("node-%d", i), Life: int64(sim.restarts), Peers: address},
 		Lease: nodeLease, Holder: n.holder, Transport: n, Servers: servers, Logger: hclog.NewNullLogger(),
 	}
-	n.holder.Nodes, n.holder.HolderSilence, n.holder.KnownScarce = n.member.Nodes, n.member.HolderSilence, n.member.KnownScarce
-	nodeLease.Fleet, nodeLease.AllowOffline = n.holder.Fleet, n.holder.MayContinueOffline
+	n.holder.Nodes, n.holder.HolderSilence, n.holder.ScarceTenants = n.member.Nodes, n.member.HolderSilence, n.member.ScarceTenants
+	nodeLease.Fleet, nodeLease.AllowOffline = n.holder.FleetSize, n.holder.MayContinueOffline
 	nodeLease.Quotas = n.holder.QuotaBalances
 	nodeLease.Quarantine = func(recorded []quarantine.Aged) []quarantine.Aged {
 		return quarantineTable.MergeStored(time.Now(), recorded)
@@ -321,15 +321,15 @@
 	}
 }
 
-// Give implements Orders.
-func (n *simNode) Give(ctx context.Context, m *backend.Member, o Order) (Result, error) {
+// SendOrder implements Orders.
+func (n *simNode) SendOrder(ctx context.Context, m *backend.Member, o Order) (Result, error) {
 	sim := n.sim
 	sent := time.Now()
 	if !n.waitUntilRunning() {
 		return 0, hang(ctx)
 	}
-	if o.May() != nil {
-		return 0, ErrNotGiven
+	if o.CheckSend() != nil {
+		return 0, ErrNotSent
 	}
 	if o.Offline && n.inContact() {
 		sim.t.Errorf("%s gave an order without the store, although the store answers", n.name)
@@ -373,8 +373,8 @@
 	return result
 }
 
-// Report implements Orders.
-func (n *simNode) Report(ctx context.Context, m *backend.Member) (Report, error) {
+// FetchReport implements Orders.
+func (n *simNode) FetchReport(ctx context.Context, m *backend.Member) (Report, error) {
 	if !n.waitUntilRunning() || n.isCutFromServer(m.Instance()) {
 		return Report{}, hang(ctx)
 	}
@@ -482,7 +482,7 @@
 func (n *simNode) requestLoad(need string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	o, err := n.member.Wake(ctx, relay.LoadRequest{
+	o, err := n.member.RequestLoad(ctx, relay.LoadRequest{
 		Service: "s", Need: backend.ParseNeed(need), Priority: 1, Deadline: time.Now().Add(20 * time.Second), RequestID: need,
 	})
 	return err == nil && o.Server != ""
