--- a/pkg/coordinator/slots.go
+++ b/pkg/coordinator/slots.go
@@ -33,7 +33,7 @@
 // slotBackoffs are the servers that recently had no free slot. The zero value is ready to use. Safe for concurrent use.
 type slotBackoffs struct {
 	mu       sync.Mutex
-	refusals map[string]slotRefusal // by the incarnation of the server that was asked for first
+	refusals map[string]slotRefusal // by ID of the first server of the question
 }
 
 // slotRefusal is the last refusal for a server, and how many requests were refused by it locally.
@@ -43,8 +43,8 @@
 	answered int
 }
 
-// lookup returns a refusal for a request without asking the holder, if there was one recently. Each request is told to
-// retry a little later than the one before.
+// lookup returns a refusal for a request without asking the holder, if there was one recently. The retry time of
+// each request is a little later than that of the one before.
 func (r *slotBackoffs) lookup(now time.Time, a backpressure.Ask) (backpressure.Slot, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -72,8 +72,8 @@
 	r.refusals[server] = slotRefusal{at: now, slot: s}
 }
 
-// TakeSlot implements relay.Slots.
-func (m *Member) TakeSlot(ctx context.Context, asks []backpressure.Ask, within time.Duration) (backpressure.Slot, error) {
+// RequestSlot implements relay.Slots.
+func (m *Member) RequestSlot(ctx context.Context, asks []backpressure.Ask, within time.Duration) (backpressure.Slot, error) {
 	if s, refused := m.slotBackoffs.lookup(m.Time.Now(), asks[0]); refused {
 		return s, nil
 	}
@@ -102,8 +102,8 @@
 	return SlotAnswer{Term: term, Slot: h.slots.Take(now, a.Servers[:min(len(a.Servers), maxSlotServers)], a.Within)}
 }
 
-// noteOverloaded marks the servers as overloaded whose limit had requests rejected.
-func (h *Holder) noteOverloaded(now time.Time) {
+// markOverloadedServers marks the servers as overloaded whose limit had requests rejected.
+func (h *Holder) markOverloadedServers(now time.Time) {
 	for _, id := range h.slots.Overloaded(now) {
 		h.markOverloaded(now, id, minOverload)
 	}
--- a/pkg/coordinator/slots_test.go
+++ b/pkg/coordinator/slots_test.go
@@ -8,8 +8,8 @@
 	"martenwheel.dev/pkg/backpressure"
 )
 
-// takeSlot asks a node's holder for a slot.
-func (n *node) takeSlot(t *testing.T, server string, limit float64) SlotAnswer {
+// requestSlot asks a node's holder for a slot.
+func (n *node) requestSlot(t *testing.T, server string, limit float64) SlotAnswer {
 	t.Helper()
 	reply, err := n.holder.HandleMessage(t.Context(), api.NodeRef{},
 		AskSlot{Servers: []backpressure.Ask{{Server: server, Limit: limit}}, Within: 100 * time.Millisecond})
@@ -50,7 +50,7 @@
 		}
 		granted, refused := 0, 0
 		for range 40 {
-			if answer := n.takeSlot(t, "server-0", 2); answer.Slot.Granted {
+			if answer := n.requestSlot(t, "server-0", 2); answer.Slot.Granted {
 				granted++
 			} else {
 				refused++
@@ -64,7 +64,7 @@
 			t.Errorf("the answer to a refused request is %+v", answer)
 		}
 		for range 40 {
-			n.takeSlot(t, "server-0", 2)
+			n.requestSlot(t, "server-0", 2)
 			time.Sleep(200 * time.Millisecond)
 		}
 		loads := s.engines.loads()
@@ -98,16 +98,16 @@
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
-		if answer := other.takeSlot(t, "server-0", 10); answer.Term != 0 {
+		if answer := other.requestSlot(t, "server-0", 10); answer.Term != 0 {
 			t.Errorf("a node without the lease answers %+v", answer)
 		}
 		time.Sleep(2 * time.Second)
-		if answer := holder.takeSlot(t, "server-0", 10); answer.Term != 0 {
+		if answer := holder.requestSlot(t, "server-0", 10); answer.Term != 0 {
 			t.Errorf("a holder that gets no heartbeats answers %+v", answer)
 		}
 		holder.sendHeartbeats(t, "a")
 		time.Sleep(2 * time.Second)
-		if answer := holder.takeSlot(t, "server-0", 10); answer.Term == 0 || !answer.Slot.Granted {
+		if answer := holder.requestSlot(t, "server-0", 10); answer.Term == 0 || !answer.Slot.Granted {
 			t.Errorf("the holder answers %+v", answer)
 		}
 	})
--- a/pkg/coordinator/speeds.go
+++ b/pkg/coordinator/speeds.go
@@ -11,8 +11,8 @@
 
 // PacesVersion identifies the last change of servers' speeds that a node was sent.
 type PacesVersion struct {
-	Term   uint64 // of the holder that counts the changes
-	Number uint64 // of the last change; zero: nothing was sent
+	Term   uint64 // term of the holder that counts the changes
+	Number uint64 // number of the last change; zero: nothing was sent
 }
 
 // Limits of the exchange of servers' speeds.
@@ -31,17 +31,17 @@
 // speedReportShare returns how many streams each node reports with a heartbeat, for a fleet of the given size.
 func speedReportShare(fleet int) int { return max(speedReportsPerSecond/max(fleet, 1), 1) }
 
-// serverSpeeds is what the holder tells nodes of the speeds of servers. Each node sees few of a fleet's streams, too
-// few to tell which servers are slow; all streams together show it within seconds. It only affects how nodes choose
-// servers, and no orders. For the goroutine of Run alone.
+// serverSpeeds holds the speeds of servers that the holder reports to the nodes. Each node sees few of a fleet's
+// streams, too few to tell which servers are slow; all streams together show it within seconds. It only affects how
+// nodes choose servers, and no orders. For the goroutine of Run alone.
 type serverSpeeds struct {
-	log changeLog[knownSlowness] // by incarnation of the server
+	log changeLog[knownSlowness] // by ID of the server's incarnation
 }
 
-// knownSlowness is what nodes are told of one server.
+// knownSlowness is the slowness of one server as last sent to the nodes.
 type knownSlowness struct {
-	ratio float64   // slowness as last sent
-	at    time.Time // of the last stream that was reported
+	ratio float64   // time per event relative to the fastest server
+	at    time.Time // when a stream of the server was last reported
 }
 
 // note updates a server's slowness. The first value for a server is always sent: nodes may still have one from before
@@ -98,9 +98,9 @@
 	return record.Address
 }
 
-// takeSpeeds applies the speeds in the answer to a heartbeat that was sent at the given time. An answer that was
+// applySpeeds applies the speeds in the answer to a heartbeat that was sent at the given time. An answer that was
 // delayed by a suspension is too old.
-func (m *Member) takeSpeeds(sent time.Time, answer *BeatAnswer) {
+func (m *Member) applySpeeds(sent time.Time, answer *BeatAnswer) {
 	if m.Time.Since(sent) > heartbeatTimeout {
 		return
 	}
--- a/pkg/coordinator/paces_test.go
+++ b/pkg/coordinator/speeds_test.go
@@ -14,7 +14,7 @@
 func (n *simNode) reportStreams(server string, perEvent time.Duration, streams int) {
 	for range streams {
 		n.servers.RecordPace(server, "m0", perEvent)
-		n.servers.Report(backend.Pace{Server: server, Model: "m0", PerEvent: perEvent})
+		n.servers.QueuePace(backend.Pace{Server: server, Model: "m0", PerEvent: perEvent})
 	}
 }
 
@@ -35,12 +35,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		sim := newSimulation(t, 1)
 		defer sim.stopNodes()
-		const spreads = 2500 * time.Millisecond // two and a half heartbeats
+		const spreadTime = 2500 * time.Millisecond // two and a half heartbeats
 		time.Sleep(5 * time.Second)
 		sim.nodes[0].reportStreams("server-0", 20*time.Millisecond, 3)
 		time.Sleep(time.Second)
 		sim.nodes[1].reportStreams("server-1", 50*time.Millisecond, 3)
-		time.Sleep(spreads)
+		time.Sleep(spreadTime)
 		sim.checkSlowness("told", "server-0", 1)
 		sim.checkSlowness("told", "server-1", 2.5)
 
@@ -57,12 +57,12 @@
 		sim.nodes[1].reportStreams("server-0", 20*time.Millisecond, 1)
 		time.Sleep(time.Second)
 		sim.nodes[0].reportStreams("server-1", 50*time.Millisecond, 3)
-		time.Sleep(spreads)
+		time.Sleep(spreadTime)
 		sim.checkSlowness("with another holder", "server-1", 2.5)
 
 		time.Sleep(2 * backend.SlownessLifetime) // the holder forgets, but nodes need not
 		sim.nodes[1].reportStreams("server-1", 20*time.Millisecond, 30)
-		time.Sleep(spreads)
+		time.Sleep(spreadTime)
 		sim.checkSlowness("fast again", "server-1", 1)
 	})
 }
@@ -141,11 +141,11 @@
 		n.stop() // the member's own loop processes answers as well
 		synctest.Wait()
 		answer := &BeatAnswer{Paces: []backend.Slowness{{Server: "server-0", Ratio: 3}}, PacesVersion: PacesVersion{Term: 99, Number: 7}}
-		n.member.takeSpeeds(time.Now().Add(-time.Minute), answer)
+		n.member.applySpeeds(time.Now().Add(-time.Minute), answer)
 		if got := n.servers.Snapshot().Member("server-0").Slowness(); got != 1 {
 			t.Errorf("a report that is a minute old was used: %v", got)
 		}
-		n.member.takeSpeeds(time.Now(), answer)
+		n.member.applySpeeds(time.Now(), answer)
 		if got := n.servers.Snapshot().Member("server-0").Slowness(); got != 3 {
 			t.Errorf("the slowness is %v, 3 was reported", got)
 		}
--- a/pkg/coordinator/storelimit.go
+++ b/pkg/coordinator/storelimit.go
@@ -10,14 +10,14 @@
 // Parameters by which the number of concurrent loads is learned.
 const (
 	initialStoreLimit = 4                      // maximum before anything is known
-	initialStoreTime  = 28 * time.Second       // see initialLimit
+	initialStoreTime  = 28 * time.Second       // total time of the first loads if the store serves one at a time, see initialLimit
 	storeGrowth       = 1.5                    // factor by which the number is raised while all loads run at full speed
-	minProbePause     = 12 * time.Second       // after a slow load, until a higher number is tried
+	minProbePause     = 12 * time.Second       // pause after a slow load until a higher number is tried
 	maxProbePause     = time.Minute            // the pause doubles up to this with each try that fails
 	slowSamples       = 3                      // number of slow loads of which the median is used
 	slowRatio         = 1.12                   // a load that takes longer than this multiple of its nominal time is slow
 	kneeRounding      = 0.3                    // added before rounding down; below 0.5: one load too few costs less than one too many
-	slowSlack         = 450 * time.Millisecond // by which the end of a load is seen late: report lag and pause
+	slowSlack         = 450 * time.Millisecond // how late the end of a load is seen: report lag and pause
 )
 
 // storeLimit learns how many concurrent loads from the weight store run at full speed. The store does not report it;
@@ -27,7 +27,7 @@
 type storeLimit struct {
 	loads       int       // number known to run at full speed at once; zero: not known
 	saturated   bool      // a higher number was slow
-	saturatedAt time.Time // when the last slow load was seen: loads that began earlier ran beside more
+	saturatedAt time.Time // when the last slow load was seen; loads that began earlier may have run beside more
 	slowKnees   []float64 // knees computed from the last slow loads
 	fastLoads   int       // highest recent number at full speed
 	fastAt      time.Time // when fastLoads was seen
@@ -35,7 +35,7 @@
 	nextProbe   time.Time // when a higher number is tried
 	probePause  time.Duration
 
-	term    uint64        // of the holder that learned loads; zero: this one
+	term    uint64        // term of the holder that learned loads; zero: this one
 	nominal time.Duration // longest nominal time of a load; zero: not known
 }
 
--- a/pkg/coordinator/storelimit_test.go
+++ b/pkg/coordinator/storelimit_test.go
@@ -18,7 +18,7 @@
 // time of each load that starts beyond the knee grows in proportion to the number of loads.
 type weightStore struct {
 	knee        int           // zero means no limit
-	nominalTime time.Duration // of a load at full speed
+	nominalTime time.Duration // time of a load at full speed
 	running     []storeLoad
 }
 
@@ -29,12 +29,12 @@
 
 // begin starts a load. Its time depends on the loads in progress.
 func (s *weightStore) begin(now time.Time) {
-	beside := len(s.running) + 1
+	concurrent := len(s.running) + 1
 	took := s.nominalTime
-	if s.knee > 0 && beside > s.knee {
-		took = time.Duration(float64(s.nominalTime) * float64(beside) / float64(s.knee))
+	if s.knee > 0 && concurrent > s.knee {
+		took = time.Duration(float64(s.nominalTime) * float64(concurrent) / float64(s.knee))
 	}
-	s.running = append(s.running, storeLoad{now, now.Add(took), beside})
+	s.running = append(s.running, storeLoad{now, now.Add(took), concurrent})
 }
 
 // end removes and returns the loads that are done.
--- a/pkg/coordinator/suspicions.go
+++ b/pkg/coordinator/suspicions.go
@@ -65,9 +65,9 @@
 	return true
 }
 
-// Doubted implements relay.Quarantine. When it returns, the holder has forwarded the suspicion, unless it does not
+// CrashSuspected implements relay.Quarantine. When it returns, the holder has forwarded the suspicion, unless it does not
 // answer in time: callers retry such a request within milliseconds, at any node.
-func (m *Member) Doubted(ctx context.Context, r quarantine.Run) {
+func (m *Member) CrashSuspected(ctx context.Context, r quarantine.Run) {
 	now := m.Time.Now()
 	change := m.Quarantine.Suspect(now, r)
 	m.Logger.Info("server may have crashed under request", "fingerprint", r.Request.String(), "request_id", r.RequestID,
@@ -88,16 +88,16 @@
 }
 
 // answerSuspicion handles a node's suspicion and answers once the other nodes know it: a caller that retries the
-// request at one of them right after must not find it unrestricted there.
+// request right afterwards at one of them must not be able to run it there without restriction.
 func (h *Holder) answerSuspicion(ctx context.Context, n DoubtNotice) (DoubtAnswer, error) {
-	taken, err := callOnLoop(ctx, h, func() acceptedSuspicion { return h.acceptSuspicion(h.Time.Now(), n) })
+	accepted, err := callOnLoop(ctx, h, func() acceptedSuspicion { return h.acceptSuspicion(h.Time.Now(), n) })
 	if err != nil {
 		return DoubtAnswer{}, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, suspicionForwardTimeout)
 	defer cancel()
 	var wg conc.WaitGroup
-	for _, address := range taken.others {
+	for _, address := range accepted.others {
 		wg.Go(func() {
 			if _, err := h.Transport.Call(ctx, address, DoubtNews(n)); err != nil {
 				h.Logger.Debug("suspicion not forwarded", "fingerprint", n.Evidence.Request.String(), "address", address, "error", err)
@@ -105,7 +105,7 @@
 		})
 	}
 	wg.Wait()
-	return DoubtAnswer{Term: taken.term}, nil
+	return DoubtAnswer{Term: accepted.term}, nil
 }
 
 // acceptedSuspicion is the result of accepting a suspicion.
@@ -119,12 +119,12 @@
 	if !h.ensureTerm() {
 		return acceptedSuspicion{}
 	}
-	taken := acceptedSuspicion{term: h.term}
+	accepted := acceptedSuspicion{term: h.term}
 	h.Quarantine.Merge(now, n.Evidence)
 	if h.suspicions.take(now) {
-		taken.others = h.otherNodes()
+		accepted.others = h.otherNodes()
 	}
-	return taken
+	return accepted
 }
 
 func init() { peer.RegisterRecent(DoubtNotice{}, DoubtAnswer{}, DoubtNews{}, DoubtTaken{}) }
--- a/pkg/coordinator/takeover_test.go
+++ b/pkg/coordinator/takeover_test.go
@@ -51,11 +51,11 @@
 		n := s.start("a")
 		n.waitForLease()
 		m := &Member{Self: Node{Name: "b"}, Lease: n.lease, Holder: n.holder, Servers: n.servers, Quarantine: new(quarantine.Table), Logger: hclog.NewNullLogger()}
-		m.Arrived("s", backend.Need{Model: "m0", Adapter: "a1"}, 1)
+		m.RequestArrived("s", backend.Need{Model: "m0", Adapter: "a1"}, 1)
 		if uses := m.uses(time.Now()); len(uses) != 2 || uses[0].Arrivals != 1 || uses[0].Rate != 0 {
 			t.Errorf("the first heartbeat reports %+v", uses)
 		}
-		m.Arrived("s", backend.Need{Model: "m0"}, 1)
+		m.RequestArrived("s", backend.Need{Model: "m0"}, 1)
 		for _, u := range m.uses(time.Now()) {
 			if u.Rate == 0 || u.Arrivals != 0 && u.Model != "m0" {
 				t.Errorf("a heartbeat to a holder that has not answered yet reports %+v", u)
--- a/pkg/coordinator/uses.go
+++ b/pkg/coordinator/uses.go
@@ -13,8 +13,8 @@
 	weight float64
 }
 
-// Arrived counts a request for a model; priority 0 is the most urgent.
-func (m *Member) Arrived(service string, n backend.Need, priority int) {
+// RequestArrived counts a request for a model; priority 0 is the most urgent.
+func (m *Member) RequestArrived(service string, n backend.Need, priority int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.arrive(demandKey{service, n.Model}, priority)
--- a/pkg/gateway/bench_test.go
+++ b/pkg/gateway/bench_test.go
@@ -171,7 +171,7 @@
 // a gateway, and reports the latency percentiles of both.
 func BenchmarkAddedLatency(b *testing.B) {
 	address := startBenchEngine(b).address
-	callers := []*pacedCaller{newPacedCaller(address), newPacedCaller(benchGateway(b, address))}
+	callers := []*fixedRateCaller{newFixedRateCaller(address), newFixedRateCaller(benchGateway(b, address))}
 	defer func() {
 		for _, way := range callers {
 			way.client.CloseIdleConnections()
@@ -196,8 +196,8 @@
 	b.ReportMetric(gateway99-direct99, "added-p99-us")
 }
 
-// pacedCaller sends requests to one address and measures their latency.
-type pacedCaller struct {
+// fixedRateCaller sends requests to one address and measures their latency.
+type fixedRateCaller struct {
 	client  *fasthttp.HostClient
 	request *fasthttp.Request
 
@@ -205,11 +205,11 @@
 	latencies []time.Duration
 }
 
-func newPacedCaller(address string) *pacedCaller {
-	return &pacedCaller{client: &fasthttp.HostClient{Addr: address, MaxConns: 1024}, request: newBenchRequest(address, false)}
+func newFixedRateCaller(address string) *fixedRateCaller {
+	return &fixedRateCaller{client: &fasthttp.HostClient{Addr: address, MaxConns: 1024}, request: newBenchRequest(address, false)}
 }
 
-func (p *pacedCaller) call() {
+func (p *fixedRateCaller) call() {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
@@ -226,7 +226,7 @@
 }
 
 // percentiles returns the median and the 99th percentile in microseconds.
-func (p *pacedCaller) percentiles() (p50, p99 float64) {
+func (p *fixedRateCaller) percentiles() (p50, p99 float64) {
 	if len(p.latencies) == 0 {
 		return 0, 0
 	}
--- a/pkg/gateway/handler.go
+++ b/pkg/gateway/handler.go
@@ -23,7 +23,7 @@
 		call := g.newCall(endpoint, c.Context().Conn())
 		defer func() {
 			if fault := recover(); fault != nil {
-				err = call.refuse(c, call.panicked(fault))
+				err = call.refuse(c, call.handlePanic(fault))
 			}
 		}()
 		if g.draining.Load() {
@@ -130,9 +130,9 @@
 	return apiError.send(ctx)
 }
 
-// panicked ends the attempt of a call whose handler panicked and returns the
+// handlePanic ends the attempt of a call whose handler panicked and returns the
 // error for its caller. Other calls are not affected.
-func (c *call) panicked(fault any) *APIError {
+func (c *call) handlePanic(fault any) *APIError {
 	c.gateway.config.Logger.Error("request handler panicked", telemetry.FieldRequestID, c.record.requestID, "panic", fmt.Sprint(fault), "stack", string(debug.Stack()))
 	if c.current != nil {
 		c.current.abandon()
--- a/pkg/gateway/internal/hangup/watcher_test.go
+++ b/pkg/gateway/internal/hangup/watcher_test.go
@@ -31,7 +31,7 @@
 	return near, far
 }
 
-// pollUntil calls Look until the hang-up is reported.
+// pollUntil calls Poll until the hang-up is reported.
 func pollUntil(t *testing.T, watcher *Watcher, reported *bool) {
 	t.Helper()
 	for start := time.Now(); !*reported; {
--- a/pkg/gateway/internal/upstream/client_test.go
+++ b/pkg/gateway/internal/upstream/client_test.go
@@ -140,7 +140,7 @@
 	}{
 		{"whole answer", whole, true, 1},
 		{"whole answer, not read", whole, false, 2},
-		{"bytes that nobody asked for", whole + "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate", true, 2},
+		{"unexpected bytes after the answer", whole + "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate", true, 2},
 		{"closing answer", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", true, 2},
 		{"answer without length", "HTTP/1.1 200 OK\r\n\r\nok", true, 2},
 	}
--- a/pkg/gateway/internal/upstream/conn.go
+++ b/pkg/gateway/internal/upstream/conn.go
@@ -50,8 +50,9 @@
 	return c.Conn.Read(p)
 }
 
-// deadlineSlack is the divisor of the stall timeout that gives how much too early
-// a read may time out. It saves setting the socket's deadline for every read.
+// deadlineSlack limits how much too early a read may time out, to the stall
+// timeout divided by deadlineSlack. Without this tolerance, every read would have
+// to set the socket's deadline.
 const deadlineSlack = 8
 
 // setDeadline sets the deadline of the next read if it has changed by enough.
--- a/pkg/gateway/listener.go
+++ b/pkg/gateway/listener.go
@@ -153,8 +153,9 @@
 	return c.Conn
 }
 
-// deadlineSlack is the divisor of the write timeout that gives how much too early
-// a write may time out. It saves setting the socket's deadline for every write.
+// deadlineSlack limits how much too early a write may time out, to the write
+// timeout divided by deadlineSlack. Without this tolerance, every write would have
+// to set the socket's deadline.
 const deadlineSlack = 8
 
 // Write writes p within the write timeout. It must not be called concurrently.
--- a/pkg/keeper/attempt.go
+++ b/pkg/keeper/attempt.go
@@ -16,7 +16,7 @@
 	// After that it is unknown whether its request ran.
 	RunningAge = time.Minute
 
-	maxRounds       = 6                    // most rounds of one claim
+	maxRounds       = 6                    // maximum number of rounds of one claim
 	contendedAge    = 5 * time.Second      // a record younger than this may belong to an attempt that is still claiming
 	retryNoQuorum   = time.Second          // RetryAfter of VerdictNoQuorum
 	retryRunning    = 2 * time.Second      // RetryAfter of VerdictRunning
@@ -88,7 +88,7 @@
 	var ask []int
 	for _, i := range a.order {
 		if a.asked[i] {
-			if a.round > 1 && !a.settled(i) {
+			if a.round > 1 && !a.hasRepliedOrFailed(i) {
 				break
 			}
 			continue
@@ -102,8 +102,9 @@
 	return ask
 }
 
-// settled reports whether an ordered round may continue after the member.
-func (a *attempt) settled(i int) bool {
+// hasRepliedOrFailed reports whether the member replied or failed, so that an ordered
+// round may continue after it.
+func (a *attempt) hasRepliedOrFailed(i int) bool {
 	return a.failed[i] || a.replies[i].Outcome != 0
 }
 
--- a/pkg/keeper/client.go
+++ b/pkg/keeper/client.go
@@ -55,25 +55,25 @@
 	if !known {
 		return Decision{Verdict: VerdictNoQuorum, RetryAfter: retryNoQuorum}
 	}
-	claiming := &claiming{client: c, attempt: newAttempt(c.clock(), configuration, claim)}
-	decision := claiming.decide(ctx)
+	call := &claimCall{client: c, attempt: newAttempt(c.clock(), configuration, claim)}
+	decision := call.decide(ctx)
 	if decision.Verdict == VerdictGranted && !decision.StillValid(c.clock()) {
 		decision = Decision{Verdict: VerdictNoQuorum, RetryAfter: retryNoQuorum}
 	}
 	if decision.Verdict != VerdictGranted {
-		claiming.release(ctx)
+		call.release(ctx)
 	}
 	return decision
 }
 
-// claiming is the state of one call of Claim.
-type claiming struct {
+// claimCall is the state of one call of Claim.
+type claimCall struct {
 	client   *Client
 	attempt  *attempt
 	released atomic.Uint32 // last round whose grants were released
 }
 
-func (c *claiming) decide(ctx context.Context) Decision {
+func (c *claimCall) decide(ctx context.Context) Decision {
 	for {
 		state, decision := c.runRound(ctx)
 		switch state {
@@ -95,7 +95,7 @@
 // release gives back the grants of all rounds so far. A grant that arrives later
 // is released by ask, because its keeper may have received the release before the
 // claim.
-func (c *claiming) release(ctx context.Context) {
+func (c *claimCall) release(ctx context.Context) {
 	c.released.Store(c.attempt.round)
 	c.client.broadcast(ctx, c.attempt.configuration.Members, c.attempt.releaseRequest())
 }
@@ -109,7 +109,7 @@
 
 // runRound asks members until the round is decided or split. It returns
 // progressWaiting if the context ends first.
-func (c *claiming) runRound(ctx context.Context) (progress, Decision) {
+func (c *claimCall) runRound(ctx context.Context) (progress, Decision) {
 	attempt := c.attempt
 	replies := make(chan memberReply, len(attempt.configuration.Members))
 	for {
@@ -134,7 +134,7 @@
 
 // ask calls a keeper in the background. The call continues after the claim is
 // decided, so that all keepers receive it.
-func (c *claiming) ask(ctx context.Context, index int, replies chan<- memberReply) {
+func (c *claimCall) ask(ctx context.Context, index int, replies chan<- memberReply) {
 	member := c.attempt.configuration.Members[index]
 	request := c.attempt.request()
 	release := c.attempt.releaseRequest()
--- a/pkg/keeper/replace_test.go
+++ b/pkg/keeper/replace_test.go
@@ -94,8 +94,8 @@
 		before     string
 		after      string
 		schedule   func(r *replacement) (first, second bool)
-		firstRuns  bool // with all mechanisms enabled
-		secondRuns bool
+		firstRuns  bool // whether the first claim is granted with all mechanisms enabled
+		secondRuns bool // whether the second claim is granted with all mechanisms enabled
 	}{
 		{
 			name: "copied before the old member adopted", mechanism: ablation{noCopyBarrier: true},
--- a/pkg/keeper/store.go
+++ b/pkg/keeper/store.go
@@ -22,15 +22,15 @@
 	maxAttemptBytes     = 256
 	maxContentTypeBytes = 256
 
-	copyPageRecords = 512     // most records of a CopyReply
+	copyPageRecords = 512     // maximum number of records in a CopyReply
 	copyPageBytes   = 1 << 20 // bytes of answers after which a CopyReply ends
 )
 
 // Limits bounds the memory and the retention of a Store.
 type Limits struct {
-	Records          int           // most records of all callers together
-	RecordsPerCaller int           // most records of one caller
-	AnswerBytes      int           // most bytes of all stored answer bodies
+	Records          int           // maximum number of records of all callers together
+	RecordsPerCaller int           // maximum number of records of one caller
+	AnswerBytes      int           // maximum total size of the stored answer bodies
 	MaxRetention     time.Duration // claims with a longer retention are invalid
 
 	// ConfirmWithin is how long a keeper keeps granting claims without a
--- a/pkg/lab/bounds.go
+++ b/pkg/lab/bounds.go
@@ -30,7 +30,7 @@
 	for i, spans := range sim.busySpans() {
 		m := sim.models[i]
 		share := float64(m.holdBytes) / sim.meter.acceleratorBytes[m.service]
-		idle += share * leastHolding(spans, m.settings.LoadTime).Hours()
+		idle += share * minHoldTime(spans, m.settings.LoadTime).Hours()
 	}
 	return Bounds{
 		ColdStartP99LoadOnly: secondsAt(newHistogram(loads), 99),
@@ -62,9 +62,9 @@
 	return spans
 }
 
-// leastHolding returns the minimum time for which a model must be held without serving, so that it
+// minHoldTime returns the minimum time for which a model must be held without serving, so that it
 // is always loaded when a request arrives.
-func leastHolding(spans []span, load time.Duration) time.Duration {
+func minHoldTime(spans []span, load time.Duration) time.Duration {
 	total, busyUntil := time.Duration(0), -load
 	for _, s := range spans {
 		if s.from > busyUntil {
--- a/pkg/lab/calls.go
+++ b/pkg/lab/calls.go
@@ -10,7 +10,7 @@
 	"martenwheel.dev/pkg/platform"
 )
 
-// callFailure tells how a call from a process to an engine or to the platform failed.
+// callFailure describes how a call from a process to an engine or to the platform failed.
 type callFailure int
 
 // Kinds of call failures.
--- a/pkg/lab/clock.go
+++ b/pkg/lab/clock.go
@@ -34,7 +34,8 @@
 	return c.at(c.elapsed+max(delay, 0), run)
 }
 
-// at schedules run for the elapsed time at, or for the present if that has passed.
+// at schedules run for a point in virtual time, as the time since the start of the run; if that has
+// passed, run is scheduled for the present.
 func (c *clock) at(at time.Duration, run func()) *event {
 	c.sequence++
 	e := &event{at: max(at, c.elapsed), sequence: c.sequence, run: run}
--- a/pkg/lab/distributed.go
+++ b/pkg/lab/distributed.go
@@ -99,7 +99,7 @@
 	p.schedule(time.Duration(sim.random.Int64N(int64(control.TickInterval))), p.tick)
 }
 
-// schedule schedules do after a delay. It is dropped if the process dies before.
+// schedule schedules do after a delay. It is dropped if the process dies earlier.
 func (p *process) schedule(delay time.Duration, do func()) {
 	incarnation := p.node.incarnation
 	p.plane.sim.clock.after(delay, func() {
--- a/pkg/lab/emulator_test.go
+++ b/pkg/lab/emulator_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestLeastHolding(t *testing.T) {
+func TestMinHoldTime(t *testing.T) {
 	load := 10 * time.Second
 	at := func(from, to int) span {
 		return span{time.Duration(from) * time.Second, time.Duration(to) * time.Second}
@@ -75,7 +75,7 @@
 		{"overlapping requests", []span{at(100, 200), at(110, 120), at(203, 204)}, load + 3*time.Second},
 	}
 	for _, test := range cases {
-		if got := leastHolding(test.spans, load); got != test.want {
+		if got := minHoldTime(test.spans, load); got != test.want {
 			t.Errorf("%s: %v, want %v", test.name, got, test.want)
 		}
 	}
--- a/pkg/lab/engine_requests.go
+++ b/pkg/lab/engine_requests.go
@@ -51,8 +51,8 @@
 	r.outputOf = r.request.number
 	e.sim.checker.started(r)
 	streams := len(it.batch.jobs) + 1
-	reading := float64(r.request.prompt) / promptTokensPerSecond * (1 + float64(streams-1)*batchSlowdown)
-	r.timer = e.sim.clock.after(time.Duration(reading*float64(time.Second)), func() {
+	prefillSeconds := float64(r.request.prompt) / promptTokensPerSecond * (1 + float64(streams-1)*batchSlowdown)
+	r.timer = e.sim.clock.after(time.Duration(prefillSeconds*float64(time.Second)), func() {
 		r.timer = nil
 		e.sim.firstToken(e, r)
 		r.job = it.batch.add(float64(r.request.output), func() { e.finish(r) })
--- a/pkg/lab/faults.go
+++ b/pkg/lab/faults.go
@@ -235,7 +235,8 @@
 	sim.clock.after(2*lossy+down, func() { store.lossRate = 0 })
 }
 
-// restoreStore takes the table service down and restores it from a backup that is backupAge old by then.
+// restoreStore takes the table service down and restores it from a backup that was
+// backupAge old when it went down.
 func (sim *simulation) restoreStore() {
 	distributed, ok := sim.plane.(*distributedPlane)
 	if !ok {
--- a/pkg/lab/request.go
+++ b/pkg/lab/request.go
@@ -19,7 +19,7 @@
 	claimed      bool          // an unsafe request that may have reached an engine
 }
 
-// answerKind tells how an attempt, or the whole request, ended.
+// answerKind describes how an attempt, or the whole request, ended.
 type answerKind uint8
 
 // Kinds of answers.
--- a/pkg/lab/result.go
+++ b/pkg/lab/result.go
@@ -52,7 +52,7 @@
 	Count int     `json:"count"`
 }
 
-// Percentiles of a distribution.
+// Percentiles are the percentiles of a distribution that the results report.
 type Percentiles struct {
 	P50 float64 `json:"p50"`
 	P95 float64 `json:"p95"`
--- a/pkg/lease/calls_test.go
+++ b/pkg/lease/calls_test.go
@@ -46,9 +46,9 @@
 // callCount returns the number of calls of the store.
 func (m *fakeStore) callCount() int { return m.readCount() + m.writeCount() }
 
-// TestNodesThatStartTogetherLookOnce guards against a burst of calls when many nodes find a free lease at the
-// same time: most of them may call the store only once.
-func TestNodesThatStartTogetherLookOnce(t *testing.T) {
+// TestNodesThatStartTogetherCallTheStoreOnce guards against a burst of calls when many nodes find a free
+// lease at the same time: most of them may call the store only once.
+func TestNodesThatStartTogetherCallTheStoreOnce(t *testing.T) {
 	bubble(t, func(t *testing.T, m *fakeStore) {
 		leases, stop := runNodes(t, m, "a", true)
 		defer stop()
@@ -86,10 +86,10 @@
 		m.down = true
 		leases, stop := runNodes(t, m, "c", false)
 		defer stop()
-		const away = 10 * time.Second
-		suspectAll(leases, away)
+		const outage = 10 * time.Second
+		suspectAll(leases, outage)
 		if n := m.callCount(); n > 11*nodeCount {
-			t.Errorf("%d calls of the store by %d nodes in %v", n, nodeCount, away)
+			t.Errorf("%d calls of the store by %d nodes in %v", n, nodeCount, outage)
 		}
 		m.set(func() { m.down = false })
 		if took := suspectAll(leases, time.Minute); took > time.Second {
--- a/pkg/lease/lease.go
+++ b/pkg/lease/lease.go
@@ -62,8 +62,8 @@
 	// Eager reports whether this node is one of the few that are expected to take the lease. Such nodes poll
 	// a failing store without a growing interval. It may be nil.
 	Eager func() bool
-	// FirstStart tells that the whole site starts for the first time. Nodes then read the record at different
-	// times, so that the first one takes the lease and the others find it held.
+	// FirstStart reports whether the whole site starts for the first time. Nodes then read the record at
+	// different times, so that the first one takes the lease and the others find it held.
 	FirstStart bool
 	// TakeoverDelay returns how long this node leaves a free lease to better suited nodes; nil means no
 	// delay. It may be called with the lease locked and must not call the lease.
@@ -72,8 +72,8 @@
 	// number. It may be nil.
 	Fleet func() int
 	// AllowOffline reports whether this node, as the holder, may give orders while the store does not answer.
-	// This is safe if servers refuse orders of lower terms and most nodes report to this holder. If nil, it
-	// may not. It is called with the lease locked and must not call the lease.
+	// This is safe if servers refuse orders of lower terms and most nodes report to this holder. If it is
+	// nil, the node may not. It is called with the lease locked and must not call the lease.
 	AllowOffline func() bool
 	// Quarantine takes in the evidence in the record and returns the evidence that the record is to have; if
 	// nil, the record keeps its evidence. It is called with the lease locked and must not call the lease.
@@ -89,9 +89,9 @@
 	seen             Stored              // newest record that was read or written
 	epochSince       time.Time           // when this node first saw the epoch of seen
 	known            bool                // seen is set
-	announced        Record              // by a holder to other nodes; may be newer than seen
-	clockOffset      time.Duration       // store's clock less the local monotonic clock
-	term             uint64              // that this node holds; zero: none
+	announced        Record              // last record that a holder announced; may be newer than seen
+	clockOffset      time.Duration       // store's clock minus the local monotonic clock
+	term             uint64              // term that this node holds; zero: none
 	holdUntil        time.Time           // end of the hold time
 	start            time.Time           // zero of the local monotonic clock
 	suspicions       chan struct{}       // wakes Run after a Suspect
@@ -351,7 +351,7 @@
 }
 
 // writeRelease writes a record without a holder. It tries again if a write of this node whose outcome was
-// unknown came between.
+// unknown has changed the record meanwhile.
 func (l *Lease) writeRelease(next Record, over Stored) error {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
--- a/pkg/lease/lease_test.go
+++ b/pkg/lease/lease_test.go
@@ -17,7 +17,7 @@
 type fakeStore struct {
 	mu             sync.Mutex
 	stored         Stored
-	down           bool
+	down           bool          // all calls fail
 	failedAnswers  int           // number of coming writes that are done but return an error
 	missingAnswers int           // number of coming writes that are done but never answered
 	lateWrites     int           // number of coming writes that are done after lateWriteDelay and never answered
@@ -25,8 +25,8 @@
 	extraWriteTime time.Duration // added to the time of each write
 	writeTime      time.Duration // of each write; writes are done one after the other
 	queueEnd       time.Time     // when the last queued write is done
-	started        time.Time
-	reads          int // number of calls of Read
+	started        time.Time     // zero of the store's clock
+	reads          int           // number of calls of Read
 }
 
 var errUnavailable = errors.New("the store is unavailable")
@@ -158,9 +158,9 @@
 	})
 }
 
-// TestSuspicionsDoNotPutOffTheLook guards against a read of the record that is rescheduled by every suspicion
+// TestSuspicionsDoNotPostponeTheRead guards against a read of the record that is rescheduled by every suspicion
 // and so never happens when suspicions come often.
-func TestSuspicionsDoNotPutOffTheLook(t *testing.T) {
+func TestSuspicionsDoNotPostponeTheRead(t *testing.T) {
 	bubble(t, func(t *testing.T, m *fakeStore) {
 		m.down = true
 		l, stop := run(t, m, "a")
--- a/pkg/lease/offline.go
+++ b/pkg/lease/offline.go
@@ -12,7 +12,7 @@
 
 // offline reports whether this node continues as the holder although it can't write the record. If the store
 // fails for all nodes, nobody else can take the lease. If it fails for this node alone, the next holder has
-// the servers refuse this node's orders and tells it so (see Yield). The caller holds mu.
+// the servers refuse this node's orders and asks it to yield (see Yield). The caller holds mu.
 func (l *Lease) offline() bool {
 	return !l.failingSince.IsZero() && l.Time.Since(l.failingSince) > offlineAfter &&
 		l.announced.Term <= l.term && l.AllowOffline != nil && l.AllowOffline()
--- a/pkg/lease/offline_test.go
+++ b/pkg/lease/offline_test.go
@@ -131,9 +131,9 @@
 	}
 }
 
-// TestAReleaseTellsTheUnwrittenIntents checks that the record of a release has the intents of orders given
+// TestReleaseWritesUnwrittenIntents checks that the record of a release has the intents of orders given
 // offline, as the next holder does not ask for them then.
-func TestAReleaseTellsTheUnwrittenIntents(t *testing.T) {
+func TestReleaseWritesUnwrittenIntents(t *testing.T) {
 	bubble(t, func(t *testing.T, m *fakeStore) {
 		l, stop := runOfflineHolder(t, m)
 		time.Sleep(time.Second)
--- a/pkg/lease/restored.go
+++ b/pkg/lease/restored.go
@@ -64,7 +64,8 @@
 	return l.epochWaitLeft(s) <= 0 && (s.free() || s.age() < -Expiry)
 }
 
-// epochWaitLeft returns how much longer only its holder may take the lease over a record of an earlier epoch.
+// epochWaitLeft returns how much longer only the previous holder may take the lease over a record of an
+// earlier epoch.
 func (l *Lease) epochWaitLeft(s Stored) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pkg/lease/restored_test.go
+++ b/pkg/lease/restored_test.go
@@ -139,15 +139,15 @@
 // store that looks expired or released, although its holder renewed the lease a moment before the restore.
 func TestONENobodyTakesARestoredRecordWhileItsHolderMayHold(t *testing.T) {
 	for name, change := range map[string]func(r *Record){
-		"expired":         func(r *Record) { r.Renewed -= 10 * Expiry.Milliseconds() },
-		"released":        func(r *Record) { r.Holder, r.Address = "", "" },
-		"of an own life":  func(r *Record) { r.Holder = "c/before" },
-		"the term before": func(r *Record) { r.Holder, r.Term = "dead", r.Term-1 },
+		"expired":                        func(r *Record) { r.Renewed -= 10 * Expiry.Milliseconds() },
+		"released":                       func(r *Record) { r.Holder, r.Address = "", "" },
+		"of an earlier incarnation of c": func(r *Record) { r.Holder = "c/before" },
+		"the term before":                func(r *Record) { r.Holder, r.Term = "dead", r.Term-1 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			bubble(t, func(t *testing.T, m *fakeStore) {
-				way := &partitionedStore{fakeStore: m}
-				a, stopA := runLease(t, &Lease{Store: way, Self: "a", Address: "a"})
+				link := &partitionedStore{fakeStore: m}
+				a, stopA := runLease(t, &Lease{Store: link, Self: "a", Address: "a"})
 				defer stopA()
 				time.Sleep(time.Second)
 				c, stopC := runLease(t, &Lease{Store: m, Self: "c/now", IncarnationPrefix: "c/", Address: "c"})
@@ -156,10 +156,10 @@
 				if !held(a) || held(c) {
 					t.Fatalf("a holds the lease: %t, c: %t", held(a), held(c))
 				}
-				copied := m.stored
-				change(&copied.Record)
-				way.setCut(true)
-				m.restore(copied)
+				backup := m.stored
+				change(&backup.Record)
+				link.setCut(true)
+				m.restore(backup)
 				both, took := false, time.Duration(0)
 				for began := time.Now(); time.Since(began) < 10*time.Second && !held(c); took = time.Since(began) {
 					c.Suspect()
@@ -187,12 +187,12 @@
 				a, stop := run(t, m, "a")
 				defer stop()
 				time.Sleep(time.Second)
-				copied := m.stored
+				backup := m.stored
 				time.Sleep(2 * time.Second)
 				if _, err := a.Commit(t.Context(), []Intent{{Server: "s", Need: "lost"}}); err != nil {
 					t.Fatal(err)
 				}
-				m.restore(copied)
+				m.restore(backup)
 				m.set(func() { m.started = m.started.Add(clockBack) })
 				time.Sleep(2 * Renewal)
 				term, is := a.Held()
@@ -233,11 +233,11 @@
 		a, stop := runLease(t, &Lease{Store: m, Self: "a", Address: "a", AllowOffline: func() bool { return true }})
 		defer stop()
 		time.Sleep(2 * time.Second)
-		copied := m.stored
+		backup := m.stored
 		m.set(func() { m.down = true })
 		time.Sleep(Hold + time.Second)
 		m.set(func() { m.down = false })
-		m.restore(copied)
+		m.restore(backup)
 		for began := time.Now(); time.Since(began) < 2*Expiry; time.Sleep(10 * time.Millisecond) {
 			record, _ := a.Current()
 			if record.Epoch == 0 {
@@ -263,11 +263,11 @@
 		a, stop := runLease(t, &Lease{Store: m, Self: "a", Address: "a", AllowOffline: func() bool { return true },
 			Quarantine: func([]quarantine.Aged) []quarantine.Aged { return known }})
 		defer stop()
-		copied := m.snapshot()
+		backup := m.snapshot()
 		time.Sleep(2 * time.Second)
 		m.set(func() { m.down = true })
 		time.Sleep(Hold + time.Second)
-		m.restore(copied)
+		m.restore(backup)
 		m.set(func() { m.down = false })
 		time.Sleep(Renewal + 2*pollInterval)
 		back := m.snapshot()
@@ -293,14 +293,14 @@
 // that the restored store lacks.
 func TestAWriteOverARestoredRecordGrantsNoLease(t *testing.T) {
 	bubble(t, func(t *testing.T, m *fakeStore) {
-		way := &partitionedStore{fakeStore: m}
-		a, stop := runLease(t, &Lease{Store: way, Self: "a", Address: "a"})
+		link := &partitionedStore{fakeStore: m}
+		a, stop := runLease(t, &Lease{Store: link, Self: "a", Address: "a"})
 		defer stop()
 		time.Sleep(2 * time.Second)
-		way.setCut(true)
+		link.setCut(true)
 		time.Sleep(Hold + time.Second)
 		m.restore(m.snapshot())
-		way.setCut(false)
+		link.setCut(false)
 		for began := time.Now(); time.Since(began) < Expiry; time.Sleep(10 * time.Millisecond) {
 			if held(a) {
 				t.Fatalf("the node holds the lease %v after the restore", time.Since(began))
@@ -317,24 +317,24 @@
 // with the site and has seen a holder, or got its announcement, must wait after the restore as after any
 // other.
 func TestONEAFirstStartEndsWithTheFirstHolder(t *testing.T) {
-	for name, announced := range map[string]bool{"it saw the record": false, "the holder told it": true} {
+	for name, announced := range map[string]bool{"it read the record": false, "the holder announced it": true} {
 		t.Run(name, func(t *testing.T) {
 			bubble(t, func(t *testing.T, m *fakeStore) {
-				way := &partitionedStore{fakeStore: m}
-				a, stopA := runLease(t, &Lease{Store: way, Self: "a", Address: "a", FirstStart: true})
+				link := &partitionedStore{fakeStore: m}
+				a, stopA := runLease(t, &Lease{Store: link, Self: "a", Address: "a", FirstStart: true})
 				defer stopA()
 				time.Sleep(2 * time.Second)
 				c := &Lease{Store: m, Self: "c", Address: "c", FirstStart: true}
 				if announced {
 					c.Announced(m.snapshot().Record)
-					way.setCut(true)
+					link.setCut(true)
 					m.restore(Stored{})
 				}
 				c, stopC := runLease(t, c)
 				defer stopC()
 				time.Sleep(time.Second)
 				if !announced {
-					way.setCut(true)
+					link.setCut(true)
 					m.restore(Stored{})
 				}
 				for began := time.Now(); time.Since(began) < Hold; time.Sleep(10 * time.Millisecond) {
--- a/pkg/lease/retry.go
+++ b/pkg/lease/retry.go
@@ -69,15 +69,15 @@
 }
 
 // observe adds the duration of one answered call.
-func (p *latency) observe(duration time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.mean += time.Duration(newestLatencyWeight * float64(duration-p.mean))
+func (l *latency) observe(duration time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.mean += time.Duration(newestLatencyWeight * float64(duration-l.mean))
 }
 
 // retryInterval returns the time after which an answer counts as lost.
-func (p *latency) retryInterval() time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return min(max(retryLatencyFactor*p.mean, minRetryInterval), maxRetryInterval)
+func (l *latency) retryInterval() time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return min(max(retryLatencyFactor*l.mean, minRetryInterval), maxRetryInterval)
 }
--- a/pkg/membership/machine.go
+++ b/pkg/membership/machine.go
@@ -30,7 +30,7 @@
 	relays    map[uint64]relay
 	suspects  map[api.NodeID]time.Time // time at which each is declared dead
 	rumours   rumours
-	toVerify  []api.NodeID             // to be probed because views of them differ
+	toVerify  []api.NodeID             // members to be probed because nodes see them in different states
 	differing map[api.NodeID]time.Time // time since which the table hash of a neighbour has differed
 	sweeps    sweeps
 
@@ -122,8 +122,8 @@
 	return m.compareTables(now, from, header.TableHash, packets)
 }
 
-// Leave tells the neighbours that this node stops as planned. Afterwards the machine only repeats this in the
-// next ticks.
+// Leave announces to the neighbours that this node stops as planned. Afterwards the machine only repeats the
+// announcement in the next ticks.
 func (m *Machine) Leave(now time.Time) []Packet {
 	m.refreshNeighbours(now)
 	left := m.self.update
--- a/pkg/membership/messages.go
+++ b/pkg/membership/messages.go
@@ -92,8 +92,7 @@
 	More    bool     // another page follows
 }
 
-// Messages returns a value of each message type, for registration with the
-// transport.
+// Messages returns a value of each message type, for registration with the transport.
 func Messages() []any {
 	return []any{Probe{}, Ack{}, ProbeRequest{}, RelayedAck{}, Gossip{}, SyncRequest{}, SyncPage{}}
 }
--- a/pkg/membership/probing.go
+++ b/pkg/membership/probing.go
@@ -10,7 +10,7 @@
 // Limits of the numbers of probes.
 const (
 	indirectProbers = 3  // members asked to probe one that does not answer
-	verifyPerTick   = 2  // members probed in a tick because views of them differ
+	verifyPerTick   = 2  // members probed in a tick because nodes see them in different states
 	maxRelays       = 64 // probes in progress on behalf of others
 	seedsPerJoin    = 3  // seeds asked at a time while no member is known
 )
@@ -118,7 +118,7 @@
 	return packets
 }
 
-// probe starts a probe of a node. Of the node only its address may be known.
+// probe starts a probe of a node, of which possibly only the address is known.
 func (m *Machine) probe(now time.Time, target api.NodeRef, noSuspicion bool) Packet {
 	m.sequence++
 	m.probes[m.sequence] = &probe{target: target, sent: now, noSuspicion: noSuspicion}
@@ -244,7 +244,7 @@
 	return merged
 }
 
-// addVerify schedules a probe of a member because views of it differ.
+// addVerify schedules a probe of a member that other nodes may see in another state.
 func (m *Machine) addVerify(id api.NodeID) {
 	if !slices.Contains(m.toVerify, id) {
 		m.toVerify = append(m.toVerify, id)
--- a/pkg/membership/rules_test.go
+++ b/pkg/membership/rules_test.go
@@ -84,9 +84,9 @@
 	}
 }
 
-// TestOldNewsOfADeathIsVerified has a node that was cut off send a table in which a running node is dead. The
+// TestOutdatedDeathIsVerified has a node that was cut off send a table in which a running node is dead. The
 // receiver must probe that node instead of believing it.
-func TestOldNewsOfADeathIsVerified(t *testing.T) {
+func TestOutdatedDeathIsVerified(t *testing.T) {
 	machine, other := newPair(StateAlive)
 	other.State = StateDead
 	from := testRef("c", 1)
--- a/pkg/migration/handover.go
+++ b/pkg/migration/handover.go
@@ -41,7 +41,7 @@
 	MayReturn   bool // the source still accepts requests
 	MayRunAgain bool // the request may run more than once
 
-	used        bool // the copy was used
+	used        bool // the copy has been used, so it cannot be used again
 	served      bool // the stream was served to its end
 	stopCalls   int  // number of Stop calls made
 	triedSource bool // the request was sent to the source again
--- a/pkg/migration/load_test.go
+++ b/pkg/migration/load_test.go
@@ -14,14 +14,14 @@
 	source  enginetest.Engine
 	targets [2]enginetest.Engine
 	streams []*leavingStream
-	copied  int // tokens
+	copied  int // number of tokens copied to the targets
 }
 
 // leavingStream is a stream at the leaving server and what its caller receives.
 type leavingStream struct {
 	Stream
-	run         *enginetest.Run // at the source
-	next        *enginetest.Run // at the target; nil: the stream stayed
+	run         *enginetest.Run // run at the source
+	next        *enginetest.Run // run at the target; nil: the stream stayed at the source
 	prompt      prompt.Prompt
 	lastTokenAt time.Duration // when the source generated its last token
 }
@@ -129,18 +129,18 @@
 }
 
 // results sums up what callers received.
-func (l *leavingServer) results() (lost, moved int, pause time.Duration, again int) {
+func (l *leavingServer) results() (lost, moved int, pause time.Duration, prefilledAgain int) {
 	for _, s := range l.streams {
 		switch {
 		case s.next != nil && s.next.End > 0:
 			moved++
 			pause = max(pause, s.next.FirstEvent-s.lastTokenAt)
-			again += s.next.Prompt.Tokens()
+			prefilledAgain += s.next.Prompt.Tokens()
 		case s.run.End == 0 || s.run.End > goneAt:
 			lost++
 		}
 	}
-	return lost, moved, pause, again
+	return lost, moved, pause, prefilledAgain
 }
 
 // TestWhatCallersGetOfAServerThatLeaves runs the same streams with reruns only, with moves by
@@ -150,17 +150,17 @@
 	reruns.rerunLate()
 	moving.moveStreams(false)
 	early.moveStreams(true)
-	lost, anew, pause, again := reruns.results()
-	t.Logf("reruns: %d of 12 lost, %d run again, longest pause %v, %d tokens prefilled again", lost, anew, pause, again)
-	lostNow, moved, pauseNow, againNow := moving.results()
-	t.Logf("moves: %d of 12 lost, %d moved, longest pause %v, %d tokens prefilled again", lostNow, moved, pauseNow, againNow)
+	lost, rerun, pause, prefilledAgain := reruns.results()
+	t.Logf("reruns: %d of 12 lost, %d run again, longest pause %v, %d tokens prefilled again", lost, rerun, pause, prefilledAgain)
+	lostNow, moved, pauseNow, prefilledAgainNow := moving.results()
+	t.Logf("moves: %d of 12 lost, %d moved, longest pause %v, %d tokens prefilled again", lostNow, moved, pauseNow, prefilledAgainNow)
 	lostEarly, movedEarly, pauseEarly, _ := early.results()
 	t.Logf("all at once: %d of 12 lost, %d moved, longest pause %v, %d tokens copied (by Plan %d)", lostEarly, movedEarly, pauseEarly, early.copied, moving.copied)
-	if lost == 0 || again == 0 {
+	if lost == 0 || prefilledAgain == 0 {
 		t.Fatal("all streams ended before the server was gone, so the load tests nothing")
 	}
 	const late = 300 * time.Millisecond // a longer pause counts as late
-	if lostNow > 0 || pauseNow > late || againNow > 0 || moving.copied > early.copied {
-		t.Errorf("with moves: %d streams lost, %d moved, longest pause %v, %d tokens prefilled again; want none lost, no late pause, nothing prefilled again and fewer tokens copied than at once", lostNow, moved, pauseNow, againNow)
+	if lostNow > 0 || pauseNow > late || prefilledAgainNow > 0 || moving.copied > early.copied {
+		t.Errorf("with moves: %d streams lost, %d moved, longest pause %v, %d tokens prefilled again; want none lost, no late pause, nothing prefilled again and fewer tokens copied than at once", lostNow, moved, pauseNow, prefilledAgainNow)
 	}
 }
--- a/pkg/migration/migration_test.go
+++ b/pkg/migration/migration_test.go
@@ -297,13 +297,13 @@
 // in one of a hundred.
 func TestBackupPolicies(t *testing.T) {
 	type sums struct{ copied, lost int }
-	ways := map[string]func(s Stream, r Risk) bool{
-		"never":  func(Stream, Risk) bool { return false },
-		"always": func(Stream, Risk) bool { return true },
-		"insure": func(s Stream, r Risk) bool { return WorthBackup(s, 200, r.CrashChance(3*time.Second)) },
+	policies := map[string]func(s Stream, r Risk) bool{
+		"never":          func(Stream, Risk) bool { return false },
+		"always":         func(Stream, Risk) bool { return true },
+		"by WorthBackup": func(s Stream, r Risk) bool { return WorthBackup(s, 200, r.CrashChance(3*time.Second)) },
 	}
 	got := map[string]sums{}
-	for name, way := range ways {
+	for name, policy := range policies {
 		random := rand.New(rand.NewPCG(3, 3))
 		var sum sums
 		for range 100_000 {
@@ -317,7 +317,7 @@
 			if random.Float64() < shows {
 				r.ConnectionBroke = true
 			}
-			insured := way(s, r)
+			insured := policy(s, r)
 			ended := random.Float64() < ends
 			switch {
 			case insured:
@@ -327,9 +327,9 @@
 			}
 		}
 		got[name] = sum
-		t.Logf("%-7s copied %9d tokens, lost %8d prefilled tokens", name, sum.copied, sum.lost)
+		t.Logf("%-14s copied %9d tokens, lost %8d prefilled tokens", name, sum.copied, sum.lost)
 	}
-	if n, a, i := got["never"], got["always"], got["insure"]; a.lost != 0 || n.copied != 0 ||
+	if n, a, i := got["never"], got["always"], got["by WorthBackup"]; a.lost != 0 || n.copied != 0 ||
 		i.lost > n.lost*2/5 || i.copied > a.copied/20 {
 		t.Errorf("never %+v, always %+v, by WorthBackup %+v; want under 2/5 of the losses of never and 1/20 of the copies of always", n, a, i)
 	}
--- a/pkg/migration/plan.go
+++ b/pkg/migration/plan.go
@@ -128,7 +128,7 @@
 	Busy           int  // known requests at the server
 	Slots          int  // requests that it runs at once; zero: unknown
 	SameZone       bool // the target is in the source's zone
-	RecentlyFailed bool // it failed a short time ago
+	RecentlyFailed bool // the target failed a short time ago
 }
 
 // assumedSlots is used for a server that does not report its slots.
--- a/pkg/node/loop.go
+++ b/pkg/node/loop.go
@@ -8,7 +8,7 @@
 	"martenwheel.dev/pkg/tree"
 )
 
-// eventBacklog is the most events that wait for the control loop.
+// eventBacklog is the maximum number of events that wait for the control loop.
 const eventBacklog = 1024
 
 // loop owns the control machine. Only its goroutine uses the machine.
--- a/pkg/node/metrics.go
+++ b/pkg/node/metrics.go
@@ -15,7 +15,7 @@
 // Descriptions of the metrics of the control machine and the transport.
 var (
 	treeRevisionMetric = newMetric("tree_revision", "Revision of the settings tree in force.")
-	treeSeenMetric     = newMetric("tree_revision_seen", "Highest revision that a node in reach has told of.")
+	treeSeenMetric     = newMetric("tree_revision_seen", "Highest revision known from any node.")
 	membersMetric      = newMetric("members", "Other nodes by their state as seen here.", "state")
 	ownedMetric        = newMetric("cell_owned", "1 if this node owns the cell, else 0.", "cell")
 	replicasMetric     = newMetric("cell_replicas", "Replicas of the cell by state, as this node knows them.", "cell", "state")
--- a/pkg/node/status.go
+++ b/pkg/node/status.go
@@ -20,7 +20,7 @@
 const (
 	inspectTimeout         = 2 * time.Second // for an answer of the control loop
 	revisionTimeout        = time.Second     // for the answers of all other nodes
-	maxConcurrentRevisions = 32              // most nodes that are asked concurrently
+	maxConcurrentRevisions = 32              // maximum number of nodes that are asked concurrently
 	newerThanAnything      = tree.Revision(math.MaxUint64)
 )
 
--- a/pkg/peer/codec.go
+++ b/pkg/peer/codec.go
@@ -26,7 +26,7 @@
 // their numbers are sent again in it.
 const freshFlag = 0x80
 
-// maxTypeName is the most bytes in the name of a message type.
+// maxTypeName is the maximum length of the name of a message type in bytes.
 const maxTypeName = 200
 
 // A frame is one unit on the wire, with the layout
@@ -49,7 +49,7 @@
 	unknown  bool    // this build does not know the message's type; message is nil
 }
 
-// maxKeptBuffer is the most capacity, in bytes, of a buffer that an encoder reuses. Most frames are smaller.
+// maxKeptBuffer is the maximum capacity, in bytes, of a buffer that an encoder reuses. Most frames are smaller.
 const maxKeptBuffer = 4 << 10
 
 // encoder encodes frames as one gob stream, in which each type is described once.
@@ -159,7 +159,7 @@
 // frameReader splits a byte stream into frames.
 type frameReader struct {
 	from    byteReader
-	limit   int // most bytes of a frame
+	limit   int // maximum length of a frame in bytes
 	scratch []byte
 }
 
--- a/pkg/peer/config.go
+++ b/pkg/peer/config.go
@@ -32,14 +32,14 @@
 	// connection survives: ping intervals at the client, idle timeouts at the
 	// server.
 	SilenceFactor = 2
-	// DefaultMaxConnections is the most connections that a server keeps.
+	// DefaultMaxConnections is the maximum number of connections of a server.
 	DefaultMaxConnections = 2048
-	// DefaultMaxLinks is the most connections that a client keeps. Messages to
+	// DefaultMaxLinks is the maximum number of connections of a client. Messages to
 	// further addresses are not sent.
 	DefaultMaxLinks = 1024
-	// DefaultQueueLength is the most messages that wait for one connection.
+	// DefaultQueueLength is the maximum number of messages that wait for one connection.
 	DefaultQueueLength = 256
-	// maxCallsPerConnection is the most calls of one peer that are handled
+	// maxCallsPerConnection is the maximum number of calls of one peer that are handled
 	// concurrently. At the limit, the server stops reading from the connection
 	// until one of them is answered.
 	maxCallsPerConnection = 64
@@ -71,9 +71,9 @@
 
 // ServiceLimits bounds the resources that connections use.
 type ServiceLimits struct {
-	Connections int // most connections that a server keeps
-	Links       int // most connections that a client keeps
-	QueueLength int // most messages that wait for one connection
+	Connections int // maximum number of connections of a server
+	Links       int // maximum number of connections of a client
+	QueueLength int // maximum number of messages that wait for one connection
 }
 
 // withDefaults fills in the zero fields.
--- a/pkg/peer/counters.go
+++ b/pkg/peer/counters.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// maxCountedPeers is the most peers that are counted individually. Further peers
+// maxCountedPeers is the maximum number of peers that are counted individually. Further peers
 // are counted together under OtherPeers.
 const maxCountedPeers = 2000
 
--- a/pkg/peer/link.go
+++ b/pkg/peer/link.go
@@ -200,7 +200,7 @@
 	writer      *bufio.Writer
 	ended       chan struct{} // closed when the reader has ended
 	received    atomic.Int64  // number of frames received
-	recentTypes recentTypes   // used by the writer and, once it has ended, by learn
+	recentTypes recentTypes   // used by the writer and, once it has ended, by learnUnknownType
 
 	mutex    sync.Mutex
 	lastCall uint64
@@ -267,7 +267,7 @@
 				return nil
 			}
 			if watch.tooLong(e.received.Load()) {
-				return errors.New("no sign of life")
+				return errors.New("nothing received for several ping intervals")
 			}
 			if err := e.writeFrame(frame{kind: framePing}); err != nil {
 				return err
--- a/pkg/policy/adaptive_test.go
+++ b/pkg/policy/adaptive_test.go
@@ -15,8 +15,8 @@
 	"martenwheel.dev/pkg/engine"
 )
 
-// wantedEvery returns a change that records periodic arrivals, the last one age ago.
-func wantedEvery(period, age time.Duration) func(*Model) {
+// requestedEvery returns a change that records periodic arrivals, the last one age ago.
+func requestedEvery(period, age time.Duration) func(*Model) {
 	return func(m *Model) {
 		m.Base = ""
 		for i := 40; i >= 0; i-- {
@@ -58,46 +58,46 @@
 		server []Server // one empty server if nil
 		want   []string
 	}{
-		{"a model wanted each minute stays", []Model{
-			testModel("a", with(wantedEvery(minute, 30*time.Second), loadedOn("s1", 30*time.Second))),
+		{"a model requested each minute stays", []Model{
+			testModel("a", with(requestedEvery(minute, 30*time.Second), loadedOn("s1", 30*time.Second))),
 		}, nil, nil},
-		{"one wanted each hour goes", []Model{
-			testModel("a", with(wantedEvery(time.Hour, minute), loadedOn("s1", minute))),
+		{"a model requested each hour is unloaded", []Model{
+			testModel("a", with(requestedEvery(time.Hour, minute), loadedOn("s1", minute))),
 		}, nil, []string{"unload a on s1"}},
-		{"one just used stays, whatever its weight", []Model{
-			testModel("a", with(wantedEvery(time.Hour, 0), loadedOn("s1", time.Second), weight(0))),
+		{"a model just used stays, whatever its weight", []Model{
+			testModel("a", with(requestedEvery(time.Hour, 0), loadedOn("s1", time.Second), weight(0))),
 		}, nil, nil},
 		{"only idle hours matter", []Model{
-			testModel("a", with(wantedEvery(minute, 10*time.Second), loadedOn("s1", 10*time.Second), weight(0))),
+			testModel("a", with(requestedEvery(minute, 10*time.Second), loadedOn("s1", 10*time.Second), weight(0))),
 		}, nil, []string{"unload a on s1"}},
 		{"only cold starts matter", []Model{
-			testModel("a", with(wantedEvery(20*minute, minute), loadedOn("s1", minute), weight(1), func(m *Model) {
+			testModel("a", with(requestedEvery(20*minute, minute), loadedOn("s1", minute), weight(1), func(m *Model) {
 				m.Settings.Prewarm = false
 			})),
 		}, nil, nil},
 		{"never longer than keepAlive", []Model{
-			testModel("a", with(wantedEvery(20*minute, 10*minute), loadedOn("s1", 10*minute), weight(1), func(m *Model) {
+			testModel("a", with(requestedEvery(20*minute, 10*minute), loadedOn("s1", 10*minute), weight(1), func(m *Model) {
 				m.Settings.Prewarm = false
 			})),
 		}, nil, []string{"unload a on s1"}},
 		{"prewarmed shortly before the timer", []Model{
-			testModel("a", with(wantedEvery(time.Hour, 58*minute), weight(0.9))),
+			testModel("a", with(requestedEvery(time.Hour, 58*minute), weight(0.9))),
 		}, []Server{cachedIn(testServer("s1", 80), engine.TierMemory, "a")}, []string{"load a on s1"}},
-		{"not long before it", []Model{
-			testModel("a", with(wantedEvery(time.Hour, 20*minute), weight(0.9))),
+		{"not prewarmed long before the timer", []Model{
+			testModel("a", with(requestedEvery(time.Hour, 20*minute), weight(0.9))),
 		}, []Server{cachedIn(testServer("s1", 80), engine.TierMemory, "a")}, nil},
-		{"not if a request waits for another load", []Model{
-			testModel("a", with(wantedEvery(time.Hour, 58*minute), weight(0.9))),
+		{"not prewarmed while a request waits for another load", []Model{
+			testModel("a", with(requestedEvery(time.Hour, 58*minute), weight(0.9))),
 			testModel("b", func(m *Model) { m.Demand = waiting(1, minute) }),
 		}, []Server{cachedIn(testServer("s1", 80), engine.TierMemory, "a")}, []string{"load b on s1 urgent"}},
-		{"not if something had to go", []Model{
-			testModel("a", with(wantedEvery(time.Hour, 58*minute), weight(0.9))),
-			testModel("b", with(wantedEvery(minute, 30*time.Second), loadedOn("s1", 30*time.Second))),
+		{"not prewarmed if a replica would have to be evicted", []Model{
+			testModel("a", with(requestedEvery(time.Hour, 58*minute), weight(0.9))),
+			testModel("b", with(requestedEvery(minute, 30*time.Second), loadedOn("s1", 30*time.Second))),
 		}, []Server{cachedIn(testServer("s1", 5), engine.TierMemory, "a")}, nil},
 		{"loaded once to be cached", []Model{
 			testModel("a", weight(0.9)),
 		}, nil, []string{"load a on s1"}},
-		{"cached where the memory is not crowded", []Model{
+		{"cached where memory is free", []Model{
 			testModel("a", weight(0.9)), testModel("b", nil), testModel("c", nil),
 		}, []Server{
 			func() Server {
@@ -108,13 +108,13 @@
 			testServer("s2", 80),
 		}, []string{"load a on s2"}},
 		{"the base stays for its adapter's requests", []Model{
-			testModel("a", with(wantedEvery(time.Hour, 30*minute), loadedOn("s1", minute))),
-			testModel("a:x", with(wantedEvery(minute, 30*time.Second), func(m *Model) { m.Base = "a" })),
+			testModel("a", with(requestedEvery(time.Hour, 30*minute), loadedOn("s1", minute))),
+			testModel("a:x", with(requestedEvery(minute, 30*time.Second), func(m *Model) { m.Base = "a" })),
 		}, nil, nil},
-		{"the one that is wanted later goes for a waiting one", []Model{
+		{"the model expected later is evicted for a waiting one", []Model{
 			testModel("a", func(m *Model) { m.Demand = waiting(1, minute); m.Settings.Priority = 9 }),
-			testModel("b", with(wantedEvery(minute, 20*time.Second), loadedOn("s1", 20*time.Second))),
-			testModel("c", with(wantedEvery(3*minute, 20*time.Second), loadedOn("s1", 20*time.Second))),
+			testModel("b", with(requestedEvery(minute, 20*time.Second), loadedOn("s1", 20*time.Second))),
+			testModel("c", with(requestedEvery(3*minute, 20*time.Second), loadedOn("s1", 20*time.Second))),
 		}, []Server{testServer("s1", 5)}, []string{"unload c on s1"}},
 	}
 	decider, _ := ByName(NameAdaptive)
--- a/pkg/policy/decide_test.go
+++ b/pkg/policy/decide_test.go
@@ -102,7 +102,7 @@
 			want: []string{"load a on s1 urgent"},
 		},
 		{
-			name:   "a model that waits for long takes what there is",
+			name:   "a model that has waited long does not wait for a better server",
 			policy: NameDemandFirst,
 			input: Input{
 				Models: []Model{testModel("a", func(m *Model) {
@@ -194,7 +194,7 @@
 			want: []string{"load a:x on s2 urgent"},
 		},
 		{
-			name:   "the least recently used goes when memory is short",
+			name:   "the least recently used model is evicted when memory is short",
 			policy: NameNeverUnload,
 			input: Input{
 				Models: []Model{
@@ -211,7 +211,7 @@
 			want: []string{"unload c on s1"},
 		},
 		{
-			name:   "room that is on its way is waited for",
+			name:   "a load waits for memory that is being freed",
 			policy: NameNeverUnload,
 			input: Input{
 				Models: []Model{
--- a/pkg/policy/demand.go
+++ b/pkg/policy/demand.go
@@ -13,7 +13,7 @@
 
 // Parameters of the value of a replica.
 const (
-	demandHorizon = 10 * time.Second // for which the use of a replica is estimated
+	demandHorizon = 10 * time.Second // time ahead for which the use of a replica is estimated
 	priorRate     = 0.03             // assumed arrivals per second of a model without known arrivals
 	surplusFactor = 0.05             // factor for the value of a replica beyond the demand and the spares
 	spareFactor   = 0.2              // factor for the value of a spare, kept for the loss of a server
--- a/pkg/policy/forecast.go
+++ b/pkg/policy/forecast.go
@@ -51,9 +51,9 @@
 // expectedBenefit is the highest expected benefit of keeping a model loaded, in accelerator
 // seconds: the cold starts that it saves minus the time that the model idles.
 type expectedBenefit struct {
-	hold     float64 // of a loaded model; below zero if unloading it now is better
-	loadNow  float64 // of a model that is not loaded, if a load starts now
-	loadLate float64 // of a model that is not loaded, if a load starts later
+	hold     float64 // benefit of keeping a loaded model; below zero if unloading it now is better
+	loadNow  float64 // benefit of starting to load a model now
+	loadLate float64 // benefit of starting to load a model later
 }
 
 // expectedBenefit returns the expected benefit of keeping a model loaded whose load takes the
--- a/pkg/policy/history.go
+++ b/pkg/policy/history.go
@@ -25,8 +25,8 @@
 	Last time.Time // the last arrival; zero if there was none
 	Gaps [gapBuckets]float32
 
-	tails  [gapBuckets]float32 // tails[i] is the sum of Gaps[i:] including the prior
-	summed bool                // whether tails is up to date
+	tails      [gapBuckets]float32 // tails[i] is the sum of Gaps[i:] including the prior
+	tailsValid bool                // whether tails is up to date
 }
 
 // Observe records arrivals at the time at. Times may repeat or go back a little,
@@ -49,7 +49,7 @@
 		h.Gaps[i] *= gapDecay
 	}
 	h.Gaps[bucketOf(gap)]++
-	h.sum()
+	h.updateTails()
 }
 
 // Merge adds the gaps of other to h. It does not change other.
@@ -60,16 +60,16 @@
 	if other.Last.After(h.Last) {
 		h.Last = other.Last
 	}
-	h.sum()
+	h.updateTails()
 }
 
 // priorWeight is the weight of the prior distribution, in which each bucket, and so
 // each order of magnitude of a gap, is equally likely.
 const priorWeight = 1.0
 
-// sum brings tails up to date.
-func (h *History) sum() {
-	h.tails, h.summed = h.tailSums(), true
+// updateTails brings tails up to date.
+func (h *History) updateTails() {
+	h.tails, h.tailsValid = h.tailSums(), true
 }
 
 // tailSums returns for each bucket the weight of the gaps in it and in all later ones.
@@ -87,7 +87,7 @@
 // long as its argument, up to a constant factor. It does not change h.
 func (h *History) survival() func(gap time.Duration) float64 {
 	tails := &h.tails
-	if !h.summed {
+	if !h.tailsValid {
 		fresh := h.tailSums()
 		tails = &fresh
 	}
--- a/pkg/policy/placement.go
+++ b/pkg/policy/placement.go
@@ -213,7 +213,7 @@
 
 // IdleWait is the expected time until some replica becomes idle on a server whose
 // replicas are all in use: the rest of the shortest of several streams of two seconds,
-// plus the time until the nodes report it. On lakeshore-ledger it was 1 to 3 s.
+// plus the time until the nodes report it. In practice it is 1 to 3 s.
 const IdleWait = 1500 * time.Millisecond
 
 // shouldDefer reports whether a server with a copy of the checkpoint that can't take
--- a/pkg/policy/plan.go
+++ b/pkg/policy/plan.go
@@ -46,8 +46,8 @@
 // adapterLinks holds the indexes of a model's base and adapters; -1 if there is none. The
 // adapters of a base form a linked list.
 type adapterLinks struct {
-	base         int // of an adapter
-	firstAdapter int // of a base
+	base         int // base of an adapter
+	firstAdapter int // first adapter of a base
 	nextAdapter  int // next adapter of the same base
 }
 
--- a/pkg/policy/reserve_test.go
+++ b/pkg/policy/reserve_test.go
@@ -35,12 +35,12 @@
 		want  []string
 	}{
 		{
-			"the model that room was made for goes first, whatever waits",
+			"the model that memory was freed for goes first, whatever waits",
 			Input{Models: []Model{waitingModel("a", 2), waitingModel("b", 0)}, Servers: []Server{reserved(30, "a")}},
 			[]string{"load a on s1 urgent"},
 		},
 		{
-			"while the room is on its way nothing else takes the server",
+			"while the memory is being freed nothing else takes the server",
 			Input{Models: []Model{waitingModel("a", 2), waitingModel("b", 0), unloading}, Servers: []Server{reserved(5, "a")}},
 			nil,
 		},
@@ -50,7 +50,7 @@
 			[]string{"load b on s1 urgent"},
 		},
 		{
-			"a reservation lapses when no room is on its way",
+			"a reservation lapses when no memory is being freed",
 			Input{
 				Models:  []Model{waitingModel("a", 2), waitingModel("b", 0)},
 				Servers: []Server{reserved(5, "a"), testServer("s2", 50)},
--- a/pkg/quarantine/compare_test.go
+++ b/pkg/quarantine/compare_test.go
@@ -11,14 +11,14 @@
 type exchange uint8
 
 const (
-	noExchange     exchange = iota // a node uses only what it saw itself
+	noExchange     exchange = iota // a node uses only the crashes under its own requests
 	withHeartbeats                 // nodes and holder exchange evidence in heartbeats, once a second
 	withNotices                    // a node notifies all nodes at once; heartbeats bring what the notices missed
 )
 
-func (w exchange) String() string { return []string{"each alone", "beats", "notices"}[w] }
+func (w exchange) String() string { return []string{"none", "heartbeats", "notices"}[w] }
 
-// fleet simulates the nodes of a site to which a crashing request comes again and again.
+// fleet simulates the nodes of a site at which a crashing request arrives again and again.
 type fleet struct {
 	exchange  exchange
 	tables    []*Table
@@ -51,9 +51,9 @@
 	var queue []event
 	add := func(at time.Time, do func(time.Time)) { queue = append(queue, event{at, do}) }
 	for i := range f.tables {
-		var beat func(at time.Time)
-		beat = func(at time.Time) { f.heartbeat(at, f.tables[i]); add(at.Add(heartbeatInterval), beat) }
-		add(testStart.Add(time.Duration(random.Int64N(int64(heartbeatInterval)))), beat)
+		var heartbeat func(at time.Time)
+		heartbeat = func(at time.Time) { f.heartbeat(at, f.tables[i]); add(at.Add(heartbeatInterval), heartbeat) }
+		add(testStart.Add(time.Duration(random.Int64N(int64(heartbeatInterval)))), heartbeat)
 	}
 	var arrive func(at time.Time)
 	arrive = func(at time.Time) {
@@ -126,9 +126,9 @@
 	})
 }
 
-// TestHowNodesLearn compares the ways of exchange on sites of the users' sizes, with and without a
+// TestWaysOfEvidenceExchange compares the ways of exchange on sites of the users' sizes, with and without a
 // loss of the holder. It logs the mean over several seeds, with the worst in parentheses.
-func TestHowNodesLearn(t *testing.T) {
+func TestWaysOfEvidenceExchange(t *testing.T) {
 	for _, nodes := range []int{9, 87, 195} {
 		for _, lost := range []bool{false, true} {
 			mean := make(map[exchange]float64)
--- a/pkg/quarantine/evidence.go
+++ b/pkg/quarantine/evidence.go
@@ -68,7 +68,7 @@
 	Server    string
 	Round     int    // round of the crash, if the server crashes
 	Doubts    int    // additional rounds by suspicions, see End
-	Again     bool   // an earlier run there is under suspicion: if it crashed the server, this run is on its successor
+	Again     bool   // an earlier run on the server is under suspicion: if it crashed the server, this run is on the next incarnation
 	RequestID string // of the caller's attempt, for logs
 	// ByRecord is set if only the server's record showed its crash, as with servers behind a proxy
 	// that never refuses connections.
@@ -78,7 +78,8 @@
 // Decisive reports whether a crash of the run's server puts the request in quarantine.
 func (r Run) Decisive() bool { return r.Round+r.Doubts >= quarantinedRounds }
 
-// repeatMark separates a server's ID from the round of a run on the server's successor.
+// repeatMark separates, in End.Server, the ID of a server from the round of a run. It marks the crash
+// of a later incarnation whose own ID is not known yet.
 const repeatMark = "#"
 
 // CrashEvidence returns the evidence that the run's server crashed under it.
@@ -90,7 +91,7 @@
 	return Evidence{Request: r.Request, Service: r.Service, Ends: []End{{Server: server, Round: r.Round, Doubts: r.Doubts}}}
 }
 
-// listedServer returns the ID under which the server of an End is listed.
+// listedServer returns the ID in End.Server without a repeatMark and a round.
 func listedServer(server string) string {
 	name, _, _ := strings.Cut(server, repeatMark)
 	return name
@@ -190,8 +191,8 @@
 	return changed
 }
 
-// crashed reports whether a server or its successor crashed under the request and the crash is not
-// cleared.
+// crashed reports whether a server, or a later incarnation that is known by the same ID, crashed under
+// the request and the crash is not cleared.
 func (e *Evidence) crashed(server string) bool {
 	return slices.ContainsFunc(e.Ends, func(end End) bool { return listedServer(end.Server) == listedServer(server) && !end.Cleared })
 }
--- a/pkg/quarantine/suspicion.go
+++ b/pkg/quarantine/suspicion.go
@@ -117,7 +117,7 @@
 // suspectedBySuspicion reports whether the request must run in trials because one server may have
 // crashed under it and another one did or may have. Both may be of the same round, since nodes
 // learn of a suspicion after the next run begins. Two on the same server are of successive runs,
-// the second one on the server's successor.
+// the second one on the server's next incarnation.
 func (e *entry) suspectedBySuspicion() bool {
 	return len(e.suspicions) > 0 && len(e.Servers())+len(e.suspicions) >= minSuspicions
 }
--- a/pkg/quarantine/suspicion_test.go
+++ b/pkg/quarantine/suspicion_test.go
@@ -8,8 +8,8 @@
 
 // beginRun returns a run that begins on a server.
 func beginRun(table *Table, f Fingerprint, now time.Time, server string) Run {
-	doubts, again := table.SuspectedRounds(now, f, server)
-	return Run{Request: f, Server: server, Round: table.NextRound(now, f), Doubts: doubts, Again: again}
+	rounds, again := table.SuspectedRounds(now, f, server)
+	return Run{Request: f, Server: server, Round: table.NextRound(now, f), Doubts: rounds, Again: again}
 }
 
 // suspectRuns runs the request on servers one after the other and has each connection break.
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -27,13 +27,13 @@
 // entry is a node's evidence on a request.
 type entry struct {
 	Evidence
-	updated    time.Time // time of the last new evidence
+	updated    time.Time // when the evidence last changed
 	suspicions []suspicion
 
-	// shared says whether other suspected requests share the entry's last round, as computed when
-	// the table's change counter was sharedAtChange.
-	shared         bool
-	sharedAtChange uint64
+	// lastRoundShared is the cached result of Table.lastRoundShared. It is valid while the table's change
+	// counter is sharedAtChange.
+	lastRoundShared bool
+	sharedAtChange  uint64
 }
 
 // Table is a node's knowledge of crashing requests. The zero value is ready. It is safe for
@@ -67,7 +67,7 @@
 // standing considers the crashes of all requests. The run of the third round is a trial, so that a
 // crash shows which request caused it. If another suspected request crashed the same server,
 // because a node did not know of trials yet, the crash shows nothing and the next trial decides. A
-// fourth round counts in any case: a request that crashes servers and is never alone takes one more
+// fourth round counts in any case: a request that crashes servers and is never alone crashes one more
 // server. Suspicions alone never make a request more than suspected. The caller holds mu.
 func (t *Table) standing(now time.Time, e *entry) Standing {
 	s := e.Standing()
@@ -85,10 +85,10 @@
 // request in quarantine may come thousands of times. The caller holds mu.
 func (t *Table) lastRoundShared(now time.Time, e *entry) bool {
 	if e.sharedAtChange != t.changes {
-		e.shared = t.computeLastRoundShared(now, e)
+		e.lastRoundShared = t.computeLastRoundShared(now, e)
 		e.sharedAtChange = t.changes
 	}
-	return e.shared
+	return e.lastRoundShared
 }
 
 // computeLastRoundShared is lastRoundShared without the cache. The caller holds mu.
@@ -151,7 +151,7 @@
 	return t.merge(now, now, other)
 }
 
-// merge adds evidence whose last news came at the given time. The caller holds mu.
+// merge adds evidence that last changed at the given time. The caller holds mu.
 func (t *Table) merge(now, at time.Time, other Evidence) Change {
 	e := t.liveEntry(now, other.Request)
 	if e == nil {
@@ -176,7 +176,7 @@
 	})
 }
 
-// Aged is evidence with the time since its last news.
+// Aged is evidence with the time since it last changed.
 type Aged struct {
 	Evidence
 	Age time.Duration
@@ -214,21 +214,21 @@
 	return t.clear(now, f)
 }
 
-// clear implements Clear. The caller holds mu.
+// clear clears a request's evidence and suspicions. The caller holds mu.
 func (t *Table) clear(now time.Time, f Fingerprint) Change {
 	e := t.liveEntry(now, f)
 	if e == nil {
 		return Change{}
 	}
 	return t.change(now, e, func() bool {
-		doubted := len(e.suspicions) > 0
+		hadSuspicions := len(e.suspicions) > 0
 		e.suspicions = nil
-		return e.clear() || doubted
+		return e.clear() || hadSuspicions
 	})
 }
 
-// change applies f to an entry and returns the effect. at is the time of the news. The caller holds
-// mu.
+// change applies f to an entry and returns the effect. at is the time of the new evidence. The caller
+// holds mu.
 func (t *Table) change(at time.Time, e *entry, f func() bool) Change {
 	c := Change{Before: t.standing(at, e)}
 	if c.New = f(); c.New {
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-func TestEvidenceLapses(t *testing.T) {
+func TestEvidenceExpires(t *testing.T) {
 	var table Table
 	table.Merge(testStart, crashEvidence(1, "i-1", "i-2", "i-3"))
 	if got := table.Standing(testStart.Add(Lifetime), request(1)); got != Quarantined {
@@ -96,20 +96,20 @@
 	properties := gopter.NewProperties(parameters)
 	properties.Property("order and repetition change nothing", prop.ForAll(func(reports []int, seed int64) bool {
 		random := rand.New(rand.NewPCG(uint64(seed), 1))
-		var news []Evidence
+		var evidence []Evidence
 		for _, w := range reports {
 			e := Run{Request: request(w % 3), Service: "s", Server: fmt.Sprintf("i-%d", w/3%20), Round: 1 + w%4}.CrashEvidence()
 			if w%7 == 0 {
 				e.clear()
 			}
-			news = append(news, e)
+			evidence = append(evidence, e)
 		}
 		var tables [2]Table
 		for i := range tables {
-			for _, k := range random.Perm(len(news)) {
-				tables[i].Merge(testStart, news[k])
+			for _, k := range random.Perm(len(evidence)) {
+				tables[i].Merge(testStart, evidence[k])
 				if random.IntN(3) == 0 {
-					tables[i].Merge(testStart, news[k])
+					tables[i].Merge(testStart, evidence[k])
 				}
 			}
 		}
@@ -148,9 +148,9 @@
 	}
 }
 
-// TestStoreOutlivesTheNodes: stored evidence reaches a node that knows nothing, keeps its age, and
+// TestStoredEvidenceOutlivesTheNodes: stored evidence reaches a node that knows nothing, keeps its age, and
 // is removed when it is cleared.
-func TestStoreOutlivesTheNodes(t *testing.T) {
+func TestStoredEvidenceOutlivesTheNodes(t *testing.T) {
 	var first, second Table
 	first.Merge(testStart, crashEvidence(1, "i-1", "i-2", "i-3"))
 	first.Merge(testStart, crashEvidence(2, "i-1"))
@@ -190,8 +190,8 @@
 		{"another at the same server", 0, false, "i-1", 2, false},
 		{"the same at another server", 0, false, "i-2", 1, false},
 		{"another at another server", 0, false, "i-2", 2, true},
-		{"after the end of another's turn", 0, true, "i-1", 3, true},
-		{"within the time of a turn", TrialTime - 1, false, "i-2", 4, false},
+		{"after the end of another's trial", 0, true, "i-1", 3, true},
+		{"within the time of a trial", TrialTime - 1, false, "i-2", 4, false},
 		{"after it", 1, false, "i-2", 4, true},
 	} {
 		now = now.Add(step.after)
@@ -200,15 +200,15 @@
 			trials.End("i-1", request(1))
 		}
 		if got := trials.Start(now, step.server, request(step.request)); got != step.want {
-			t.Errorf("%s: granted is %v", step.what, got)
+			t.Errorf("%s: the trial is granted: %v", step.what, got)
 		}
 	}
 }
 
-// TestARequestThatRanLatelyIsNotBlamed: many callers send a harmless request, so that it runs on
+// TestCompletedRequestIsNotBlamed: many callers send a harmless request, so that it runs on
 // all servers that another request crashes within a moment. A node that completed it clears it for
 // all.
-func TestARequestThatRanLatelyIsNotBlamed(t *testing.T) {
+func TestCompletedRequestIsNotBlamed(t *testing.T) {
 	var table Table
 	f := request(1)
 	table.Completed(testStart, f)
--- a/pkg/quota/compare_test.go
+++ b/pkg/quota/compare_test.go
@@ -75,9 +75,9 @@
 		if l.lostAt > 0 && passed == backAt {
 			s.newHolder(now)
 		}
-		away := l.lostAt > 0 && passed >= lostAt && passed < backAt
+		noHolder := l.lostAt > 0 && passed >= lostAt && passed < backAt
 		for node := step % 100; node < l.nodes; node += 100 {
-			if !away && !l.cut(node, passed) {
+			if !noHolder && !l.cut(node, passed) {
 				s.heartbeat(now, node)
 			}
 		}
@@ -136,10 +136,10 @@
 	// deputyLedger is the ledger in which the deputy decides for all nodes.
 	deputyLedger Ledger
 	reported     []bool // nodes that reported in this term
-	away         bool
+	noHolder     bool
 	always       bool
 	chance       func() float64
-	asked        int
+	asked        int // questions to the holder
 }
 
 func newReportingStrategy(t testing.TB, l load, always bool) *reportingStrategy {
@@ -157,7 +157,7 @@
 func (s *reportingStrategy) theTenant() *tenant.Tenant { return s.tenants.Named("a") }
 
 func (s *reportingStrategy) reaches(now time.Time, node int) bool {
-	return !s.away && !s.load.cut(node, now.Sub(time.Unix(1000, 0)))
+	return !s.noHolder && !s.load.cut(node, now.Sub(time.Unix(1000, 0)))
 }
 
 func (s *reportingStrategy) admit(now time.Time, node int, cost float64) bool {
@@ -219,7 +219,7 @@
 }
 
 func (s *reportingStrategy) loseHolder(_ time.Time, all bool) {
-	s.away = true
+	s.noHolder = true
 	if all {
 		s.restartNodes()
 	}
@@ -234,7 +234,7 @@
 }
 
 func (s *reportingStrategy) newHolder(now time.Time) {
-	s.away = false
+	s.noHolder = false
 	s.term++
 	clear(s.reported)
 	gap := holderGap
@@ -249,11 +249,11 @@
 // staticShares gives each node an equal part of half of the quota. The holder lends the other half,
 // as the budget for retries does.
 type staticShares struct {
-	load  load
-	nodes []bucket
-	lent  bucket
-	away  bool
-	asked int
+	load     load
+	nodes    []bucket
+	lent     bucket
+	noHolder bool
+	asked    int // questions to the holder
 }
 
 func newShares(l load) *staticShares {
@@ -282,13 +282,13 @@
 		return true
 	}
 	s.asked++
-	return !s.away && !s.load.cut(node, now.Sub(time.Unix(1000, 0))) && s.lent.take(now, cost)
+	return !s.noHolder && !s.load.cut(node, now.Sub(time.Unix(1000, 0))) && s.lent.take(now, cost)
 }
 
 func (s *staticShares) heartbeat(time.Time, int) {}
 
 func (s *staticShares) loseHolder(now time.Time, all bool) {
-	s.away = true
+	s.noHolder = true
 	if all {
 		for i := range s.nodes {
 			s.nodes[i].level, s.nodes[i].updated = 0, now
@@ -297,7 +297,7 @@
 }
 
 func (s *staticShares) newHolder(now time.Time) {
-	s.away = false
+	s.noHolder = false
 	s.lent.level, s.lent.updated = 0, now
 }
 
--- a/pkg/quota/division.go
+++ b/pkg/quota/division.go
@@ -40,10 +40,10 @@
 	lastRequest   time.Time // when the last request came
 	lastOversized time.Time // when a request last exceeded the reserve's capacity
 	lastOverdraw  time.Time // when such a request was last granted
-	lastRefusal   time.Time // when a request was last told to come back later, or refused for good
+	lastRefusal   time.Time // when a request was last refused, with or without a reservation
 	// Amounts and request count since the weights were last computed. The holder was asked for
-	// newAsked, in newRequests requests, both scaled up by what the nodes' sieves held back; nodes
-	// admitted newUnasked without asking.
+	// newAsked, in newRequests requests, both scaled up by the requests that nodes
+	// refused by their sieves; nodes admitted newUnasked without asking.
 	newAsked, newUnasked, newRequests float64
 	reservations                      reservations
 	// turnedAway holds the requests that were refused without a reservation, until the time at
@@ -330,8 +330,8 @@
 }
 
 // allot divides a rate among the routes. Each route first gets its demand up to its guaranteed
-// part. As far as the rate allows, each is then raised to the given part of its demand. The rest
-// goes by urgency. The last argument is the sum of all urgencies.
+// part. As far as the rate allows, each is then raised to the given part of its demand. What is left
+// is divided by urgency. The last argument is the sum of all urgencies.
 func (d *division) allot(rate, part, urgency float64) {
 	lacking := 0.0
 	left := rate
@@ -351,7 +351,7 @@
 	d.allotByUrgency(left)
 }
 
-// allotByUrgency divides the rest of a rate among the routes that want more.
+// allotByUrgency divides the remaining rate among the routes whose demand is not met yet.
 func (d *division) allotByUrgency(rate float64) {
 	for range d.list {
 		open := 0.0
--- a/pkg/quota/draw.go
+++ b/pkg/quota/draw.go
@@ -12,27 +12,27 @@
 	s.turnedAway.expire(now)
 	room := d.room(s, b.rate)
 	answer := Answer{Room: room, Sieve: Sieve{Part: s.askedPart, Salt: d.salt}}
-	if away := s.turnedAway.marks[r.Mark]; away != nil && now.Before(away.due) {
+	if refusedBefore := s.turnedAway.marks[r.Mark]; refusedBefore != nil && now.Before(refusedBefore.due) {
 		s.lastRefusal = now
-		answer.After = away.due.Sub(now) // a repeat that comes too early is not counted as new demand
+		answer.After = refusedBefore.due.Sub(now) // a repeat that comes too early is not counted as new demand
 		return answer
 	}
-	p := s.reservations.find(now, r.Mark, d.policy.noMarks)
-	if p == nil {
+	reserved := s.reservations.find(now, r.Mark, d.policy.noMarks)
+	if reserved == nil {
 		s.count(r)
 	}
 	switch {
-	case p != nil && now.Before(p.due.Add(-earlyTolerance)):
-		answer.Reserved, answer.After = true, p.due.Sub(now)
+	case reserved != nil && now.Before(reserved.due.Add(-earlyTolerance)):
+		answer.Reserved, answer.After = true, reserved.due.Sub(now)
 		return answer
-	case b.fits(now, s, r.Amount, room.Share, p):
-		s.reservations.remove(p)
+	case b.fits(now, s, r.Amount, room.Share, reserved):
+		s.reservations.remove(reserved)
 		s.level -= r.Amount
 		b.level -= r.Amount
 		answer.Granted = true
 		return answer
 	}
-	s.reservations.remove(p)
+	s.reservations.remove(reserved)
 	s.lastRefusal = now
 	wait := s.wait(r.Amount, room.Share)
 	if wait > r.Within || !s.passesLater(d.salt, r.Mark) || !s.reservations.add(now, wait, r.Mark, r.Amount) {
@@ -44,14 +44,14 @@
 	return answer
 }
 
-// passesLater reports whether a request will pass the nodes' sieves when it comes back, even if
-// they let fewer requests pass by then.
+// passesLater reports whether nodes will ask about a request (see Sieve) when it comes back, even if
+// they ask about fewer requests by then.
 func (s *share) passesLater(salt uint64, m Mark) bool {
 	return s.targetPart >= 1 || Sieve{Part: reservablePart * s.targetPart, Salt: salt}.passes(m)
 }
 
-// count records a request together with an estimate of those that the node's sieve held back for
-// it.
+// count records a request, scaled up by the requests of the route that its node refuses without
+// asking (see Sieve).
 func (s *share) count(r Request) {
 	part := r.Part
 	if !(part >= minAskedPart && part <= 1) {
@@ -62,11 +62,11 @@
 }
 
 // fits reports whether a route has capacity for an amount, including what the other routes can
-// spare. It borrows what the route lacks. p is the request's own reservation; without one, capacity
+// spare. It borrows what the route lacks. reserved is the request's own reservation; without one, capacity
 // reserved for others is not available. certain is the route's share per second.
-func (b *bucket) fits(now time.Time, s *share, amount, certain float64, p *reservation) bool {
+func (b *bucket) fits(now time.Time, s *share, amount, certain float64, reserved *reservation) bool {
 	lacks := amount - s.level
-	if p == nil {
+	if reserved == nil {
 		lacks += s.setAside(now, certain)
 	}
 	switch {
@@ -75,7 +75,7 @@
 	case lacks <= b.division.spare(s):
 		b.division.borrow(s, lacks)
 		return true
-	case p != nil && lacks <= maxReservationDebt*s.capacity:
+	case reserved != nil && lacks <= maxReservationDebt*s.capacity:
 		return true
 	}
 	return amount > s.capacity && b.division.mayOverdraw(now, s)
@@ -129,12 +129,12 @@
 	return max(time.Duration(seconds*float64(time.Second)), minWait)
 }
 
-// maxWait is the longest wait that a request is told.
+// maxWait is the longest wait that is announced to a caller.
 const maxWait = time.Hour
 
-// rate returns the inflow per second that a route may count on: its share (certain) and the given
-// part of what it gets beyond that. It counts only a part because the routes that lend it may claim
-// it back.
+// rate returns the inflow per second that a route may count on: its share (certain) and a part
+// (lent) of what it gets beyond that. It counts only a part because the routes that lend it may
+// claim it back.
 func (s *share) rate(certain, lent float64) float64 {
 	return reservedInflow * (certain + lent*max(s.given-certain, 0))
 }
--- a/pkg/quota/inherit.go
+++ b/pkg/quota/inherit.go
@@ -23,16 +23,16 @@
 
 // Start is the state from which a holder's term begins.
 type Start struct {
-	// Gap is how long the node had not heard from the last holder. Zero means that it never did.
+	// Gap is the time since the last report of a holder to this node. Zero means that there was none.
 	Gap time.Duration
-	// Scarce lists the tenants that were scarce according to the lease's record and to what this
-	// node was told.
+	// Scarce lists the tenants that were scarce according to the lease's record and to the last
+	// holder's reports to this node.
 	//
 	// The last holder may have granted them everything that flowed in since then. Their buckets
 	// therefore start empty, or in debt as far as the debt is not yet paid off, and what nodes
 	// admitted between the two holders counts in full. A tenant that sends five times its quota
 	// while holders change ran at most this part of what may run in 8 s: 1.22 if its bucket starts
-	// partly filled in each term, 1.08 with only what this node was told, 0.97 with only the
+	// partly filled in each term, 1.08 with only the reports to this node, 0.97 with only the
 	// record, and 0.87 with both (worst of some 630 runs each of TestQUOTAWhileHoldersChange and
 	// TestQUOTAInSchedules in package coordinator).
 	Scarce []Inherited
@@ -166,8 +166,9 @@
 // becomes scarce.
 const recordThreshold = 300 * time.Millisecond
 
-// RecordDue reports whether the lease's record must be updated at once, because nodes admitted so
-// much of a scarce tenant that the next holder would forgive too much.
+// RecordDue reports whether the lease's record must be updated at once: nodes admitted more
+// than recordThreshold of a scarce tenant since its last update, of which the next holder would forgive
+// too much.
 func (p *Pool) RecordDue() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/pkg/quota/inherit_test.go
+++ b/pkg/quota/inherit_test.go
@@ -23,16 +23,16 @@
 	}
 }
 
-// TestAnEarlierHolderTellsWhatItGranted: an earlier holder that was cut off keeps granting while
+// TestBalanceOfAnEarlierHolderCounts: an earlier holder that was cut off keeps granting while
 // the next one begins with a full bucket. Once it is reachable again, the next holder must grant
 // nothing until that amount has flowed in.
-func TestAnEarlierHolderTellsWhatItGranted(t *testing.T) {
+func TestBalanceOfAnEarlierHolderCounts(t *testing.T) {
 	var before, next Pool
 	before.Begin(termStart, 1, Start{Gap: time.Second})
 	drawAll(&before, termStart)
 	began := termStart.Add(time.Second)
 	next.Begin(began, 2, Start{Gap: time.Second})
-	drawAll(&before, began) // it does not know of the next holder yet
+	drawAll(&before, began) // the earlier holder does not know of the next one yet
 	left := before.FormerBalances(began, 2)
 	if len(left) != 1 || left[0].Tenant != "a" {
 		t.Fatalf("the earlier holder reports %+v, want one balance of tenant a", left)
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestAHolderGrantsThePartOfThoseWhoAskIt: a holder that is cut off from most nodes grants only the
+// TestAHolderGrantsThePartOfTheNodesThatAskIt: a holder that is cut off from most nodes grants only the
 // part of the nodes that ask it, since the others admit their parts without it.
-func TestAHolderGrantsThePartOfThoseWhoAskIt(t *testing.T) {
+func TestAHolderGrantsThePartOfTheNodesThatAskIt(t *testing.T) {
 	for _, c := range []struct{ part, want float64 }{{1, 1000}, {0.6, 1000}, {0.5, 500}, {0.1, 100}} {
 		p := Pool{AskingFraction: func() float64 { return c.part }}
 		p.Begin(termStart, 1, Start{Gap: time.Second})
@@ -112,9 +112,9 @@
 	}
 }
 
-// TestWhatWasLetInAloneCountsWhenTheHolderIsLostAgain: nodes that lose the holder several times
+// TestBurstWithoutHolderIsNotAdmittedAgain: nodes that lose the holder several times
 // within a quota window must not admit the full burst each time.
-func TestWhatWasLetInAloneCountsWhenTheHolderIsLostAgain(t *testing.T) {
+func TestBurstWithoutHolderIsNotAdmittedAgain(t *testing.T) {
 	var l Ledger
 	now := termStart
 	l.UpdateScarce(now, nil)
--- a/pkg/quota/ledger.go
+++ b/pkg/quota/ledger.go
@@ -138,8 +138,8 @@
 }
 
 // DecideFor is Decide for a request of a route. If the quota is divided, a refusal applies only to
-// requests of the same route that the holder should not be asked about. With the verdict Ask it
-// sets the request's Part.
+// requests of the same route that its sieve does not let pass. With the verdict Ask it sets the
+// request's Part.
 func (l *Ledger) DecideFor(now time.Time, t *tenant.Tenant, r *Request) (Verdict, time.Duration) {
 	if !Shared(t.Quota) {
 		return l.Decide(now, t, r.Amount)
--- a/pkg/quota/pool.go
+++ b/pkg/quota/pool.go
@@ -15,7 +15,7 @@
 // Where the costs of requests differ, a bucket is divided among the routes that they take (see
 // Shared). Begin with shares.go for requests, answers and constants, and with division.go for the
 // division itself. draw.go decides on a request, and reservations.go keeps capacity for requests
-// that were told when to come back.
+// whose callers were told when to come back.
 package quota
 
 import (
--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// TestPoolLetsADebtBePaidOffFirst: what nodes admitted without asking counts against the bucket.
-func TestPoolLetsADebtBePaidOffFirst(t *testing.T) {
+// TestDebtIsPaidOffFirst: what nodes admitted without asking counts against the bucket.
+func TestDebtIsPaidOffFirst(t *testing.T) {
 	tn := limited()
 	p, now := fullPool()
 	p.Spent(now, tn, 3000, false)
@@ -288,9 +288,9 @@
 	}
 }
 
-// TestNodesWithoutAHolderShareWhatTheyMayLetIn: all nodes together admit what they may, even if the
+// TestNodesWithoutAHolderShareTheAllowance: all nodes together admit what they may, even if the
 // share of one node is smaller than a request.
-func TestNodesWithoutAHolderShareWhatTheyMayLetIn(t *testing.T) {
+func TestNodesWithoutAHolderShareTheAllowance(t *testing.T) {
 	for _, nodes := range []int{3, 87, 1000} {
 		tn := limited()
 		const cost = 160.0
--- a/pkg/quota/reservations.go
+++ b/pkg/quota/reservations.go
@@ -9,15 +9,15 @@
 // Times and bounds of reservations.
 const (
 	// earlyTolerance is how early a request with a reservation may come back: callers round the
-	// time that they are told to milliseconds.
+	// announced time to milliseconds.
 	earlyTolerance = 2 * time.Millisecond
 	// lateTolerance is how long capacity stays reserved after the due time. It allows for the way
 	// to the caller and back, and for a busy node.
 	lateTolerance = 150 * time.Millisecond
-	// minWait is the shortest wait that a caller is told, so that it does not come back before a
+	// minWait is the shortest wait that is announced to a caller, so that it does not come back before a
 	// holder can have capacity.
 	minWait = 20 * time.Millisecond
-	// noReturnMargin is how far the wait that is told to a caller that should not come back exceeds
+	// noReturnMargin is how far the wait announced to a caller that should not come back exceeds
 	// the longest wait after which it would. maxReturnWait bounds the latter.
 	noReturnMargin = 50 * time.Millisecond
 	maxReturnWait  = time.Minute
@@ -118,8 +118,8 @@
 }
 
 // Sieve selects, by mark, the part of a route's requests that nodes ask the holder about. While a
-// route gets only a small part of its demand, most requests could only be told that there is no
-// capacity. The requests that pass do so again at any node when they come back. So a node that
+// route gets only a small part of its demand, the holder could only refuse most
+// requests. The requests that pass do so again at any node when they come back. So a node that
 // refuses the others without asking refuses none that has a reservation.
 type Sieve struct {
 	Part float64 // part of the requests that pass; 1 for all
--- a/pkg/quota/shares.go
+++ b/pkg/quota/shares.go
@@ -12,8 +12,8 @@
 	Route    string
 	Priority int // of the route; 0 is the most urgent
 	Amount   float64
-	// Mark identifies the request when it comes again. Zero means that it can't be told from
-	// others.
+	// Mark identifies the request when it comes again. Zero means that it can't be
+	// distinguished from others.
 	Mark Mark
 	// Within is the longest wait after which the request is still served in time. Returns is the
 	// longest wait after which its caller comes back at all.
@@ -106,8 +106,8 @@
 	// ampleFactor is the least weight of a route that is served in full, as a multiple of its
 	// demand, so that its reserve fills.
 	ampleFactor = 1.25
-	// maxRoutes is the number of routes of a tenant that are told apart. Any further ones have one
-	// share together.
+	// maxRoutes is the number of routes of a tenant that have shares of their own. All further
+	// ones have one share together.
 	maxRoutes = 32
 	// routeIdle is how long a route must have had no requests before its share may go to another.
 	routeIdle = time.Minute
--- a/pkg/quota/shares_sim_test.go
+++ b/pkg/quota/shares_sim_test.go
@@ -16,7 +16,7 @@
 	priority         int
 	usual            float64 // requests per second in normal load
 	cost             float64
-	target, deadline time.Duration
+	target, deadline time.Duration // until an answer is late, and until the caller gives up
 }
 
 // requestKinds are the requests of a tenant whose costs differ by a factor of fifty.
@@ -48,7 +48,7 @@
 	mark     Mark
 	returned bool // whether it has come back
 	reserved bool // whether it got a reservation
-	repeats  bool // repeats every 10 ms, whatever it is told
+	repeats  bool // repeats every 10 ms, whatever wait is announced
 }
 
 // kindResult counts what happened to the callers of one kind.
@@ -91,19 +91,19 @@
 	ledgers     []Ledger
 	deputy      Ledger
 	term        uint64
-	reported    []bool
-	shared      bool
-	byTenant    bool // a refusal makes the node refuse all requests of the tenant
-	scarce      bool
-	noReport    bool // nodes report in heartbeats only
-	factor      float64
+	reported    []bool  // nodes that reported in this term
+	shared      bool    // whether the quota is divided among routes
+	byTenant    bool    // a refusal makes the node refuse all requests of the tenant
+	scarce      bool    // whether the tenant was scarce at the last heartbeat
+	noReport    bool    // nodes report in heartbeats only
+	factor      float64 // multiple of the normal load in the hot period
 	usual       float64 // factor on the normal load of each kind
 	repeats     float64 // part of the callers that repeat every 10 ms
 	lostFrom    time.Duration
 	lostTo      time.Duration
 	allLost     bool    // nodes are lost together with the holder
 	lostAnswers float64 // part of the holder's answers that are lost
-	asked       int
+	asked       int     // questions to the holder
 	random      *rand.Rand
 	quota       float64
 }
@@ -118,7 +118,7 @@
 
 func (f *fleetSim) theTenant() *tenant.Tenant { return f.tenants.Named("a") }
 
-func (f *fleetSim) away(passed time.Duration) bool {
+func (f *fleetSim) noHolder(passed time.Duration) bool {
 	return f.lostTo > 0 && passed >= f.lostFrom && passed < f.lostTo
 }
 
@@ -145,7 +145,7 @@
 		return verdict == Admit, Answer{After: after}
 	}
 	f.asked++
-	if f.away(passed) {
+	if f.noHolder(passed) {
 		return f.decideAlone(now, l, r)
 	}
 	f.report(now, node)
@@ -231,7 +231,7 @@
 	f.pool.Begin(now, f.term, Start{Gap: gap})
 }
 
-// run simulates the load.
+// run simulates the load and returns what the callers got.
 func (f *fleetSim) run(seed uint64) simResult {
 	f.random = rand.New(rand.NewPCG(seed, 9))
 	f.seed()
@@ -254,7 +254,7 @@
 		if f.lostTo > 0 && passed == f.lostTo {
 			f.newHolder(now)
 		}
-		for node := step % 1000; node < len(f.ledgers) && !f.away(passed); node += 1000 {
+		for node := step % 1000; node < len(f.ledgers) && !f.noHolder(passed); node += 1000 {
 			f.heartbeat(now, node)
 		}
 		if passed == hotFrom {
@@ -384,14 +384,14 @@
 			policy policy
 			set    func(*fleetSim)
 		}{
-			{"lottery", policy{}, func(f *fleetSim) { f.shared = false }},
+			{"undivided", policy{}, func(f *fleetSim) { f.shared = false }},
 			{"equal", policy{weight: ratio(1), noFloor: true}, nil},
 			{"strict", policy{weight: ratio(1000), noFloor: true}, nil},
 			{"ratio 2", policy{weight: ratio(2), noFloor: true}, nil},
 			{"in use", policy{}, nil},
-			{"by count", policy{noMarks: true}, nil},
+			{"no marks", policy{noMarks: true}, nil},
 			{"no sieve", policy{noSieve: true}, nil},
-			{"by beats", policy{}, func(f *fleetSim) { f.noReport = true }},
+			{"no report", policy{}, func(f *fleetSim) { f.noReport = true }},
 			{"by tenant", policy{}, func(f *fleetSim) { f.byTenant = true }},
 		} {
 			f := newFleetSim(t, nodes, way.policy)
--- a/pkg/quota/shares_test.go
+++ b/pkg/quota/shares_test.go
@@ -59,11 +59,11 @@
 	}
 	strict := func(priority int) float64 { return math.Pow(1000, -float64(priority)) }
 	for name, f := range map[string]*fleetSim{
-		"not divided":         {shared: false},
-		"strict priority":     {shared: true, pool: &Pool{policy: policy{weight: strict, noFloor: true}}},
-		"no floor":            {shared: true, pool: &Pool{policy: policy{noFloor: true}}},
-		"whoever comes":       {shared: true, pool: &Pool{policy: policy{noMarks: true}}},
-		"refusals by tenants": {shared: true, byTenant: true},
+		"not divided":        {shared: false},
+		"strict priority":    {shared: true, pool: &Pool{policy: policy{weight: strict, noFloor: true}}},
+		"no floor":           {shared: true, pool: &Pool{policy: policy{noFloor: true}}},
+		"no marks":           {shared: true, pool: &Pool{policy: policy{noMarks: true}}},
+		"refusals by tenant": {shared: true, byTenant: true},
 	} {
 		way := newFleetSim(t, 78, policy{})
 		if f.pool != nil {
@@ -96,9 +96,9 @@
 	}
 }
 
-// TestWhoRepeatsAtOnceGainsNothing: callers that repeat every 10 ms must not be served in time more
+// TestRepeatingAtOnceGainsNothing: callers that repeat every 10 ms must not be served in time more
 // often than the others, and the others must lose nothing by them.
-func TestWhoRepeatsAtOnceGainsNothing(t *testing.T) {
+func TestRepeatingAtOnceGainsNothing(t *testing.T) {
 	f := newFleetSim(t, 78, policy{})
 	without := f.run(1)
 	f = newFleetSim(t, 78, policy{})
@@ -111,10 +111,10 @@
 	t.Logf("served in time: %.3f of the repeating callers, %.3f of the others, %.3f without repeating callers", gained,
 		part(others.inTime, others.asked), part(before.inTime, before.asked))
 	if gained > part(others.inTime, others.asked)+0.05 {
-		t.Error("repeating callers gain by it")
+		t.Error("repeating callers are served in time more often than the others")
 	}
 	if part(others.served, others.asked) < part(before.served, before.asked)-0.05 {
-		t.Error("other callers lose by the repeating ones")
+		t.Error("fewer of the other callers are served than without repeating callers")
 	}
 	if part(others.reservedRefused, others.reserved) > 0.02 {
 		t.Errorf("%d of %d reservations were not honoured", others.reservedRefused, others.reserved)
@@ -242,7 +242,7 @@
 	}
 }
 
-// scarceRoute returns a pool whose route "a" has spent all that it has and can borrow, and the
+// scarceRoute returns a pool whose route "a" has spent its reserve and all that it can borrow, and the
 // current time.
 func scarceRoute(tn *tenant.Tenant) (*Pool, time.Time) {
 	p, now := fullPool()
@@ -282,15 +282,15 @@
 	}
 }
 
-// TestRefusedCallersAreToldATimeBeyondTheirReturn: a caller that can't get capacity in time is told
+// TestRefusedCallersGetAWaitBeyondTheirReturn: a caller that can't get capacity in time is told
 // a wait after which it won't come back.
-func TestRefusedCallersAreToldATimeBeyondTheirReturn(t *testing.T) {
+func TestRefusedCallersGetAWaitBeyondTheirReturn(t *testing.T) {
 	tn := limited()
 	p, now := scarceRoute(tn)
 	for mark := range uint64(300) {
 		answer := p.DrawFor(now, tn, Request{Route: "a", Amount: 100, Mark: markOf(mark + 1), Within: time.Second, Returns: 3 * time.Second})
 		if answer.Granted || answer.Reserved != (answer.After <= time.Second) || !answer.Reserved && answer.After <= 3*time.Second {
-			t.Fatalf("request %d: %+v", mark, answer)
+			t.Fatalf("request %d gets %+v, want a reservation within a second or a wait of more than 3s", mark, answer)
 		}
 	}
 	route := p.buckets["a"].division.routes["a"]
--- a/pkg/relay/access_test.go
+++ b/pkg/relay/access_test.go
@@ -72,9 +72,9 @@
 	}
 }
 
-// TestUNASKEDWhatGoesOnToServers checks that servers get the tenant's name whatever the caller
+// TestUNASKEDHeadersForwardedToServers checks that servers get the tenant's name whatever the caller
 // sent, and neither the key nor headers that only the system sets.
-func TestUNASKEDWhatGoesOnToServers(t *testing.T) {
+func TestUNASKEDHeadersForwardedToServers(t *testing.T) {
 	var head http.Header
 	s := newSite(t, route.Route{Kind: route.Safe}, func(w http.ResponseWriter, r *http.Request, got seen) {
 		head = r.Header.Clone()
@@ -105,10 +105,10 @@
 	}
 }
 
-// TestCONFIGNobodyIsLetInByAnOldTable checks that a node whose key table is too old refuses
+// TestCONFIGOldKeyTableAdmitsNobody checks that a node whose key table is too old refuses
 // requests with a retry time, as it can't know whether a key was revoked, and serves again with a
 // recent table.
-func TestCONFIGNobodyIsLetInByAnOldTable(t *testing.T) {
+func TestCONFIGOldKeyTableAdmitsNobody(t *testing.T) {
 	s := newSite(t, route.Route{Kind: route.Safe}, sealed(http.StatusOK, "fine"))
 	s.withTenants(&tenant.Tenant{Name: "a", Keys: []string{"key-a"}})
 	var age time.Duration
@@ -134,7 +134,7 @@
 		}
 		after, _ := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 		if after != c.after.Seconds() {
-			t.Errorf("age %v, known %t: told to come back after %g s, want %v", c.age, c.known, after, c.after)
+			t.Errorf("age %v, known %t: the retry time is %g s, want %v", c.age, c.known, after, c.after)
 		}
 	}
 }
--- a/pkg/relay/affinity.go
+++ b/pkg/relay/affinity.go
@@ -149,6 +149,6 @@
 	perEvent := c.record.timePerEvent()
 	c.relay.Servers.RecordPace(m.ID, c.need.Model, perEvent)
 	if c.affinityReq.Lane() != affinity.AnyLane {
-		c.relay.Servers.Report(backend.Pace{Server: m.ID, Model: c.need.Model, PerEvent: perEvent})
+		c.relay.Servers.QueuePace(backend.Pace{Server: m.ID, Model: c.need.Model, PerEvent: perEvent})
 	}
 }
--- a/pkg/relay/affinity_load_test.go
+++ b/pkg/relay/affinity_load_test.go
@@ -255,9 +255,9 @@
 	}
 }
 
-// TestEachPreferenceIsWorthIt checks that without lanes more questions are late, and that without
-// affinity more drafts are late and more tokens are read again.
-func TestEachPreferenceIsWorthIt(t *testing.T) {
+// TestEachPreferenceImprovesService checks that without lanes more questions are late, and that
+// without affinity more drafts are late and more tokens are read again.
+func TestEachPreferenceImprovesService(t *testing.T) {
 	l := longPrompts()
 	both, noLanes, noParts := l.runSeeds(fixedStrategy(relayChoice)), l.runSeeds(fixedStrategy(without(noLanes))), l.runSeeds(fixedStrategy(without(noParts)))
 	const draft, question = 0, 2
--- a/pkg/relay/affinity_test.go
+++ b/pkg/relay/affinity_test.go
@@ -169,12 +169,12 @@
 		c.record.eventsSent(time.Unix(100, 0).Add(time.Duration(i)*30*time.Millisecond), 10, 1)
 	}
 	c.reportSpeed(m)
-	if got := c.relay.Servers.TakeReports(9); len(got) != 1 || got[0].Server != m.ID || got[0].Model != "m" || got[0].PerEvent <= 0 {
+	if got := c.relay.Servers.TakeQueuedPaces(9); len(got) != 1 || got[0].Server != m.ID || got[0].Model != "m" || got[0].PerEvent <= 0 {
 		t.Errorf("reported %+v, want one speed of the server", got)
 	}
 	c.affinityReq = affinity.Request{}
 	c.reportSpeed(m)
-	if got := c.relay.Servers.TakeReports(9); len(got) != 0 {
+	if got := c.relay.Servers.TakeQueuedPaces(9); len(got) != 0 {
 		t.Errorf("reported %+v, want nothing", got)
 	}
 }
--- a/pkg/relay/attempt.go
+++ b/pkg/relay/attempt.go
@@ -32,8 +32,8 @@
 // serve sends the request to servers until one serves it or no further attempt is allowed.
 func (c *call) serve(ctx context.Context) {
 	c.relay.budgets.arrive(c.relay.Budget, c.relay.BudgetStart, c.arrived, c.service)
-	if c.need.Model != "" && c.relay.Arrived != nil {
-		c.relay.Arrived(c.service, c.need, c.priority())
+	if c.need.Model != "" && c.relay.RequestArrived != nil {
+		c.relay.RequestArrived(c.service, c.need, c.priority())
 	}
 	for {
 		m := c.acquire(ctx)
@@ -63,7 +63,7 @@
 		}
 		tryAnother := c.attemptAndEndTrial(ctx, m)
 		if before > 0 && c.sends == before {
-			c.relay.budgets.giveBack(c.relay.Budget, c.relay.Time.Now(), c.service)
+			c.relay.budgets.returnRetry(c.relay.Budget, c.relay.Time.Now(), c.service)
 		}
 		if !tryAnother {
 			return
@@ -298,7 +298,7 @@
 	if c.runs < max(c.route.MaxAttempts, 1) {
 		return true
 	}
-	if !c.record.lastEnded() || c.sends >= maxSends {
+	if !c.record.lastServerCrashed() || c.sends >= maxSends {
 		return false
 	}
 	c.runs--
--- a/pkg/relay/backoff.go
+++ b/pkg/relay/backoff.go
@@ -13,7 +13,8 @@
 var errBackoff = errors.New("relay: the server asked for rest")
 
 // firstBackoffEnd returns the back-off that ends first among the servers that could otherwise serve
-// the request, or nil if there are none. Hopeful ones precede others.
+// the request, or nil if there are none. Servers that are likely to accept requests afterwards
+// precede others.
 func (c *call) firstBackoffEnd(now time.Time) *backend.ExpectedReturn {
 	var first *backend.ExpectedReturn
 	for _, m := range c.relay.Servers.Snapshot().Service(c.service) {
@@ -36,7 +37,7 @@
 }
 
 // decideDuringBackoff decides about a request for which all suitable servers are in back-off.
-// readyIn is when another server is expected to be ready, zero if none is.
+// readyIn is the time until another server is expected to be ready, zero if none is.
 func (c *call) decideDuringBackoff(backoff *backend.ExpectedReturn, readyIn time.Duration) holdDecision {
 	if c.headSent { // the caller would have to start over
 		return holdDecision{hold: true}
@@ -44,12 +45,12 @@
 	if backoff.Likely && (readyIn <= 0 || backoff.In < readyIn) {
 		readyIn = backoff.In
 	}
-	next := holdDecision{after: backoff.In + readyMargin}
+	decision := holdDecision{after: backoff.In + readyMargin}
 	if readyIn > 0 {
-		next = c.estimateWait(readyIn).decide()
+		decision = c.estimateWait(readyIn).decide()
 	}
-	next.after += rand.N(returnSpread)
-	return next
+	decision.after += rand.N(returnSpread)
+	return decision
 }
 
 // returnSpread is the time over which callers return after a back-off. Otherwise all of them would
--- a/pkg/relay/backup.go
+++ b/pkg/relay/backup.go
@@ -11,8 +11,8 @@
 
 // Times for estimating the risk that a server crashes.
 const (
-	serverEndsWindow       = 30 * time.Second // crashes of servers count this long
-	connectionBreaksWindow = 10 * time.Second // a broken connection counts against its server this long
+	crashWindow            = 30 * time.Second // crashes of servers count this long
+	brokenConnectionWindow = 10 * time.Second // a broken connection counts against its server this long
 	// typicalStreamTime is the assumed duration of a stream, since nothing is known when it begins.
 	typicalStreamTime = 3 * time.Second
 )
@@ -27,8 +27,8 @@
 	now := c.relay.Time.Now()
 	servers := len(c.relay.Servers.Snapshot().Service(c.service))
 	risk := c.relay.streams.crashRisk(m.ID, now, servers)
-	s := migration.Stream{Tokens: c.prompt.Tokens(), Restartable: c.route.Repeatable()}
-	if !migration.WorthBackup(s, c.prompt.ExpectedOutput(), risk.CrashChance(typicalStreamTime)) {
+	stream := migration.Stream{Tokens: c.prompt.Tokens(), Restartable: c.route.Repeatable()}
+	if !migration.WorthBackup(stream, c.prompt.ExpectedOutput(), risk.CrashChance(typicalStreamTime)) {
 		return nil
 	}
 	return c.reserveBackup(m)
@@ -68,18 +68,18 @@
 	}
 }
 
-// serverEnded records that a server crashed.
-func (t *streamTable) serverEnded(server string, now time.Time) {
+// serverCrashed records that a server crashed.
+func (t *streamTable) serverCrashed(server string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.serverEnds = recordRecent(t.serverEnds, server, now, serverEndsWindow)
+	t.serverCrashes = recordRecent(t.serverCrashes, server, now, crashWindow)
 }
 
 // connectionBroke records that a connection to a server broke during a request.
 func (t *streamTable) connectionBroke(server string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.connectionBreaks = recordRecent(t.connectionBreaks, server, now, connectionBreaksWindow)
+	t.brokenConnections = recordRecent(t.brokenConnections, server, now, brokenConnectionWindow)
 }
 
 // recordRecent records the time for a server and removes entries older than span.
@@ -97,13 +97,13 @@
 func (t *streamTable) crashRisk(server string, now time.Time, servers int) migration.Risk {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := migration.Risk{Servers: servers, Window: serverEndsWindow}
-	for _, at := range t.serverEnds {
-		if now.Sub(at) <= serverEndsWindow {
+	r := migration.Risk{Servers: servers, Window: crashWindow}
+	for _, at := range t.serverCrashes {
+		if now.Sub(at) <= crashWindow {
 			r.Crashes++
 		}
 	}
-	at, broke := t.connectionBreaks[server]
-	r.ConnectionBroke = broke && now.Sub(at) <= connectionBreaksWindow
+	at, broke := t.brokenConnections[server]
+	r.ConnectionBroke = broke && now.Sub(at) <= brokenConnectionWindow
 	return r
 }
--- a/pkg/relay/budget.go
+++ b/pkg/relay/budget.go
@@ -119,11 +119,11 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.of(service)
-	s.slots[s.slot(cfg, now)].slack++ // returned by giveBack if the retry reaches no server
+	s.slots[s.slot(cfg, now)].slack++ // returned by returnRetry if the retry reaches no server
 }
 
-// giveBack returns a retry that reached no server.
-func (b *budgets) giveBack(cfg BudgetConfig, now time.Time, service string) {
+// returnRetry returns a retry that reached no server.
+func (b *budgets) returnRetry(cfg BudgetConfig, now time.Time, service string) {
 	if cfg.Window <= 0 {
 		return
 	}
--- a/pkg/relay/budget_test.go
+++ b/pkg/relay/budget_test.go
@@ -149,7 +149,7 @@
 	parameters.MinSuccessfulTests = 40
 	parameters.Rng.Seed(7)
 	properties := gopter.NewProperties(parameters)
-	properties.Property("repeats of all lives keep to the bound", prop.ForAll(
+	properties.Property("retries of all incarnations keep to the limit", prop.ForAll(
 		func(seed uint64, size int, kills float64) bool {
 			random := rand.New(rand.NewPCG(seed, 1))
 			f := newBudgetFleet(size)
@@ -190,8 +190,8 @@
 	}
 }
 
-// TestBudgetGivesBack checks that a retry that reached no server can be used again.
-func TestBudgetGivesBack(t *testing.T) {
+// TestBudgetReturnsUnusedRetries checks that a retry that reached no server can be used again.
+func TestBudgetReturnsUnusedRetries(t *testing.T) {
 	f := newBudgetFleet(1)
 	n := f.nodes[0]
 	f.now = f.now.Add(f.cfg.FillTime())
@@ -204,7 +204,7 @@
 		t.Errorf("%d retries, want %d", spent, want)
 	}
 	for range 3 {
-		n.budgets.giveBack(f.cfg, f.now, "s")
+		n.budgets.returnRetry(f.cfg, f.now, "s")
 	}
 	for i := range 4 {
 		if got := n.budgets.takeRetry(f.cfg, f.now, "s", 1); got != (i < 3) {
@@ -220,8 +220,8 @@
 	asked atomic.Int32
 }
 
-// Borrow implements Lender.
-func (l *lender) Borrow(context.Context, string) (bool, error) {
+// BorrowRetry implements Lender.
+func (l *lender) BorrowRetry(context.Context, string) (bool, error) {
 	l.asked.Add(1)
 	l.left--
 	return l.left >= 0, l.err
--- a/pkg/relay/buffered.go
+++ b/pkg/relay/buffered.go
@@ -67,10 +67,10 @@
 			h[name] = values
 		}
 	}
-	if _, told := a.Header["Content-Type"]; !told {
+	if _, set := a.Header["Content-Type"]; !set {
 		h["Content-Type"] = nil // prevents guessing
 	}
-	if _, told := a.Header["Date"]; !told {
+	if _, set := a.Header["Date"]; !set {
 		h["Date"] = nil
 	}
 	c.headSent = true
--- a/pkg/relay/call.go
+++ b/pkg/relay/call.go
@@ -45,12 +45,12 @@
 // request is what the caller asks for and its limits, as accepted.
 type request struct {
 	arrived  time.Time
-	deadline time.Time // for the whole answer
+	deadline time.Time // when the whole answer must be complete
 
 	table    *route.Table
 	route    *route.Route
 	tenant   *tenant.Tenant // on whose behalf it is made; nil: no tenant
-	quotaReq quota.Request  // what the request takes from the tenant's quota
+	quotaReq quota.Request  // the request's cost in the tenant's quota, and what may delay it
 	charged  bool           // the quota was charged for the request
 	service  string
 	engine   *route.Engine
@@ -70,11 +70,11 @@
 	tried           []string // servers that did not serve the request
 	shortage        shortage // servers that could not serve it though they were believed to hold the model
 	sends           int
-	misses          int  // attempts that no server ran
+	misses          int  // attempts in which no server ran the request
 	runs            int  // servers that may have run it
-	round           int  // round of the next run, see quarantine.End
-	suspectedRounds int  // additional rounds by suspicion, see quarantine.End
-	again           bool // see quarantine.Run
+	round           int  // round of the next run: one more than the known rounds of crashes
+	suspectedRounds int  // further rounds of runs that may have crashed their servers
+	serverSuspected bool // an earlier run may have crashed the chosen server, see quarantine.Run.Again
 	headSent        bool
 	lastEvent       string // ID of the last event sent to the caller
 }
@@ -88,13 +88,12 @@
 	backup      *backend.Member // receives copies of the next run; nil: none
 }
 
-// shortage names servers that could not serve a request: server does not hold the model (gone: it
-// refused the connection), short holds it but rejects requests for shortFor.
+// shortage names servers that could not serve a request. It is reported with a load request.
 type shortage struct {
-	server   string
-	gone     bool
-	short    string
-	shortFor time.Duration
+	server   string        // does not hold the model
+	gone     bool          // server refused the connection
+	short    string        // holds the model but rejects requests
+	shortFor time.Duration // how long short is expected to reject requests
 }
 
 // accept reads and checks the request. If it returns false, the request was answered.
--- a/pkg/relay/choose.go
+++ b/pkg/relay/choose.go
@@ -14,10 +14,10 @@
 
 // Intervals at which a waiting request checks for servers and asks for its model.
 const (
-	pollInterval = 100 * time.Millisecond
-	wakeInterval = 250 * time.Millisecond
-	// wakeTimeout bounds one call of the waker.
-	wakeTimeout = time.Second
+	pollInterval        = 100 * time.Millisecond
+	loadRequestInterval = 250 * time.Millisecond
+	// loadRequestTimeout bounds one call of the ModelLoader.
+	loadRequestTimeout = time.Second
 )
 
 // acquire waits for a server that may get the request. It returns nil if the request was answered.
@@ -25,7 +25,7 @@
 	began := c.relay.Time.Now()
 	defer func() { c.record.waited += c.relay.Time.Since(began) }()
 	var requestedAt time.Time
-	results := make(chan wakeResult, 1)
+	results := make(chan loadResult, 1)
 	requestPending := false
 	for {
 		changed := c.relay.Servers.Changed()
@@ -40,7 +40,7 @@
 		if c.record.waitFor = c.waitReason(); backoff != nil {
 			c.record.waitFor = waitsForBackoff
 		}
-		if c.need.Model != "" && c.record.waitFor != waitsForServer && !requestPending && c.relay.Time.Since(requestedAt) >= wakeInterval {
+		if c.need.Model != "" && c.record.waitFor != waitsForServer && !requestPending && c.relay.Time.Since(requestedAt) >= loadRequestInterval {
 			requestedAt, requestPending = c.relay.Time.Now(), true
 			go c.requestLoad(ctx, c.shortageWith(backoff), results)
 		}
@@ -62,7 +62,7 @@
 		case <-timer.C:
 		case a := <-results:
 			requestPending = false
-			c.record.wakeError = a.err
+			c.record.loadError = a.err
 			if f, refused := c.evaluateStatus(a.status, backoff); refused {
 				timer.Stop()
 				c.refuse(f)
@@ -117,17 +117,18 @@
 	return reason
 }
 
-// wakeResult is the result of a call of the waker.
-type wakeResult struct {
+// loadResult is the result of a call of the ModelLoader.
+type loadResult struct {
 	status LoadStatus
 	err    error
 }
 
-// requestLoad asks the waker for the needed model and reports the servers that could not serve it.
-func (c *call) requestLoad(ctx context.Context, s shortage, results chan<- wakeResult) {
-	ctx, cancel := context.WithTimeout(ctx, wakeTimeout)
+// requestLoad asks for the needed model to be loaded and reports the servers that could not serve
+// it.
+func (c *call) requestLoad(ctx context.Context, s shortage, results chan<- loadResult) {
+	ctx, cancel := context.WithTimeout(ctx, loadRequestTimeout)
 	defer cancel()
-	status, err := c.relay.Waker.Wake(ctx, LoadRequest{
+	status, err := c.relay.Loader.RequestLoad(ctx, LoadRequest{
 		Service: c.service, Need: c.need, Priority: c.priority(), Deadline: c.deadline, RequestID: c.id,
 		Missing: s.server, Gone: s.gone, Short: s.short, ShortFor: s.shortFor,
 	})
@@ -137,11 +138,11 @@
 	if status.Server != "" {
 		c.relay.Servers.OverrideHolding(status.Server, c.need, true, c.relay.Time.Now().Add(assumedHeldTime))
 	}
-	results <- wakeResult{status, err}
+	results <- loadResult{status, err}
 }
 
-// assumedHeldTime is how long the waker's report that a server holds a model is trusted before the
-// server's own record confirms it.
+// assumedHeldTime is how long a LoadStatus that names a server is trusted before the server's own
+// record confirms that it holds the model.
 const assumedHeldTime = 5 * time.Second
 
 // evaluateWithoutModel refuses a request without a model that can't be served before its caller
--- a/pkg/relay/giveup_test.go
+++ b/pkg/relay/choose_test.go
@@ -37,7 +37,7 @@
 	s.relay.Servers.Replace(s.servers, 2)
 	s.crash(0)
 	asked := make(chan LoadRequest, 16)
-	s.relay.Waker = recordingWaker(asked)
+	s.relay.Loader = recordingLoader(asked)
 	r := s.request(t.Context(), http.MethodPost, "/p/x", "id", "")
 	r.Header.Set(testHeaders.Model, "m")
 	s.do(r)
@@ -47,14 +47,14 @@
 			t.Errorf("the load request is %+v", w)
 		}
 	default:
-		t.Error("the waker was not asked for the model")
+		t.Error("the model was not requested")
 	}
 }
 
-// recordingWaker records load requests and reports that the model will be ready too late.
-type recordingWaker chan LoadRequest
+// recordingLoader records load requests and reports that the model will be ready too late.
+type recordingLoader chan LoadRequest
 
-func (w recordingWaker) Wake(_ context.Context, request LoadRequest) (LoadStatus, error) {
+func (w recordingLoader) RequestLoad(_ context.Context, request LoadRequest) (LoadStatus, error) {
 	select {
 	case w <- request:
 	default:
--- a/pkg/relay/cold_test.go
+++ b/pkg/relay/cold_test.go
@@ -19,13 +19,13 @@
 	)
 	for _, nodes := range []int{1, 6, 89, 1000} {
 		for server := range 40 {
-			gates := make([]backpressure.Ration, nodes)
+			rations := make([]backpressure.Ration, nodes)
 			id := fmt.Sprint("i-", server)
 			began := time.Unix(1_800_000_000, 0)
 			var sent []time.Time
 			for now := began; now.Sub(began) < span; now = now.Add(step) {
-				for i := range gates {
-					if gates[i].Take(now, fmt.Sprint("node-", i), id, perSecond, nodes) {
+				for i := range rations {
+					if rations[i].Take(now, fmt.Sprint("node-", i), id, perSecond, nodes) {
 						sent = append(sent, now)
 					}
 				}
--- a/pkg/relay/fleet_test.go
+++ b/pkg/relay/fleet_test.go
@@ -17,7 +17,7 @@
 // requestKind is one kind of request in a simulated load. Lengths and counts are means.
 type requestKind struct {
 	name              string
-	share             float64 // of all requests
+	share             float64 // share of all requests
 	rare              bool    // for models with one replica
 	common, session   int     // tokens of the two shared parts
 	own               int     // tokens of the unshared part
@@ -92,7 +92,7 @@
 	*enginetest.Run
 	kind, node int
 	need       backend.Need
-	server     *backend.Member // to which it was sent
+	server     *backend.Member // server to which it was sent
 }
 
 // tally counts the answers to requests of a kind.
@@ -103,7 +103,7 @@
 // result is the result of a simulation run.
 type result struct {
 	kinds   []tally
-	read    int     // tokens
+	read    int     // prompt tokens that engines read
 	reread  int     // tokens of shared parts that some engine had already read
 	busiest float64 // requests of the busiest engine relative to the mean
 	choices []string
@@ -251,9 +251,9 @@
 	if events < minTimedEvents {
 		return
 	}
-	pace := (a.End - a.FirstEvent - a.LongestPause) / time.Duration(events-2)
-	f.relays[a.node].Servers.RecordPace(a.server.ID, a.need.Model, pace)
-	f.relays[a.node].Servers.Report(backend.Pace{Server: a.server.ID, Model: a.need.Model, PerEvent: pace})
+	perEvent := (a.End - a.FirstEvent - a.LongestPause) / time.Duration(events-2)
+	f.relays[a.node].Servers.RecordPace(a.server.ID, a.need.Model, perEvent)
+	f.relays[a.node].Servers.QueuePace(backend.Pace{Server: a.server.ID, Model: a.need.Model, PerEvent: perEvent})
 }
 
 // exchangeSpeeds simulates a heartbeat of all nodes.
@@ -265,7 +265,7 @@
 	}
 	for _, r := range f.relays {
 		r.Servers.LearnSlowness(list)
-		f.coordinator.LearnPaces(r.Servers.TakeReports(math.MaxInt))
+		f.coordinator.LearnPaces(r.Servers.TakeQueuedPaces(math.MaxInt))
 	}
 }
 
--- a/pkg/relay/harness_test.go
+++ b/pkg/relay/harness_test.go
@@ -103,7 +103,7 @@
 	table := route.NewTable(1, route.Limits{BodyBytes: 1 << 20}, []*route.Route{&r}, []*route.Service{service})
 	s.relay = &Relay{
 		Headers: testHeaders, Routes: func() *route.Table { return table }, Servers: directory,
-		Logger: hclog.NewNullLogger(), Waker: noWaker{},
+		Logger: hclog.NewNullLogger(), Loader: noLoader{},
 		Budget: BudgetConfig{Ratio: 0.2, Window: 10 * time.Second, Slack: 50},
 	}
 	s.relay.BudgetStart = time.Now().Add(-s.relay.Budget.FillTime()) // as if the node had been running for long
@@ -112,10 +112,12 @@
 	return s
 }
 
-// noWaker knows no model.
-type noWaker struct{}
+// noLoader knows no model.
+type noLoader struct{}
 
-func (noWaker) Wake(context.Context, LoadRequest) (LoadStatus, error) { return LoadStatus{}, nil }
+func (noLoader) RequestLoad(context.Context, LoadRequest) (LoadStatus, error) {
+	return LoadStatus{}, nil
+}
 
 // add starts a server.
 func (s *site) add(id string, answer answerer) {
--- a/pkg/relay/hold_test.go
+++ b/pkg/relay/hold_test.go
@@ -22,7 +22,7 @@
 		route    route.Route
 		headSent bool
 		waited   time.Duration
-		left     time.Duration // from arrival to deadline
+		left     time.Duration // time from arrival to deadline
 		readyIn  time.Duration
 		refused  bool
 	}{
--- a/pkg/relay/incarnation_test.go
+++ b/pkg/relay/incarnation_test.go
@@ -80,9 +80,9 @@
 	}
 }
 
-// TestBUDGETCountsTheLivesOfOneServer checks that a request that crashes a server, which restarts
+// TestBUDGETCountsIncarnationsOfOneServer checks that a request that crashes a server, which restarts
 // under the same name, is quarantined after three incarnations.
-func TestBUDGETCountsTheLivesOfOneServer(t *testing.T) {
+func TestBUDGETCountsIncarnationsOfOneServer(t *testing.T) {
 	l := newRestartingServer(t, route.Route{Kind: route.Safe, MaxAttempts: 1})
 	l.restarts = false
 	for n := range 3 {
--- a/pkg/relay/migrate.go
+++ b/pkg/relay/migrate.go
@@ -47,7 +47,7 @@
 // Copied is a source's answer to a CopyOrder.
 type Copied struct {
 	Result CopyResult
-	Handle string // of the copy or of a stopped run; empty: none
+	Handle string // identifies the copy or the stopped run; empty: none
 	Events int    // events produced by the run
 }
 
@@ -86,8 +86,8 @@
 
 	mu             sync.Mutex
 	began          time.Time       // when the first events were sent
-	events         int             // sent to the caller
-	over           bool            // the source sends no more
+	events         int             // number of events sent to the caller
+	ended          bool            // the source sends no more
 	moving         chan struct{}   // closed when the current move ends; nil: no move in progress
 	stopSent       bool            // the source was asked to stop the run
 	stopUnanswered bool            // a stop call got no answer and may still be carried out
@@ -96,19 +96,19 @@
 	requestedAt    time.Time       // when a server to move to was last requested
 	backup         *backend.Member // received copies from the beginning of the run; nil: none
 	target         *backend.Member // has a copy, or is the backup; nil: not chosen
-	handle         string          // of the copy at the target; empty: none
-	lines          []moveLine      // for the log
+	handle         string          // handle of the copy at the target; empty: none
+	lines          []moveLine      // log entries of the stream's moves
 	handover       migration.Handover
 }
 
 // streamTable holds the active streams of this node. The zero value is ready to use.
 type streamTable struct {
-	mu               sync.Mutex
-	byServer         map[string]map[*activeStream]struct{} // by server ID
-	evacuating       map[string]bool                       // servers whose streams evacuate is moving
-	backupTokens     map[string]int                        // tokens of running streams, by the server that receives their copies
-	serverEnds       map[string]time.Time                  // servers that recently crashed during a request
-	connectionBreaks map[string]time.Time                  // servers to which a connection recently broke during a request
+	mu                sync.Mutex
+	byServer          map[string]map[*activeStream]struct{} // by server ID
+	evacuating        map[string]bool                       // servers whose streams evacuate is moving
+	backupTokens      map[string]int                        // tokens of running streams, by the server that receives their copies
+	serverCrashes     map[string]time.Time                  // servers that recently crashed during a request
+	brokenConnections map[string]time.Time                  // servers to which a connection recently broke during a request
 }
 
 // registerStream registers a stream at a server. It returns nil if the stream can't move: the
@@ -207,7 +207,7 @@
 		ID: c.id, Rank: c.rank(), Tokens: c.prompt.Tokens() + generated, Events: r.events,
 		Remaining:   migration.RemainingTime(now.Sub(r.began), r.events, max(c.engine.EventTokens, 1), c.prompt.MaxOutput()),
 		Restartable: c.route.Repeatable(),
-	}, r.events > 0 && !r.over && r.moving == nil && r.handle == ""
+	}, r.events > 0 && !r.ended && r.moving == nil && r.handle == ""
 }
 
 // movable returns the movable streams at a server and the number of all its streams.
@@ -302,7 +302,7 @@
 func (r *activeStream) beginMove() chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.over || r.moving != nil || r.handle != "" {
+	if r.ended || r.moving != nil || r.handle != "" {
 		return nil
 	}
 	r.moving = make(chan struct{})
@@ -354,7 +354,7 @@
 // may move to another server.
 func (r *activeStream) abandonMove() {
 	r.mu.Lock()
-	handle, over := r.handle, r.over
+	handle, over := r.handle, r.ended
 	r.mu.Unlock()
 	if over {
 		return
@@ -376,7 +376,7 @@
 	defer r.mu.Unlock()
 	r.target, r.handle = target, handle
 	r.handover.Copied = true
-	return !r.over
+	return !r.ended
 }
 
 // stop makes the source stop the run and copy the rest. A call that can't be sent says nothing
@@ -395,7 +395,7 @@
 	}
 	outcome := stopOutcome(copied, err)
 	r.stopUnanswered = r.stopUnanswered || outcome == migration.NoAnswer
-	if outcome == migration.NotSent && !r.over {
+	if outcome == migration.NotSent && !r.ended {
 		r.stopSent = before
 		r.handover.RecordOutcome(migration.Stop, migration.Refused)
 		return outcome
@@ -435,7 +435,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), limit)
 		copied, err = c.relay.Mover.Copy(ctx, r.source, CopyOrder{RequestID: c.id, To: target.Address, Stop: stop})
 		cancel()
-		r.addLine(moveLine{From: r.source.ID, To: target.ID, Step: stepNames[stop], TookMS: c.relay.Time.Since(began).Milliseconds(),
+		r.addLogLine(moveLine{From: r.source.ID, To: target.ID, Step: stepNames[stop], TookMS: c.relay.Time.Since(began).Milliseconds(),
 			Events: copied.Events, Outcome: stopOutcome(copied, err).String()})
 		again := stopOutcome(copied, err) == migration.NoAnswer && (err == nil || !stop)
 		if !again {
@@ -486,7 +486,7 @@
 	}
 	r.requestedAt = now
 	r.tried = nil // they may have free capacity by now
-	go r.call.requestLoad(context.Background(), shortage{}, make(chan wakeResult, 1))
+	go r.call.requestLoad(context.Background(), shortage{}, make(chan loadResult, 1))
 }
 
 // finish ends the stream at its source. An unused copy is dropped unless the call continues from
@@ -497,7 +497,7 @@
 	}
 	r.table.remove(r)
 	r.mu.Lock()
-	r.over = true
+	r.ended = true
 	moving, taken := r.moving, r.takenOver
 	r.mu.Unlock()
 	switch {
--- a/pkg/relay/migrate_test.go
+++ b/pkg/relay/migrate_test.go
@@ -42,7 +42,7 @@
 // Mover.
 type moveCluster struct {
 	*site
-	id            string // of its only request
+	id            string // ID of its only request
 	total         int
 	eventInterval time.Duration
 	faults        func(step string) fault
@@ -50,7 +50,7 @@
 	unframed bool
 
 	fleetMu        sync.Mutex
-	working        map[string]chan struct{} // by server; closing the channel stops the run
+	working        map[string]chan struct{} // runs by server; closing the channel stops the run
 	peak           int                      // maximum of concurrent runs
 	freshRuns      []string                 // servers whose runs began without a copy
 	handle         string
@@ -64,7 +64,7 @@
 	eventsMade     atomic.Int64 // number of events produced
 }
 
-// clusterCount numbers the clusters.
+// clusterCount numbers the clusters, so that their requests have different IDs.
 var clusterCount atomic.Int64
 
 const (
@@ -117,7 +117,7 @@
 
 // serve runs a request.
 func (f *moveCluster) serve(w http.ResponseWriter, r *http.Request, s seen) {
-	if s.id != f.id { // of another cluster, whose crashed server had this address
+	if s.id != f.id { // a request of another cluster, whose crashed server had this address
 		rejectWith(http.StatusMisdirectedRequest)(w, r, s)
 		return
 	}
--- a/pkg/relay/place.go
+++ b/pkg/relay/place.go
@@ -17,17 +17,17 @@
 // Places coordinates the requests of all nodes at overloaded servers. A place is the permission to
 // run a request at such a server.
 type Places interface {
-	// NextPlace returns a new ID under which a request is known.
-	NextPlace() uint64
-	// TakePlace decides about a request to servers that may be overloaded. An error tells why the
+	// NewPlaceID returns a new ID under which a request is known.
+	NewPlaceID() uint64
+	// RequestPlace decides about a request to servers that may be overloaded. An error tells why the
 	// coordinator could not be asked; the verdict is valid regardless.
-	TakePlace(ctx context.Context, r *admission.Request) (admission.Verdict, error)
-	// SentToPlace reports that a request is sent to a server, whether a place was granted or not.
-	SentToPlace(r admission.Report)
-	// AnsweredInPlace reports that the first event of a request arrived.
-	AnsweredInPlace(id uint64)
-	// LeftPlace reports that a request ended at its server or no longer waits for a place.
-	LeftPlace(id uint64, key admission.Key)
+	RequestPlace(ctx context.Context, r *admission.Request) (admission.Verdict, error)
+	// ReportPlaceSent reports that a request is sent to a server, whether a place was granted or not.
+	ReportPlaceSent(r admission.Report)
+	// ReportPlaceAnswered reports that the first event of a request arrived.
+	ReportPlaceAnswered(id uint64)
+	// ReleasePlace reports that a request ended at its server or no longer waits for a place.
+	ReleasePlace(id uint64, key admission.Key)
 }
 
 // errStalePlace keeps a request from a server whose grant is too old: the node was suspended
@@ -55,8 +55,8 @@
 // placeRecord is the part of a request's log line about its place.
 type placeRecord struct {
 	verdict admission.Verdict // the last verdict
-	asked   bool              // a verdict was given
-	waits   int               // how often the request was told to ask again
+	asked   bool              // a verdict other than admission.Stand was given
+	waits   int               // number of verdicts to wait and ask again
 	waited  time.Duration     // total time before asking again
 	err     error             // why the coordinator could not be asked the last time
 }
@@ -83,7 +83,7 @@
 		return m, mayRunNow
 	}
 	r := c.placeRequest(m)
-	v, err := c.relay.Places.TakePlace(ctx, r)
+	v, err := c.relay.Places.RequestPlace(ctx, r)
 	note := &c.record.place
 	note.err = err
 	if v.Kind == admission.Stand {
@@ -108,7 +108,7 @@
 	return m, mayRunNow // the server left meanwhile; reportPlaceSent reports the actual server
 }
 
-// awaitPlace waits before the request asks again.
+// awaitPlace waits for d, after which the request asks for a place again.
 func (c *call) awaitPlace(ctx context.Context, d time.Duration) {
 	began := c.relay.Time.Now()
 	c.sleep(ctx, d)
@@ -119,7 +119,7 @@
 // placeRequest returns the request for a place; m is this node's own choice.
 func (c *call) placeRequest(m *backend.Member) *admission.Request {
 	if c.place.id == 0 {
-		c.place.id = c.relay.Places.NextPlace()
+		c.place.id = c.relay.Places.NewPlaceID()
 	}
 	waited := c.relay.Time.Since(c.arrived)
 	return &admission.Request{
@@ -161,17 +161,17 @@
 		return
 	}
 	if c.place.id == 0 {
-		c.place.id = c.relay.Places.NextPlace()
+		c.place.id = c.relay.Places.NewPlaceID()
 	}
 	c.place.open = true
-	c.relay.Places.SentToPlace(admission.Report{ID: c.place.id, Key: c.placeKey(), Need: c.need.String(), Server: m.ID, Work: c.work(),
+	c.relay.Places.ReportPlaceSent(admission.Report{ID: c.place.id, Key: c.placeKey(), Need: c.need.String(), Server: m.ID, Work: c.work(),
 		Rank: c.rank(), Target: c.route.Target, Left: c.timeLeft(), Granted: !c.place.granted.IsZero()})
 }
 
 // reportPlaceAnswered reports that the first event arrived.
 func (c *call) reportPlaceAnswered() {
 	if c.place.open {
-		c.relay.Places.AnsweredInPlace(c.place.id)
+		c.relay.Places.ReportPlaceAnswered(c.place.id)
 	}
 }
 
@@ -179,7 +179,7 @@
 func (c *call) releasePlace() {
 	if c.place.open {
 		c.place.open = false
-		c.relay.Places.LeftPlace(c.place.id, c.placeKey())
+		c.relay.Places.ReleasePlace(c.place.id, c.placeKey())
 	}
 }
 
--- a/pkg/relay/place_test.go
+++ b/pkg/relay/place_test.go
@@ -29,33 +29,33 @@
 	left  []uint64
 }
 
-func (k *fakePlaces) NextPlace() uint64 {
+func (k *fakePlaces) NewPlaceID() uint64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.count++
 	return k.count
 }
 
-func (k *fakePlaces) TakePlace(_ context.Context, r *admission.Request) (admission.Verdict, error) {
+func (k *fakePlaces) RequestPlace(_ context.Context, r *admission.Request) (admission.Verdict, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.asked = append(k.asked, *r)
 	return k.decide(len(k.asked)-1, r)
 }
 
-func (k *fakePlaces) SentToPlace(r admission.Report) {
+func (k *fakePlaces) ReportPlaceSent(r admission.Report) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.sent = append(k.sent, r)
 }
 
-func (k *fakePlaces) AnsweredInPlace(id uint64) {
+func (k *fakePlaces) ReportPlaceAnswered(id uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.first = append(k.first, id)
 }
 
-func (k *fakePlaces) LeftPlace(id uint64, _ admission.Key) {
+func (k *fakePlaces) ReleasePlace(id uint64, _ admission.Key) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.left = append(k.left, id)
@@ -149,7 +149,7 @@
 	}
 }
 
-// TestNobodyWaitsBeyondItsCaller checks that a request that is told to wait repeatedly is refused
+// TestNobodyWaitsBeyondItsCaller checks that a request that repeatedly has to wait is refused
 // before its caller leaves.
 func TestNobodyWaitsBeyondItsCaller(t *testing.T) {
 	k := &fakePlaces{decide: fixedVerdict(admission.Verdict{Kind: admission.Wait, After: 100 * time.Millisecond})}
@@ -215,8 +215,8 @@
 	}
 }
 
-// TestAPlaceLapsesInASuspension suspends the node between verdict and send. It must ask again.
-func TestAPlaceLapsesInASuspension(t *testing.T) {
+// TestAPlaceExpiresDuringASuspension suspends the node between verdict and send. It must ask again.
+func TestAPlaceExpiresDuringASuspension(t *testing.T) {
 	var mu sync.Mutex
 	var slept time.Duration
 	k := &fakePlaces{decide: fixedVerdict(admission.Verdict{Kind: admission.Go, Server: "server-0"})}
@@ -250,11 +250,11 @@
 // places nor report.
 func TestPlacesAreForLongPromptsOnly(t *testing.T) {
 	for name, change := range map[string]func(s *site, r *http.Request){
-		"its prompt is not told":         func(_ *site, r *http.Request) { r.Header.Del("X-Tokens") },
-		"the memory is not told":         func(s *site, _ *http.Request) { s.relay.Routes().Service("s").Engine.CacheTokens = 0 },
-		"its route shares no parts":      func(s *site, _ *http.Request) { s.relay.Routes().Match("site.example", "/p/x").Sticky = false },
-		"it needs no model":              func(_ *site, r *http.Request) { r.Header.Del("X-Model") },
-		"nobody has requests take turns": func(s *site, _ *http.Request) { s.relay.Places = nil },
+		"its prompt is not told":    func(_ *site, r *http.Request) { r.Header.Del("X-Tokens") },
+		"the memory is not told":    func(s *site, _ *http.Request) { s.relay.Routes().Service("s").Engine.CacheTokens = 0 },
+		"its route shares no parts": func(s *site, _ *http.Request) { s.relay.Routes().Match("site.example", "/p/x").Sticky = false },
+		"it needs no model":         func(_ *site, r *http.Request) { r.Header.Del("X-Model") },
+		"no places are coordinated": func(s *site, _ *http.Request) { s.relay.Places = nil },
 	} {
 		k := &fakePlaces{decide: fixedVerdict(admission.Verdict{Kind: admission.Refuse})}
 		s := overloadedSite(t, streamRoute(false), k, events(5, 5, nil))
--- a/pkg/relay/quarantine.go
+++ b/pkg/relay/quarantine.go
@@ -16,23 +16,23 @@
 	Standing(f quarantine.Fingerprint) quarantine.Standing
 	// NextRound returns the round of a run that begins now.
 	NextRound(f quarantine.Fingerprint) int
-	// InDoubt returns the additional rounds from runs of which it is unknown whether their servers
-	// crashed, and whether one of those runs was at server.
-	InDoubt(f quarantine.Fingerprint, server string) (rounds int, again bool)
-	// Ended records that a server crashed a moment after it began to run the request.
-	Ended(r quarantine.Run)
-	// Doubted records that the connection to a server broke a moment after it began to run the
+	// SuspectedRounds returns the additional rounds from runs of which it is unknown whether their
+	// servers crashed, and whether one of those runs was at server.
+	SuspectedRounds(f quarantine.Fingerprint, server string) (rounds int, again bool)
+	// ServerCrashed records that a server crashed a moment after it began to run the request.
+	ServerCrashed(r quarantine.Run)
+	// CrashSuspected records that the connection to a server broke a moment after it began to run the
 	// request and that it is unknown whether the server crashed. It returns when the other nodes
 	// were informed or can't be.
-	Doubted(ctx context.Context, r quarantine.Run)
-	// Ran records that a server ran the request to its end.
-	Ran(f quarantine.Fingerprint)
-	// Lives records that a server answered a request that was sent at the given time.
-	Lives(server string, sent time.Time)
-	// TakeTurn asks for a trial: permission to run a suspected request at a server now.
-	TakeTurn(ctx context.Context, f quarantine.Fingerprint, service, server string) (bool, error)
-	// ReleaseTurn ends a trial: the request ran without harm or no longer runs.
-	ReleaseTurn(f quarantine.Fingerprint, server string)
+	CrashSuspected(ctx context.Context, r quarantine.Run)
+	// Completed records that a server ran the request to its end.
+	Completed(f quarantine.Fingerprint)
+	// ServerAlive records that a server answered a request that was sent at the given time.
+	ServerAlive(server string, sent time.Time)
+	// RequestTrial asks for a trial: permission to run a suspected request at a server now.
+	RequestTrial(ctx context.Context, f quarantine.Fingerprint, service, server string) (bool, error)
+	// ReleaseTrial ends a trial: the request ran without harm or no longer runs.
+	ReleaseTrial(f quarantine.Fingerprint, server string)
 }
 
 // permission tells whether a request may be sent to a server now.
@@ -61,8 +61,8 @@
 		return mayRunNow
 	}
 	p := c.checkStanding(ctx, q, m)
-	c.round = q.NextRound(c.fingerprint) // includes what was learned with the trial
-	c.suspectedRounds, c.again = q.InDoubt(c.fingerprint, m.ID)
+	c.round = q.NextRound(c.fingerprint) // counts the evidence that came with the trial
+	c.suspectedRounds, c.serverSuspected = q.SuspectedRounds(c.fingerprint, m.ID)
 	return p
 }
 
@@ -77,7 +77,7 @@
 		c.refuseQuarantined()
 		return wasRefused
 	}
-	granted, err := q.TakeTurn(ctx, c.fingerprint, c.service, m.ID)
+	granted, err := q.RequestTrial(ctx, c.fingerprint, c.service, m.ID)
 	c.record.trialError = err
 	if granted {
 		c.trial = &trial{call: c, server: m.ID}
@@ -111,7 +111,7 @@
 	server      string
 	settleTimer *time.Timer
 	over        bool // used by the goroutine of the call only
-	held        bool // kept until it expires, as it is unknown whether the server crashed
+	held        bool // not released but left to expire, as it is unknown whether the server crashed
 }
 
 // startSettling ends the trial when the server has sent the answer for so long that the request is
@@ -121,7 +121,7 @@
 		return
 	}
 	q, fingerprint := t.call.relay.Quarantine, t.call.fingerprint
-	t.settleTimer = time.AfterFunc(quarantine.SettleTime, func() { q.ReleaseTurn(fingerprint, t.server) })
+	t.settleTimer = time.AfterFunc(quarantine.SettleTime, func() { q.ReleaseTrial(fingerprint, t.server) })
 }
 
 // hold keeps the trial until it expires and prevents other attempts of the request: its connection
@@ -143,7 +143,7 @@
 		return
 	}
 	if t.settleTimer == nil || t.settleTimer.Stop() {
-		t.call.relay.Quarantine.ReleaseTurn(t.call.fingerprint, t.server)
+		t.call.relay.Quarantine.ReleaseTrial(t.call.fingerprint, t.server)
 	}
 }
 
@@ -167,12 +167,12 @@
 // recordCrash records that the last server crashed while running the request. If it had sent the
 // answer for long, the request is not blamed.
 func (c *call) recordCrash(m *backend.Member) {
-	c.record.serverEnded()
-	c.relay.streams.serverEnded(m.ID, c.relay.Time.Now())
+	c.record.serverCrashed()
+	c.relay.streams.serverCrashed(m.ID, c.relay.Time.Now())
 	if c.relay.Quarantine == nil || c.record.last().answerDuration() >= quarantine.SettleTime {
 		return
 	}
-	c.relay.Quarantine.Ended(c.lastRun(m))
+	c.relay.Quarantine.ServerCrashed(c.lastRun(m))
 }
 
 // recordSuspicion records that the last server may have crashed while running the request. A proxy
@@ -180,14 +180,14 @@
 // the request would be sent to all other servers.
 func (c *call) recordSuspicion(ctx context.Context, m *backend.Member) {
 	if q := c.relay.Quarantine; q != nil && c.record.last().answerDuration() < quarantine.SettleTime {
-		q.Doubted(ctx, c.lastRun(m))
+		q.CrashSuspected(ctx, c.lastRun(m))
 	}
 }
 
 // lastRun returns the last run of the request, at server m.
 func (c *call) lastRun(m *backend.Member) quarantine.Run {
 	return quarantine.Run{Request: c.fingerprint, Service: c.service, Server: m.ID,
-		Round: c.round, Doubts: c.suspectedRounds, Again: c.again, RequestID: c.id}
+		Round: c.round, Doubts: c.suspectedRounds, Again: c.serverSuspected, RequestID: c.id}
 }
 
 // recordCompletion records that the request ran to its end. A server's own failure only shows that
@@ -197,9 +197,9 @@
 	if q == nil {
 		return
 	}
-	q.Lives(m.ID, c.record.last().started)
+	q.ServerAlive(m.ID, c.record.last().started)
 	if c.record.status < http.StatusInternalServerError {
-		q.Ran(c.fingerprint)
+		q.Completed(c.fingerprint)
 	}
 }
 
@@ -214,7 +214,7 @@
 	}
 	run := c.lastRun(m)
 	run.ByRecord = true
-	m.OnEnd(quarantine.SuspicionTime, func() { q.Ended(run) })
+	m.OnEnd(quarantine.SuspicionTime, func() { q.ServerCrashed(run) })
 }
 
 // Reasons of refusals, telling the caller why retrying does not help.
--- a/pkg/relay/quarantine_test.go
+++ b/pkg/relay/quarantine_test.go
@@ -22,7 +22,7 @@
 
 	table   quarantine.Table
 	mu      sync.Mutex
-	turns   quarantine.Trials
+	trials  quarantine.Trials
 	crashes []string // servers, as reported
 }
 
@@ -31,8 +31,8 @@
 	return a.table.Standing(time.Now(), f)
 }
 
-// Ended implements Quarantine.
-func (a *localQuarantine) Ended(r quarantine.Run) {
+// ServerCrashed implements Quarantine.
+func (a *localQuarantine) ServerCrashed(r quarantine.Run) {
 	a.mu.Lock()
 	a.crashes = append(a.crashes, r.Server)
 	a.mu.Unlock()
@@ -44,8 +44,8 @@
 	return a.table.NextRound(time.Now(), f)
 }
 
-// InDoubt implements Quarantine.
-func (a *localQuarantine) InDoubt(f quarantine.Fingerprint, server string) (rounds int, again bool) {
+// SuspectedRounds implements Quarantine.
+func (a *localQuarantine) SuspectedRounds(f quarantine.Fingerprint, server string) (rounds int, again bool) {
 	return a.table.SuspectedRounds(time.Now(), f, server)
 }
 
@@ -54,7 +54,7 @@
 	t.Helper()
 	fingerprint := quarantine.FingerprintOf(http.MethodPost, "site.example", "/p/x", []byte(body))
 	for round, server := range []string{"gone-1", "gone-2"} {
-		a.Ended(quarantine.Run{Request: fingerprint, Service: "s", Server: server, Round: round + 1})
+		a.ServerCrashed(quarantine.Run{Request: fingerprint, Service: "s", Server: server, Round: round + 1})
 	}
 	if got := a.Standing(fingerprint); got != quarantine.Suspected {
 		t.Fatalf("the standing is %v, want suspected", got)
@@ -62,34 +62,34 @@
 	return fingerprint
 }
 
-// Doubted implements Quarantine.
-func (a *localQuarantine) Doubted(_ context.Context, r quarantine.Run) {
+// CrashSuspected implements Quarantine.
+func (a *localQuarantine) CrashSuspected(_ context.Context, r quarantine.Run) {
 	a.table.Suspect(time.Now(), r)
 }
 
-// Ran implements Quarantine.
-func (a *localQuarantine) Ran(f quarantine.Fingerprint) { a.table.Completed(time.Now(), f) }
+// Completed implements Quarantine.
+func (a *localQuarantine) Completed(f quarantine.Fingerprint) { a.table.Completed(time.Now(), f) }
 
-// Lives implements Quarantine.
-func (a *localQuarantine) Lives(server string, sent time.Time) {
+// ServerAlive implements Quarantine.
+func (a *localQuarantine) ServerAlive(server string, sent time.Time) {
 	a.table.ServerAlive(time.Now(), server, sent)
 }
 
-// TakeTurn implements Quarantine.
-func (a *localQuarantine) TakeTurn(_ context.Context, f quarantine.Fingerprint, _, server string) (bool, error) {
+// RequestTrial implements Quarantine.
+func (a *localQuarantine) RequestTrial(_ context.Context, f quarantine.Fingerprint, _, server string) (bool, error) {
 	if a.noCoordinator {
 		return false, errors.New("no holder")
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.turns.Start(time.Now(), server, f), nil
+	return a.trials.Start(time.Now(), server, f), nil
 }
 
-// ReleaseTurn implements Quarantine.
-func (a *localQuarantine) ReleaseTurn(f quarantine.Fingerprint, server string) {
+// ReleaseTrial implements Quarantine.
+func (a *localQuarantine) ReleaseTrial(f quarantine.Fingerprint, server string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.turns.End(server, f)
+	a.trials.End(server, f)
 }
 
 // crashCount returns the number of reported crashes.
@@ -236,7 +236,7 @@
 	if got := q.Standing(fingerprint); got != quarantine.Free {
 		t.Errorf("the standing after a completed run is %v", got)
 	}
-	if !q.turns.Start(time.Now(), "server-0", fingerprint) {
+	if !q.trials.Start(time.Now(), "server-0", fingerprint) {
 		t.Error("the trial was not released")
 	}
 }
@@ -358,10 +358,10 @@
 // evidenceSharing is a quarantine whose coordinator reports another crash together with a trial.
 type evidenceSharing struct{ *localQuarantine }
 
-// TakeTurn implements Quarantine.
-func (i evidenceSharing) TakeTurn(ctx context.Context, f quarantine.Fingerprint, service, server string) (bool, error) {
-	i.Ended(quarantine.Run{Request: f, Service: service, Server: "gone-2", Round: 2})
-	return i.localQuarantine.TakeTurn(ctx, f, service, server)
+// RequestTrial implements Quarantine.
+func (i evidenceSharing) RequestTrial(ctx context.Context, f quarantine.Fingerprint, service, server string) (bool, error) {
+	i.ServerCrashed(quarantine.Run{Request: f, Service: service, Server: "gone-2", Round: 2})
+	return i.localQuarantine.RequestTrial(ctx, f, service, server)
 }
 
 // TestRoundIncludesEvidenceFromTrial checks that a run in a trial belongs to the round after the
@@ -372,7 +372,7 @@
 	s.relay.Quarantine = evidenceSharing{q}
 	fingerprint := quarantine.FingerprintOf(http.MethodPost, "site.example", "/p/x", []byte(crashingBody))
 	for _, server := range []string{"gone-1a", "gone-1b", "gone-1c"} { // copies of the request in one round, which make it suspected
-		q.Ended(quarantine.Run{Request: fingerprint, Service: "s", Server: server, Round: 1})
+		q.ServerCrashed(quarantine.Run{Request: fingerprint, Service: "s", Server: server, Round: 1})
 	}
 	s.post("id", crashingBody)
 	if n := len(s.arrivals()); n != 1 {
--- a/pkg/relay/quota.go
+++ b/pkg/relay/quota.go
@@ -18,8 +18,8 @@
 type Quotas interface {
 	// Admit decides on a request of a tenant.
 	Admit(ctx context.Context, t *tenant.Tenant, r quota.Request) Admission
-	// GiveBack refunds an admitted request that no server ran.
-	GiveBack(t *tenant.Tenant, r quota.Request)
+	// Refund returns the cost of an admitted request that no server ran.
+	Refund(t *tenant.Tenant, r quota.Request)
 }
 
 // Admission is the decision on a request.
@@ -66,8 +66,8 @@
 	return r
 }
 
-// returnDivisor is the divisor of a caller's remaining time that gives the longest retry time it
-// follows: a third.
+// returnDivisor is the divisor of a caller's remaining time that gives the longest retry time that it
+// obeys: a third.
 const returnDivisor = 3
 
 // refusalTime is how long a refusal takes to reach its caller, whose remaining time shrinks
@@ -81,7 +81,7 @@
 // refundQuota refunds a request that no server ran.
 func (c *call) refundQuota() {
 	if c.charged && !c.record.mayHaveRun() {
-		c.relay.Quotas.GiveBack(c.tenant, c.quotaReq)
+		c.relay.Quotas.Refund(c.tenant, c.quotaReq)
 	}
 }
 
--- a/pkg/relay/quota_request_test.go
+++ b/pkg/relay/quota_request_test.go
@@ -23,7 +23,7 @@
 	return Admission{After: 400 * time.Millisecond, Reserved: true, Room: quota.Room{Share: 10, Asked: 30.4, Given: 12}}
 }
 
-func (n *refusingQuotas) GiveBack(*tenant.Tenant, quota.Request) {}
+func (n *refusingQuotas) Refund(*tenant.Tenant, quota.Request) {}
 
 // TestQuotaRequestOfRoute checks that the quota is asked with the route's priority, a mark that
 // stays the same when the request is repeated under another ID, and the caller's waiting time.
--- a/pkg/relay/quota_test.go
+++ b/pkg/relay/quota_test.go
@@ -30,7 +30,7 @@
 	return Admission{Granted: true}
 }
 
-func (c *fakeQuotas) GiveBack(_ *tenant.Tenant, r quota.Request) {
+func (c *fakeQuotas) Refund(_ *tenant.Tenant, r quota.Request) {
 	cost := r.Amount
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -47,9 +47,9 @@
 	return c.refunded
 }
 
-// TestQUOTARefusesWhatIsBeyond checks that requests beyond the quota are refused with 429 and a
-// retry time before they reach a server, and that requests that no server ran are refunded.
-func TestQUOTARefusesWhatIsBeyond(t *testing.T) {
+// TestQUOTARefusesRequestsBeyondTheQuota checks that requests beyond the quota are refused with 429
+// and a retry time before they reach a server, and that requests that no server ran are refunded.
+func TestQUOTARefusesRequestsBeyondTheQuota(t *testing.T) {
 	one := &tenant.Tenant{Name: "a", Keys: []string{"key"}, Quota: tenant.Quota{PerSecond: 1, Tokens: true, PlainTokens: 200}}
 	for _, c := range []struct {
 		name    string
--- a/pkg/relay/record.go
+++ b/pkg/relay/record.go
@@ -46,13 +46,13 @@
 
 // try is one attempt, for the log.
 type try struct {
-	server      string
-	started     time.Time
-	answered    time.Time // first event, or the head of an answer without events; zero: none
-	ended       time.Time
-	verdict     attemptResult
-	err         error
-	serverEnded bool // the server was found to have crashed
+	server        string
+	started       time.Time
+	answered      time.Time // first event, or the head of an answer without events; zero: none
+	ended         time.Time
+	verdict       attemptResult
+	err           error
+	serverCrashed bool // the server was found to have crashed
 }
 
 // answerDuration returns how long the server sent its answer; zero if none began.
@@ -74,13 +74,13 @@
 	status        int
 	tries         []try
 	firstByte     time.Duration
-	readyIn       time.Duration // by the last LoadStatus
+	readyIn       time.Duration // expected time until the model is ready, by the last LoadStatus
 	statusAge     time.Duration
 	callerTimeout time.Duration // how long the caller waits; zero: unknown
-	waited        time.Duration // for servers, over all attempts
+	waited        time.Duration // total time of waiting for servers, over all attempts
 	waitFor       string        // reason of the last wait; empty: never waited
-	wakeError     error
-	trialError    error // why the coordinator could not be asked for a trial
+	loadError     error         // why the last load request failed
+	trialError    error         // why the coordinator could not be asked for a trial
 	place         placeRecord
 	slot          slotRecord
 	bytes         int
@@ -88,8 +88,8 @@
 	firstEventAt  time.Time     // when the first events were sent
 	lastEventAt   time.Time     // when the last events were sent
 	longestGap    time.Duration // between two sends of events
-	moves         []moveLine
-	preference    string // whether the last server chosen is the preferred one; empty: none was chosen
+	moves         []moveLine    // calls and steps of moves of the stream
+	preference    string        // whether the last server chosen is the preferred one; empty: none was chosen
 }
 
 func (r *record) try(server string, started time.Time) {
@@ -117,11 +117,11 @@
 	return slices.ContainsFunc(r.tries, func(t try) bool { return t.verdict != notRun })
 }
 
-// serverEnded records that the server of the last attempt crashed.
-func (r *record) serverEnded() { r.last().serverEnded = true }
+// serverCrashed records that the server of the last attempt crashed.
+func (r *record) serverCrashed() { r.last().serverCrashed = true }
 
-// lastEnded reports whether the server of the last attempt crashed.
-func (r *record) lastEnded() bool { return r.last().serverEnded }
+// lastServerCrashed reports whether the server of the last attempt crashed.
+func (r *record) lastServerCrashed() bool { return r.last().serverCrashed }
 
 // setOutcome records the outcome. The first one counts.
 func (r *record) setOutcome(outcome string, err error) {
@@ -172,8 +172,8 @@
 	}
 	fields = append(fields, c.describePlace()...)
 	fields = append(fields, c.describeSlot()...)
-	if c.record.wakeError != nil {
-		fields = append(fields, "wake_error", c.record.wakeError.Error())
+	if c.record.loadError != nil {
+		fields = append(fields, "wake_error", c.record.loadError.Error())
 	}
 	return fields
 }
@@ -244,7 +244,7 @@
 	for i, t := range c.record.tries {
 		lines[i] = tryLine{Server: t.server, AtMS: t.started.Sub(c.arrived).Milliseconds(),
 			TookMS: t.ended.Sub(t.started).Milliseconds(), RanMS: t.answerDuration().Milliseconds(),
-			Verdict: t.verdict.String(), Ended: t.serverEnded}
+			Verdict: t.verdict.String(), Ended: t.serverCrashed}
 		if t.err != nil {
 			lines[i].Error = t.err.Error()
 		}
--- a/pkg/relay/relay.go
+++ b/pkg/relay/relay.go
@@ -95,9 +95,9 @@
 	Age     time.Duration // age of this information
 }
 
-// Waker has models loaded. Wake does not wait for the load.
-type Waker interface {
-	Wake(ctx context.Context, w LoadRequest) (LoadStatus, error)
+// ModelLoader has models loaded on request. RequestLoad does not wait for the load.
+type ModelLoader interface {
+	RequestLoad(ctx context.Context, w LoadRequest) (LoadStatus, error)
 }
 
 // Relay serves callers' requests. Set the exported fields before the first request; zero values
@@ -112,7 +112,7 @@
 	Keys    KeyAge
 	Quotas  Quotas // tenants' quotas; not enforced if nil
 	Servers *backend.Directory
-	Waker   Waker
+	Loader  ModelLoader
 	// Quarantine keeps requests that crash servers away from them; not enforced if nil.
 	Quarantine Quarantine
 	// Mover moves running streams; none move if nil.
@@ -124,22 +124,22 @@
 	Slots Slots
 	// Places decides where and when requests go to overloaded servers; the node decides alone if
 	// nil.
-	Places      Places
-	Nodes       func() int // nodes that share the retry budget, zero while unknown; 1 if nil
-	Budget      BudgetConfig
-	Lender      Lender    // lends retries when this node's share is spent; may be nil
-	BudgetStart time.Time // when this node's slack began to fill; the first request if zero
-	Logger      hclog.Logger
-	Metrics     *Metrics                                           // not counted if nil
-	Arrived     func(service string, n backend.Need, priority int) // called for each request; may be nil
+	Places         Places
+	Nodes          func() int // nodes that share the retry budget, zero while unknown; 1 if nil
+	Budget         BudgetConfig
+	Lender         Lender    // lends retries when this node's share is spent; may be nil
+	BudgetStart    time.Time // when this node's slack began to fill; the first request if zero
+	Logger         hclog.Logger
+	Metrics        *Metrics                                           // not counted if nil
+	RequestArrived func(service string, n backend.Need, priority int) // called for each request; may be nil
 
 	splits  route.Splitter
 	budgets budgets
 	mixes   mixes
 	borrowing
 	streams    streamTable
-	coldRation backpressure.Ration // for cold servers
-	localSlots backpressure.Ration // for rate-limited servers while nobody grants slots
+	coldRation backpressure.Ration // limits requests to cold servers
+	localSlots backpressure.Ration // limits requests to rate-limited servers while nobody grants slots
 	active     activeRequests
 	inFlight   atomic.Int64
 	stop       atomic.Pointer[stopPlan]
--- a/pkg/relay/relay_test.go
+++ b/pkg/relay/relay_test.go
@@ -44,7 +44,7 @@
 		name   string
 		kind   route.Kind
 		first  answerer
-		status int // at the caller
+		status int // status that the caller receives
 		runs   int // requests received by servers
 	}{
 		{"unsafe is not repeated after a reset", route.Unsafe, reset, http.StatusBadGateway, 1},
@@ -189,8 +189,9 @@
 	}
 }
 
-// TestNoTableIsNoRoute checks that a node without a configuration answers 503, not 404.
-func TestNoTableIsNoRoute(t *testing.T) {
+// TestRequestsBeforeAnyTableAreUnavailable checks that a node without a configuration answers 503,
+// not 404.
+func TestRequestsBeforeAnyTableAreUnavailable(t *testing.T) {
 	s := newSite(t, route.Route{Kind: route.Unsafe}, sealed(http.StatusOK, "ok"))
 	r := s.request(t.Context(), http.MethodGet, "/other/", "id", "")
 	if got := s.do(r); got.status != http.StatusNotFound {
--- a/pkg/relay/resume.go
+++ b/pkg/relay/resume.go
@@ -27,8 +27,8 @@
 // adds a request to servers short of capacity, and usually the next one refuses as well.
 const maxFailedMoves = 3
 
-// addLine adds an entry for the log.
-func (r *activeStream) addLine(l moveLine) {
+// addLogLine adds an entry for the log.
+func (r *activeStream) addLogLine(l moveLine) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.lines) < maxMoveLines {
@@ -60,7 +60,7 @@
 		return false
 	}
 	r.mu.Lock()
-	r.over = true
+	r.ended = true
 	moving := r.moving
 	r.mu.Unlock()
 	if moving != nil {
@@ -125,7 +125,7 @@
 	c.handedOver = nil
 	defer c.finishMove(r)
 	h := &r.handover
-	if c.record.lastEnded() { // a run at a crashed server does not count
+	if c.record.lastServerCrashed() { // a run at a crashed server does not count
 		c.runs--
 		h.Stopped = true
 	}
@@ -200,7 +200,7 @@
 	if step == migration.ResumeAtTarget && (o == migration.Refused || o == migration.NoAnswer) {
 		c.failedMoves++
 	}
-	r.addLine(moveLine{From: r.source.ID, To: r.serverFor(step).ID, Step: step.String(), Events: c.resumption.events,
+	r.addLogLine(moveLine{From: r.source.ID, To: r.serverFor(step).ID, Step: step.String(), Events: c.resumption.events,
 		TookMS: c.relay.Time.Since(began).Milliseconds(), Outcome: o.String()})
 	c.sends, c.runs, c.resumption = sends, runs, resumption{}
 	return v, err, v == aborted || o == migration.Done || o == migration.StreamBroke
--- a/pkg/relay/slack.go
+++ b/pkg/relay/slack.go
@@ -70,7 +70,7 @@
 
 // Lender lends retries, as the coordinator does.
 type Lender interface {
-	Borrow(ctx context.Context, service string) (bool, error)
+	BorrowRetry(ctx context.Context, service string) (bool, error)
 }
 
 // Times of borrowing. A retry that has to wait longer is of little use to the caller. An empty pool
@@ -116,7 +116,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, borrowTimeout)
 	defer cancel()
-	lent, err := r.Lender.Borrow(ctx, c.service)
+	lent, err := r.Lender.BorrowRetry(ctx, c.service)
 	if err != nil || !lent {
 		r.borrowing.refused(r.Time.Now(), c.service)
 		r.Logger.Info("no retry lent", "request_id", c.id, "service", c.service, "error", err)
--- a/pkg/relay/slots.go
+++ b/pkg/relay/slots.go
@@ -14,9 +14,9 @@
 
 // Slots coordinates the requests of all nodes at servers that limit their request rate.
 type Slots interface {
-	// TakeSlot asks for a slot at one of some servers within a time. If the coordinator could not
+	// RequestSlot asks for a slot at one of some servers within a time. If the coordinator could not
 	// be asked, it returns an error and the slot is not valid.
-	TakeSlot(ctx context.Context, asks []backpressure.Ask, within time.Duration) (backpressure.Slot, error)
+	RequestSlot(ctx context.Context, asks []backpressure.Ask, within time.Duration) (backpressure.Slot, error)
 }
 
 // errNoSlot keeps a request from a rate-limited server: the server announced its limit a moment
@@ -48,7 +48,7 @@
 type slotRecord struct {
 	asked  bool
 	last   backpressure.Slot
-	waited time.Duration // total
+	waited time.Duration // total time of waiting for slots
 	err    error         // why the coordinator could not be asked the last time
 }
 
@@ -77,7 +77,7 @@
 		return nil, chooseAgain
 	}
 	if c.need.Model != "" { // so that another server loads the model as well
-		go c.requestLoad(context.WithoutCancel(ctx), shortage{short: m.ID, shortFor: backpressure.MaxWait}, make(chan wakeResult, 1))
+		go c.requestLoad(context.WithoutCancel(ctx), shortage{short: m.ID, shortFor: backpressure.MaxWait}, make(chan loadResult, 1))
 	}
 	c.refuse(c.notServed(reasonLimited, max(s.Wait, defaultRetryAfter)))
 	return nil, wasRefused
@@ -164,7 +164,7 @@
 	note := &c.record.slot
 	note.asked, note.err = true, errNoSlots
 	if c.relay.Slots != nil {
-		note.last, note.err = c.relay.Slots.TakeSlot(ctx, asks, within)
+		note.last, note.err = c.relay.Slots.RequestSlot(ctx, asks, within)
 	}
 	if note.err != nil {
 		note.last = c.relay.localSlot(asks)
--- a/pkg/relay/stream_test.go
+++ b/pkg/relay/stream_test.go
@@ -57,7 +57,7 @@
 	_ = conn.Close()
 }
 
-// halfEvent breaks off within an event.
+// halfEvent writes part of an event and resets the connection.
 func halfEvent(conn net.Conn) {
 	_, _ = io.WriteString(conn, "10\r\nid: 4\ndata: piec\r\n")
 	resetConnection(conn)
@@ -186,10 +186,10 @@
 	}
 }
 
-// lateWaker reports that a model will be ready after the target of the test's route.
-type lateWaker struct{}
+// slowLoader reports that a model will be ready after the target of the test's route.
+type slowLoader struct{}
 
-func (lateWaker) Wake(context.Context, LoadRequest) (LoadStatus, error) {
+func (slowLoader) RequestLoad(context.Context, LoadRequest) (LoadStatus, error) {
 	return LoadStatus{ReadyIn: 3 * time.Second}, nil
 }
 
@@ -204,7 +204,7 @@
 		resetConnection(conn)
 	}
 	s = newSite(t, r, events(3, 8, goneThenCut), events(8, 8, nil))
-	s.relay.Waker = lateWaker{}
+	s.relay.Loader = slowLoader{}
 	s.servers[0].Models = []backend.Holding{{Model: "m"}}
 	s.relay.Servers.Replace(s.servers, 2)
 	request := s.request(t.Context(), http.MethodPost, "/p/x", "id", "x")
--- a/pkg/site/limiter.go
+++ b/pkg/site/limiter.go
@@ -34,7 +34,7 @@
 	if table == nil {
 		return
 	}
-	nodes := max(len(s.Nodes()), s.member.Fleet(), 1)
+	nodes := max(len(s.Nodes()), s.member.FleetSize(), 1)
 	for _, m := range s.Servers.Snapshot().Members() {
 		service := table.Service(m.Service)
 		if service == nil || service.MaxConnections <= 0 {
--- a/pkg/site/operator.go
+++ b/pkg/site/operator.go
@@ -51,12 +51,12 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if !s.member.Lift(f) {
+	if !s.member.LiftQuarantine(f) {
 		http.Error(w, "no servers are known to have ended under this request", http.StatusNotFound)
 	}
 }
 
-// fromThisMachine tells whether a request came from the same IP address that it was sent to, or over
+// fromThisMachine reports whether a request came from the same IP address that it was sent to, or over
 // loopback.
 func fromThisMachine(r *http.Request) bool {
 	from, _, err := net.SplitHostPort(r.RemoteAddr)
--- a/pkg/site/site.go
+++ b/pkg/site/site.go
@@ -40,7 +40,7 @@
 	Routes  func() *route.Table
 	// Configured is called with the version of the lease holder's configuration; may be nil.
 	Configured func(version uint64)
-	Keys       relay.KeyAge
+	Keys       relay.KeyAge      // limits the age of the key table by which requests are admitted
 	Clock      *storeclock.Clock // the store's clock
 	Servers    *backend.Directory
 	Store      lease.Store
@@ -49,10 +49,10 @@
 	Mover      relay.Mover // moves running streams between servers; nil: streams are not moved
 	// DrainTime is how long a draining server keeps serving at least; zero: unknown.
 	DrainTime     time.Duration
-	HandoverPause time.Duration // pause between the orders of two successive lease holders to one server
-	Fenced        bool          // servers refuse orders of lower terms than the highest they have seen
-	Ceiling       coordinator.Ceiling
-	Budget        relay.BudgetConfig
+	HandoverPause time.Duration       // pause between the orders of two successive lease holders to one server
+	Fenced        bool                // servers refuse orders of lower terms than the highest they have seen
+	Ceiling       coordinator.Ceiling // limits loads from the weight store
+	Budget        relay.BudgetConfig  // limits retries at another server, over all nodes
 	// Tolerance is how far tenants' quotas may be exceeded.
 	Tolerance quota.Tolerance
 	// Regions maps each zone to its region; nil: unknown.
@@ -72,7 +72,7 @@
 	watched  atomic.Pointer[watchedNodes]
 }
 
-// Ready tells whether this node can serve callers.
+// Ready reports whether this node can serve callers.
 func (s *Site) Ready() bool {
 	return !s.stopping.Load() && s.Routes() != nil && s.Servers.Known()
 }
@@ -130,26 +130,26 @@
 		Self: s.Self, Lease: l, Holder: holder, Transport: transport, Servers: s.Servers, Clock: s.Clock, Quarantine: known, Configured: s.Configured,
 		Logger: s.Logger.Named("member"),
 	}
-	s.Servers.OnSignalChange = s.member.Heard
-	holder.Nodes, holder.HolderSilence, holder.KnownScarce = s.member.Nodes, s.member.HolderSilence, s.member.KnownScarce
+	s.Servers.OnSignalChange = s.member.SignalsChanged
+	holder.Nodes, holder.HolderSilence, holder.ScarceTenants = s.member.Nodes, s.member.HolderSilence, s.member.ScarceTenants
 	s.hub = &watch.Hub{
-		Self: watchNode(s.Self), Nodes: s.watchNodes, Known: s.member.Known, Transport: transport,
+		Self: watchNode(s.Self), Nodes: s.watchNodes, Known: s.member.NodesKnown, Transport: transport,
 		Tables: s.Tables, FirstStart: s.FirstStart, Logger: s.Logger.Named("watch"),
 		NeedsWhole: func() bool { _, held := l.Held(); return held },
 	}
 	holder.Complete = s.tablesComplete
 	s.member.NearestFullNode, s.member.EnsureServers = s.nearestFullNode, s.ensureServers
-	l.Fleet, l.AllowOffline = holder.Fleet, holder.MayContinueOffline
+	l.Fleet, l.AllowOffline = holder.FleetSize, holder.MayContinueOffline
 	l.Quarantine = func(recorded []quarantine.Aged) []quarantine.Aged { return known.MergeStored(clock.Now(), recorded) }
 	l.Quotas = holder.QuotaBalances
 	l.FirstStart, l.TakeoverDelay = s.FirstStart, s.takeoverDelay
-	l.Eager = func() bool { return s.member.Known() && s.hub.Watching() }
+	l.Eager = func() bool { return s.member.NodesKnown() && s.hub.Watching() }
 	s.member.Candidate = s.hub.Watching
 	s.relay = &relay.Relay{
-		Headers: s.Headers, Node: s.Self.Name, Zone: s.Self.Zone, Regions: s.Regions, Routes: s.Routes, Keys: s.Keys, Quotas: s.member, Servers: s.Servers, Waker: s.member,
+		Headers: s.Headers, Node: s.Self.Name, Zone: s.Self.Zone, Regions: s.Regions, Routes: s.Routes, Keys: s.Keys, Quotas: s.member, Servers: s.Servers, Loader: s.member,
 		Quarantine: s.member, Slots: s.member, Places: s.member, Mover: s.Mover, DrainTime: s.DrainTime,
-		Nodes: s.member.Fleet, Budget: s.Budget, Lender: s.member, BudgetStart: s.budgetStart(clock.Now()), Logger: s.Logger.Named("relay"),
-		Metrics: relay.NewMetrics(s.Registry), Arrived: s.member.Arrived,
+		Nodes: s.member.FleetSize, Budget: s.Budget, Lender: s.member, BudgetStart: s.budgetStart(clock.Now()), Logger: s.Logger.Named("relay"),
+		Metrics: relay.NewMetrics(s.Registry), RequestArrived: s.member.RequestArrived,
 	}
 	return l, holder, transport
 }
@@ -171,7 +171,7 @@
 // takeoverDelay returns how long this node leaves a free lease to more powerful nodes.
 func (s *Site) takeoverDelay() time.Duration {
 	most := defaultPower
-	if s.member.Known() {
+	if s.member.NodesKnown() {
 		most = s.Self.Power
 		for _, n := range s.member.Nodes() {
 			most = max(most, n.Power)
@@ -180,13 +180,13 @@
 	return time.Duration(float64(maxTakeoverDelay) * max(1-s.Self.Power/max(most, minPower), 0))
 }
 
-// CPU power in cores.
+// CPU power of a node, in cores.
 const (
 	defaultPower = 1.0  // assumed for other nodes while none are known
-	minPower     = 0.01 // lower bound of the most powerful node, to avoid a division by zero
+	minPower     = 0.01 // lower bound of the highest known power, to avoid a division by zero
 )
 
-// tablesComplete tells whether this node has all rows of all tables.
+// tablesComplete reports whether this node has all rows of all tables.
 func (s *Site) tablesComplete() bool {
 	for _, t := range s.Tables {
 		if !t.Whole() {
--- a/pkg/site/suspension_test.go
+++ b/pkg/site/suspension_test.go
@@ -91,7 +91,7 @@
 		}
 		return l, store
 	}
-	for name, believe := range map[string]func(t *testing.T, c clock.Clock) (still func() bool){
+	for name, setUp := range map[string]func(t *testing.T, c clock.Clock) (isValid func() bool){
 		"a lease": func(t *testing.T, c clock.Clock) func() bool {
 			l, store := holder(t, c)
 			store.disconnect() // so that the lease is not renewed during the suspension
@@ -116,14 +116,14 @@
 			table.Replace(watch.Page{Version: 1}, 0)
 			return func() bool { return table.Age() < sleep }
 		},
-		"a server that holds a model, by the holder's word": func(_ *testing.T, c clock.Clock) func() bool {
+		"a server that holds a model, as the holder reports": func(_ *testing.T, c clock.Clock) func() bool {
 			servers := &backend.Directory{Time: c}
 			servers.Replace([]*backend.Server{{ID: "i-1", Service: "s"}}, 1)
 			need := backend.Need{Model: "m"}
 			servers.OverrideHolding("i-1", need, true, now(c).Add(5*time.Second))
 			return func() bool { return servers.Snapshot().Member("i-1").Serves(now(c), need) }
 		},
-		"a holder's word on quotas": func(_ *testing.T, c clock.Clock) func() bool {
+		"a holder's report on quotas": func(_ *testing.T, c clock.Clock) func() bool {
 			ledger := &quota.Ledger{}
 			ledger.UpdateScarce(now(c), nil)
 			of := &tenant.Tenant{Name: "t", Quota: tenant.Quota{PerSecond: 1000, Burst: 1000}}
@@ -140,19 +140,19 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				var machine suspendableClock
-				still := believe(t, machine.steady)
+				isValid := setUp(t, machine.steady)
 				machine.suspend(sleep)
-				if !still() {
+				if !isValid() {
 					t.Error("it expired with a clock that stops during a suspension, so that the check proves nothing")
 				}
 			})
 			synctest.Test(t, func(t *testing.T) {
-				still := believe(t, time.Now)
-				if !still() {
+				isValid := setUp(t, time.Now)
+				if !isValid() {
 					t.Error("it was not valid before the suspension")
 				}
 				time.Sleep(sleep)
-				if still() {
+				if isValid() {
 					t.Error("it is still valid after the suspension")
 				}
 			})
--- a/pkg/standin/engine_state_test.go
+++ b/pkg/standin/engine_state_test.go
@@ -71,9 +71,9 @@
 		{"at the raised fence", load("6", 30, "c"), 0, engine.OrderStaleFence},
 		{"last one after the raise", load("5", 21, "b"), 0, engine.OrderStaleFence},
 		{"inventory does not lower", engine.Order{}, 5, ""},
-		{"for an earlier life", forInstance("gone", load("6", 31, "c")), 0, engine.OrderWrongInstance},
+		{"for an earlier incarnation", forInstance("gone", load("6", 31, "c")), 0, engine.OrderWrongInstance},
 		{"above", load("7", 31, "c"), 0, engine.OrderAccepted},
-		{"for this life", forInstance(state.instance, load("7b", 32, "f")), 0, engine.OrderAccepted},
+		{"for this incarnation", forInstance(state.instance, load("7b", 32, "f")), 0, engine.OrderAccepted},
 		{"same term", load("8", api.MakeFence(0, 99), "d"), 0, engine.OrderAccepted},
 		{"higher term, lower sequence", load("9", api.MakeFence(1, 1), "e"), 0, engine.OrderAccepted},
 	}
--- a/pkg/standin/server.go
+++ b/pkg/standin/server.go
@@ -115,7 +115,7 @@
 	if s.config.Platform == "" {
 		return nil
 	}
-	return errors.Wrap(registerMachine(ctx, s.config.Platform, s.Machine(state)), "tell the platform")
+	return errors.Wrap(registerMachine(ctx, s.config.Platform, s.Machine(state)), "register with the platform")
 }
 
 // keepRegistering retries until the platform has listed the engine.
--- a/pkg/traffic/collector.go
+++ b/pkg/traffic/collector.go
@@ -5,7 +5,7 @@
 // Metrics of a node's traffic, by model.
 var (
 	waitingDesc = prometheus.NewDesc("martenwheel_requests_waiting",
-		"Requests that wait for a place on a replica.", []string{"model"}, nil)
+		"Requests that wait for a slot on a replica.", []string{"model"}, nil)
 	runningDesc = prometheus.NewDesc("martenwheel_requests_running",
 		"Requests of this node that run on a replica.", []string{"model"}, nil)
 	grantedDesc = prometheus.NewDesc("martenwheel_places_granted_total",
--- a/pkg/traffic/concurrency_test.go
+++ b/pkg/traffic/concurrency_test.go
@@ -70,10 +70,10 @@
 		mustAcquire(t, router, ask(time.Minute)).Done(served(time.Millisecond))
 		pool := router.poolOf(&before)
 		request := ask(time.Minute)
-		for place := range 2 {
+		for slot := range 2 {
 			answer := pool.arrive(time.Now(), before, &request, attempts{})
 			if answer.grant == nil {
-				t.Fatalf("slot %d of 2 not granted; the settings before the edit are in force", place+1)
+				t.Fatalf("slot %d of 2 not granted; the settings before the edit are in force", slot+1)
 			}
 			defer answer.grant.Done(served(time.Millisecond))
 		}
--- a/pkg/traffic/forecast.go
+++ b/pkg/traffic/forecast.go
@@ -6,7 +6,7 @@
 type forecast struct {
 	now             time.Time
 	ready           bool          // whether a replica serves
-	loadedAt        time.Time     // when the next replica will be ready; zero: none or unknown
+	nextReadyAt     time.Time     // when the next replica will be ready; zero: none or unknown
 	running         int           // slots in use, if ready
 	slotsPerReplica int           // slots of the replica that is being loaded
 	holdTime        time.Duration // mean time that a request holds its slot; zero: not measured
@@ -39,25 +39,25 @@
 	if soonest := f.now.Add(time.Duration(ahead) * interval); start.Before(soonest) {
 		start = soonest
 	}
-	if !f.loadedAt.After(f.now) || !f.loadedAt.Before(start) {
+	if !f.nextReadyAt.After(f.now) || !f.nextReadyAt.Before(start) {
 		return start, true
 	}
-	left := ahead + 1 - int(f.loadedAt.Sub(f.now)/interval) - f.slotsPerReplica
+	left := ahead + 1 - int(f.nextReadyAt.Sub(f.now)/interval) - f.slotsPerReplica
 	if left <= 0 {
-		return f.loadedAt, true
+		return f.nextReadyAt, true
 	}
 	faster := f.holdTime / time.Duration(max(1, f.running+f.slotsPerReplica))
-	return f.loadedAt.Add(time.Duration(left) * faster), true
+	return f.nextReadyAt.Add(time.Duration(left) * faster), true
 }
 
 // startAfterLoad is startAt for a model without a replica. The end of an overdue load
 // is unknown.
 func (f forecast) startAfterLoad(ahead int) (time.Time, bool) {
-	if !f.loadedAt.After(f.now) {
+	if !f.nextReadyAt.After(f.now) {
 		return time.Time{}, false
 	}
 	rounds := ahead / max(1, f.slotsPerReplica)
-	return f.loadedAt.Add(time.Duration(rounds) * f.holdTime), true
+	return f.nextReadyAt.Add(time.Duration(rounds) * f.holdTime), true
 }
 
 // refusal returns a refusal if a request with ahead others before it can't get its first
--- a/pkg/traffic/limit/table.go
+++ b/pkg/traffic/limit/table.go
@@ -81,7 +81,7 @@
 	return table
 }
 
-// Take takes a request with so many tokens out of the bucket. If the bucket does not
+// Take takes one request and its tokens out of the bucket. If the bucket does not
 // hold enough, Take takes nothing and returns the time until it does. A request of more
 // tokens than the bucket can hold waits for a full bucket and empties it.
 func (t *Table) Take(now time.Time, key Key, tokens int) (time.Duration, bool) {
--- a/pkg/traffic/model.go
+++ b/pkg/traffic/model.go
@@ -92,9 +92,9 @@
 	return false
 }
 
-// loadedAt returns the earliest time at which a replica that is being loaded is expected
+// nextReadyAt returns the earliest time at which a replica that is being loaded is expected
 // to be ready, as the directory gives it, or zero.
-func (s *modelState) loadedAt() time.Time {
+func (s *modelState) nextReadyAt() time.Time {
 	var earliest time.Time
 	for index := range s.replicas {
 		loading := &s.replicas[index]
--- a/pkg/traffic/place.go
+++ b/pkg/traffic/place.go
@@ -247,7 +247,7 @@
 	f := forecast{
 		now:             now,
 		ready:           state.anyServes(now),
-		loadedAt:        state.loadedAt(),
+		nextReadyAt:     state.nextReadyAt(),
 		running:         state.throughput.running,
 		slotsPerReplica: state.model.Settings.MaxConcurrency,
 		holdTime:        state.throughput.expectedHoldTime(now),
@@ -265,11 +265,11 @@
 	state.answer.update(now, estimate)
 	if estimate.Accepted {
 		if estimate.ReadyBy.After(now) {
-			f.loadedAt = estimate.ReadyBy
+			f.nextReadyAt = estimate.ReadyBy
 		}
 		return f
 	}
-	if !f.loadedAt.IsZero() {
+	if !f.nextReadyAt.IsZero() {
 		return f
 	}
 	f.retryAfter, f.rejected = state.answer.rejection(now, state.demand.wokenAt)
--- a/pkg/traffic/routing/routing.go
+++ b/pkg/traffic/routing/routing.go
@@ -35,7 +35,7 @@
 	Tokens, MaxTokens     int
 }
 
-// HasRoom reports whether another request with so many tokens is within both limits.
+// HasRoom reports whether another request with the given number of tokens is within both limits.
 func (u Usage) HasRoom(tokens int) bool {
 	if u.MaxRequests > 0 && u.Requests >= u.MaxRequests {
 		return false
@@ -62,7 +62,7 @@
 	Connected     bool    // whether an idle connection to the server is open
 	Slowness      float64 // speed of the fastest server divided by the server's; zero: unknown
 	Affinity      float64 // from 0 to 1: affinity of the prompt's shared parts to the server, see package affinity
-	Lane          float64 // from 0 to 1: how well it fits the request's lane, see package affinity
+	Lane          float64 // from 0 to 1: how well it fits the request's lane (short or long prompts), see package affinity
 }
 
 // Filter drops candidates that must not get the request.
--- a/pkg/tree/keys.go
+++ b/pkg/tree/keys.go
@@ -66,7 +66,6 @@
 	rootOnly       = []Level{LevelRoot}
 )
 
-// Bounds of byte sizes and counts.
 // Bounds of byte sizes and counts.
 const (
 	mebibyte          = 1 << 20
--- a/pkg/tree/property_test.go
+++ b/pkg/tree/property_test.go
@@ -13,7 +13,7 @@
 // propertySeed is fixed so that each run has the same result. gopter prints it with a failure.
 const propertySeed = 20260730
 
-// checkProperty checks a property with 200 random sources. A source makes the trees.
+// checkProperty checks that a property holds for 200 seeds. holds builds its random trees with random.
 func checkProperty(t *testing.T, name string, holds func(random *rand.Rand) bool) {
 	t.Helper()
 	parameters := gopter.DefaultTestParametersWithSeed(propertySeed)
--- a/pkg/tree/store.go
+++ b/pkg/tree/store.go
@@ -26,9 +26,9 @@
 	SnapshotEvery = 100
 	// maxAttempts is the maximum number of attempts of one commit. An attempt is repeated if it loses
 	// against another operator, is throttled, or has an unknown outcome.
-	maxAttempts = 10
-	firstPause  = 50 * time.Millisecond
-	maxPause    = 2 * time.Second
+	maxAttempts    = 10
+	initialBackoff = 50 * time.Millisecond
+	maxBackoff     = 2 * time.Second
 )
 
 // Store keeps the tree in the platform's services: each change is a record of the table service, and
@@ -193,7 +193,7 @@
 
 // backoff returns the pause before an attempt: exponential with full jitter.
 func backoff(attempt int) time.Duration {
-	bound := min(firstPause<<attempt, maxPause)
+	bound := min(initialBackoff<<attempt, maxBackoff)
 	return time.Duration(rand.Int64N(int64(bound)))
 }
 
--- a/pkg/tree/tree_test.go
+++ b/pkg/tree/tree_test.go
@@ -157,7 +157,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	thaw := Edit{Path: "/assistant/llama", Key: "operators_may_edit", Unset: true}
+	unfreeze := Edit{Path: "/assistant/llama", Key: "operators_may_edit", Unset: true}
 	edit := Edit{Path: "/assistant/llama/kiln-7b", Key: "keep_alive", Value: "1m"}
 	cases := []struct {
 		name  string
@@ -168,7 +168,7 @@
 		{"itself", []Edit{{Path: "/assistant/llama", Key: "memory", Value: "8GiB"}}, "/assistant/llama memory: is frozen"},
 		{"removal from above", []Edit{{Path: "/assistant", Remove: true}}, "/assistant: is frozen by operators_may_edit at /assistant/llama"},
 		{"beside", []Edit{{Path: "/booking", Key: "keep_alive", Value: "1m"}}, ""},
-		{"made editable first", []Edit{thaw, edit}, ""},
+		{"made editable first", []Edit{unfreeze, edit}, ""},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
--- a/pkg/watch/breaker_test.go
+++ b/pkg/watch/breaker_test.go
@@ -12,11 +12,11 @@
 // continue once it gets an answer.
 func TestBreaker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const callers, away, took = 3, 10 * time.Second, 100 * time.Millisecond
+		const callers, outage, took = 3, 10 * time.Second, 100 * time.Millisecond
 		var b breaker
 		var calls, served, probes atomic.Int64
 		ctx, cancel := context.WithCancel(t.Context())
-		back := time.Now().Add(away)
+		back := time.Now().Add(outage)
 		for range callers {
 			go func() {
 				for {
@@ -40,10 +40,10 @@
 				}
 			}()
 		}
-		time.Sleep(away)
+		time.Sleep(outage)
 		// All callers fail once; then one asks after pauses of at least half of maxRetryPause.
-		if n := calls.Load(); n < 5 || n > callers+int64(away/(maxRetryPause/2+took)) {
-			t.Errorf("%d calls by %d callers in %v", n, callers, away)
+		if n := calls.Load(); n < 5 || n > callers+int64(outage/(maxRetryPause/2+took)) {
+			t.Errorf("%d calls by %d callers in %v", n, callers, outage)
 		}
 		if probes.Load() == 0 {
 			t.Error("no call was a probe")
--- a/pkg/watch/hub.go
+++ b/pkg/watch/hub.go
@@ -22,14 +22,14 @@
 	Zone  string
 	Peers string  // IP:port for other nodes
 	Power float64 // relative strength of the machine
-	// Follows tells that the node subscribes to other nodes. Nodes of earlier builds don't, and get all
+	// Follows reports whether the node subscribes to other nodes. Nodes of earlier builds don't, and get all
 	// changes unasked.
 	Follows bool
 	Leaving bool // it stops soon
 }
 
-// News has all changes of a table between two versions. Without records it tells that nothing changed between
-// them.
+// News has all changes of a table between two versions. Without records it reports that nothing changed
+// between them.
 type News struct {
 	Table   string
 	After   revision.Revision // version before the changes
@@ -90,7 +90,7 @@
 	// readers send them, and ask the store only if the readers don't confirm the rows.
 	Readers = 2
 
-	heartbeatInterval = 400 * time.Millisecond // between messages that tell that nothing changed
+	heartbeatInterval = 400 * time.Millisecond // between messages that confirm an unchanged table
 	pullTimeout       = 700 * time.Millisecond // of one Pull
 	// firstStartWait is how long the nodes of a site that starts wait for its watchers. A node that starts
 	// beside others and knows them waits as long for them. In this time a holder appears, all nodes send it a
@@ -112,8 +112,8 @@
 	Known     func() bool   // whether Nodes returns the list that the site's holder reported
 	Transport peer.Transport
 	Tables    []*Table
-	// FirstStart tells that the whole site starts for the first time. The other nodes then leave the store to
-	// the watchers until those have had the time to send what they read.
+	// FirstStart reports whether the whole site starts for the first time. The other nodes then leave the
+	// store to the watchers until those have had the time to send what they read.
 	FirstStart bool
 	NeedsWhole func() bool // whether this node needs all rows of all tables; nil: it does not
 	Logger     hclog.Logger
--- a/pkg/watch/lag_test.go
+++ b/pkg/watch/lag_test.go
@@ -229,9 +229,9 @@
 	}
 }
 
-// TestLateNewsIsNotTakenForFresh checks that a node whose news is late reads the store itself, so that
+// TestNodeWithLateNewsReadsTheStore checks that a node whose news is late reads the store itself, so that
 // changes arrive there within the bound.
-func TestLateNewsIsNotTakenForFresh(t *testing.T) {
+func TestNodeWithLateNewsReadsTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &faultySite{calm: true, late: make(map[string]time.Duration)}
 		ctx, cancel := context.WithCancel(context.Background())
@@ -259,7 +259,7 @@
 	r := &faultySite{random: rand.New(rand.NewPCG(seed, 1))}
 	ctx, cancel := context.WithCancel(context.Background())
 	names, tables, values := startFaultySite(ctx, r, SmallSite+3)
-	claims := 0
+	shortLags := 0
 	for step := range 1200 { // of 50 ms
 		time.Sleep(50 * time.Millisecond)
 		if step%17 == 0 {
@@ -269,17 +269,18 @@
 			r.injectFault(names)
 		}
 		for name, table := range tables {
-			claims += r.check(t, name, table, values[name])
+			shortLags += r.check(t, name, table, values[name])
 		}
 	}
-	if claims < 600*len(names) {
-		t.Errorf("only %d times a node had a lag below %v", claims, 3*bound)
+	if shortLags < 600*len(names) {
+		t.Errorf("only %d times a node had a lag below %v", shortLags, 3*bound)
 	}
 	cancel()
 	time.Sleep(20 * time.Second) // lets calls in progress end
 }
 
-// check compares a node's rows with its lag. It returns 1 if the lag is short.
+// check fails the test if a node lacks a change that is older than its lag. It returns 1 if the lag is known
+// and below 3*bound, and 0 otherwise.
 func (r *faultySite) check(t *testing.T, name string, table *Table, value func() int) int {
 	now := time.Now()
 	lag, known := table.Lag()
--- a/pkg/watch/late_test.go
+++ b/pkg/watch/late_feeds_test.go
@@ -40,7 +40,7 @@
 		members, _ := start(t, store, 3, func(h *Hub) {
 			h.Tables[0].Source = slowLink{h.Tables[0].Source.(storeClient)}
 		})
-		inForce(t, members, "a", "1")
+		awaitValue(t, members, "a", "1")
 		store.mu.Lock()
 		for _, m := range members {
 			store.refused[m.hub.Self.Name] = true
@@ -54,9 +54,9 @@
 		store.mu.Lock()
 		clear(store.refused)
 		store.mu.Unlock()
-		if took := inForce(t, members, "a", "2"); took > 3*bound {
+		if took := awaitValue(t, members, "a", "2"); took > 3*bound {
 			t.Errorf("the change arrived %v after the store answered again", took)
 		}
-		stopAtEnd()
+		stopSite()
 	})
 }
--- a/pkg/watch/restored_test.go
+++ b/pkg/watch/restored_test.go
@@ -26,7 +26,7 @@
 func (s *restorableStore) currentRevision() revision.Revision {
 	r, err := revision.New(s.epoch, s.number)
 	if err != nil {
-		panic(err) // a fault of the test
+		panic(err) // an error of the test
 	}
 	return r
 }
@@ -267,12 +267,12 @@
 				table := newTableOf(s)
 				table.Clock = &store
 				table.Replace(page(), 0)
-				const away = 2 * time.Second
-				time.Sleep(away)
+				const outage = 2 * time.Second
+				time.Sleep(outage)
 				s.restore(s.backups[0])
 				began = began.Add(back)
 				table.Replace(page(), 0)
-				if lag, known := table.Lag(); known && lag < away || known != (back == 0) {
+				if lag, known := table.Lag(); known && lag < outage || known != (back == 0) {
 					t.Errorf("after the restore the lag is %v, known %t", lag, known)
 				}
 				if age := table.Age(); age > time.Second {
@@ -281,7 +281,7 @@
 				time.Sleep(keepLostTime + time.Millisecond)
 				table.expireRestoreState()
 				store.Observe(time.Now(), stamp()) // as by answers about other tables
-				if lag, known := table.Lag(); known && lag < away+keepLostTime {
+				if lag, known := table.Lag(); known && lag < outage+keepLostTime {
 					t.Errorf("the rows were not read again, but the lag is only %v", lag)
 				}
 				table.Replace(page(), 0)
--- a/pkg/watch/restored_tree_test.go
+++ b/pkg/watch/restored_tree_test.go
@@ -57,7 +57,7 @@
 				for i := range 50 {
 					f.store.put(rowKey(i), "lost")
 				}
-				f.inForce(t, f.members, rowKey(49), "lost")
+				f.awaitValue(t, f.members, rowKey(49), "lost")
 				time.Sleep(2 * time.Second)
 				cut := f.members[len(f.members)-1].hub.Self.Name
 				all := make(map[string]bool)
@@ -77,7 +77,7 @@
 				time.Sleep(bound / 2) // by then nodes that back off have asked the store again
 				f.store.put(rowKey(0), "after")
 				others := slices.DeleteFunc(slices.Clone(f.members), func(m *member) bool { return m.hub.Self.Name == cut })
-				took := f.inForce(t, others, rowKey(0), "after")
+				took := f.awaitValue(t, others, rowKey(0), "after")
 				if took > bound {
 					t.Errorf("the change arrived after %v, bound %v", took, bound)
 				}
@@ -92,10 +92,10 @@
 				f.net.deaf[cut] = false
 				f.net.mu.Unlock()
 				f.store.refuse(nil)
-				f.inForce(t, f.members, rowKey(0), "after")
+				f.awaitValue(t, f.members, rowKey(0), "after")
 				time.Sleep(holdBackTime + keepLostTime)
 				f.store.put(rowKey(1), "later")
-				f.inForce(t, f.members, rowKey(1), "later")
+				f.awaitValue(t, f.members, rowKey(1), "later")
 				for _, m := range f.members {
 					f.checkAgainstStore(t, m)
 				}
