--- a/pkg/watch/tree_test.go
+++ b/pkg/watch/tree_test.go
@@ -206,8 +206,8 @@
 	return string(table.rows[key].Value)
 }
 
-// inForce waits until all given nodes that hold a row have its value, and returns the time it took.
-func (f *fleet) inForce(t *testing.T, members []*member, key, want string) time.Duration {
+// awaitValue waits until all given nodes that hold a row have its value, and returns the time it took.
+func (f *fleet) awaitValue(t *testing.T, members []*member, key, want string) time.Duration {
 	t.Helper()
 	began := time.Now()
 	for _, m := range members {
@@ -322,14 +322,14 @@
 	const small = 120
 	a, b := measureLoad(t, small), measureLoad(t, 3*small)
 	t.Logf("%d nodes: %+v; %d: %+v", small, a, 3*small, b)
-	const flat = 1.25 // the nodes' shares of the rows differ a little
+	const noGrowth = 1.25 // the nodes' shares of the rows differ a little
 	for _, c := range []struct {
 		name   string
 		before int
 		after  int
 		most   float64
 	}{
-		{"rows", a.rows, b.rows, flat}, {"messages", a.messages, b.messages, flat}, {"bytes", a.bytes, b.bytes, flat},
+		{"rows", a.rows, b.rows, noGrowth}, {"messages", a.messages, b.messages, noGrowth}, {"bytes", a.bytes, b.bytes, noGrowth},
 		// Each relay gets all changes, and there are three times as many of both.
 		{"the busiest node's bytes by relay", a.busiest, b.busiest, 3 * 3}, {"bytes between zones", a.crossZone, b.crossZone, 3 * 3},
 	} {
@@ -366,7 +366,7 @@
 					time.Sleep(time.Second)
 					value := fmt.Sprint("round ", round)
 					f.store.put(rowKey(round), value)
-					if took := f.inForce(t, f.members, rowKey(round), value); took > bound {
+					if took := f.awaitValue(t, f.members, rowKey(round), value); took > bound {
 						t.Errorf("the change arrived after %v", took)
 					}
 				}
@@ -417,13 +417,13 @@
 		harm(f.net, name)
 	}
 	f.net.mu.Unlock()
-	rest := slices.DeleteFunc(slices.Clone(f.members), func(m *member) bool { return slices.Contains(lost, m.hub.Self.Name) })
+	others := slices.DeleteFunc(slices.Clone(f.members), func(m *member) bool { return slices.Contains(lost, m.hub.Self.Name) })
 	before := f.store.callCount()
 	for round := range 12 {
 		value := fmt.Sprint("round ", round)
 		key := rowKey(round * 31)
 		f.store.put(key, value)
-		if took := f.inForce(t, rest, key, value); took > bound {
+		if took := f.awaitValue(t, others, key, value); took > bound {
 			t.Errorf("round %d: the change arrived after %v", round, took)
 		}
 		time.Sleep(300 * time.Millisecond)
@@ -502,7 +502,7 @@
 			t.Errorf("the part came after %v", took)
 		}
 		f.store.put(key, "2")
-		if took := f.inForce(t, []*member{leaf}, key, "2"); took > bound/2 {
+		if took := f.awaitValue(t, []*member{leaf}, key, "2"); took > bound/2 {
 			t.Errorf("a change came after %v", took)
 		}
 		mu.Lock()
--- a/pkg/watch/watch.go
+++ b/pkg/watch/watch.go
@@ -133,7 +133,7 @@
 	// Apply is called with all rows after a change, by one goroutine at a time. It must not keep the map.
 	Apply  func(rows map[string]Record, version revision.Revision)
 	Logger hclog.Logger
-	// Partitioned tells that the node may hold only some parts of the rows.
+	// Partitioned reports whether the node may hold only some parts of the rows.
 	Partitioned bool
 	// InUse reports whether the node uses what a row is about; the part of the row is kept then. It may be
 	// nil.
--- a/pkg/watch/watch_test.go
+++ b/pkg/watch/watch_test.go
@@ -21,7 +21,7 @@
 type fakeStore struct {
 	mu      sync.Mutex
 	rows    map[string]Record
-	log     []Record
+	log     []Record // all changes, oldest first
 	version revision.Revision
 	oldest  revision.Revision // changes after older versions are forgotten
 	calls   int               // number of calls
@@ -158,8 +158,8 @@
 	hub      *Hub
 	mu       sync.Mutex
 	rows     map[string]string
-	wentBack bool // a version was lower than one before
-	last     revision.Revision
+	wentBack bool              // a version was lower than one before
+	last     revision.Revision // version that was applied last
 }
 
 func (m *member) value(key string) string {
@@ -168,7 +168,7 @@
 	return m.rows[key]
 }
 
-// start runs a site of n nodes until stopAtEnd is called.
+// start runs a site of n nodes until stopSite is called.
 func start(t *testing.T, store *fakeStore, n int, options ...func(*Hub)) ([]*member, *network) {
 	net := &network{hubs: make(map[string]*Hub), dead: make(map[string]bool)}
 	var nodes []Node
@@ -199,7 +199,7 @@
 		members = append(members, m)
 		go m.hub.Run(ctx)
 	}
-	stopAtEnd = func() {
+	stopSite = func() {
 		cancel()
 		time.Sleep(5 * time.Second) // virtual; lets calls in progress end
 	}
@@ -212,16 +212,16 @@
 	store := newFakeStore()
 	store.put("a", "1")
 	members, _ := start(t, store, n)
-	inForce(t, members, "a", "1")
+	awaitValue(t, members, "a", "1")
 	time.Sleep(5 * time.Second)
 	return store, members
 }
 
-// stopAtEnd stops the site of the running test.
-var stopAtEnd func()
+// stopSite stops the site of the running test.
+var stopSite func()
 
-// inForce waits until all members have the value, and returns the time it took.
-func inForce(t *testing.T, members []*member, key, want string) time.Duration {
+// awaitValue waits until all members have the value, and returns the time it took.
+func awaitValue(t *testing.T, members []*member, key, want string) time.Duration {
 	t.Helper()
 	began := time.Now()
 	for _, m := range members {
@@ -235,17 +235,17 @@
 	return time.Since(began)
 }
 
-func TestChangesAreInForceWithinTheBound(t *testing.T) {
+func TestChangesArriveWithinTheBound(t *testing.T) {
 	for _, size := range []int{3, 20} {
 		synctest.Test(t, func(t *testing.T) {
 			store := newFakeStore()
 			store.put("a", "1")
 			members, _ := start(t, store, size)
-			inForce(t, members, "a", "1")
+			awaitValue(t, members, "a", "1")
 			time.Sleep(5 * time.Second)
 			for _, change := range [][2]string{{"a", "2"}, {"b", "1"}, {"a", ""}, {"b", "2"}} {
 				store.put(change[0], change[1])
-				if took := inForce(t, members, change[0], change[1]); took > bound/2 {
+				if took := awaitValue(t, members, change[0], change[1]); took > bound/2 {
 					t.Errorf("%d nodes: the change arrived after %v", size, took)
 				}
 				store.changeOtherTable()
@@ -255,7 +255,7 @@
 					t.Errorf("the version of %s went back", m.hub.Self.Name)
 				}
 			}
-			stopAtEnd()
+			stopSite()
 		})
 	}
 }
@@ -275,7 +275,7 @@
 		if calls > Readers*each {
 			t.Errorf("%d calls in 10s, want at most %d with %d readers", calls, Readers*each, Readers)
 		}
-		stopAtEnd()
+		stopSite()
 	})
 }
 
@@ -288,7 +288,7 @@
 		store := newFakeStore()
 		store.put("a", "1")
 		members, _ := start(t, store, size, first)
-		if took := inForce(t, members, "a", "1"); took > time.Second {
+		if took := awaitValue(t, members, "a", "1"); took > time.Second {
 			t.Errorf("all nodes have the table after %v", took)
 		}
 		store.mu.Lock()
@@ -297,17 +297,17 @@
 		if calls > 3*Watchers {
 			t.Errorf("%d calls by %d nodes of which %d watch", calls, size, Watchers)
 		}
-		stopAtEnd()
+		stopSite()
 	})
 	synctest.Test(t, func(t *testing.T) {
 		store := newFakeStore()
 		store.put("a", "1")
 		unknown := func(h *Hub) { h.Known = func() bool { return false } }
 		members, _ := start(t, store, size, first, unknown)
-		if took := inForce(t, members, "a", "1"); took > firstStartWait+time.Second {
+		if took := awaitValue(t, members, "a", "1"); took > firstStartWait+time.Second {
 			t.Errorf("nodes that don't know the others have the table after %v", took)
 		}
-		stopAtEnd()
+		stopSite()
 	})
 }
 
@@ -316,7 +316,7 @@
 	store := newFakeStore()
 	store.put("a", "1")
 	members, net := start(t, store, size)
-	inForce(t, members, "a", "1")
+	awaitValue(t, members, "a", "1")
 	time.Sleep(5 * time.Second)
 	store.mu.Lock()
 	net.mu.Lock()
@@ -325,13 +325,13 @@
 	}
 	net.mu.Unlock()
 	store.mu.Unlock()
-	var rest []*member
+	var others []*member
 	for _, m := range members {
 		if !m.hub.Watching() {
-			rest = append(rest, m)
+			others = append(others, m)
 		}
 	}
-	return store, rest
+	return store, others
 }
 
 // TestNodesTurnToTheStoreWithoutFreshWatchers checks that changes arrive within the bound if the watchers die
@@ -343,13 +343,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				store, rest := harmWatchers(t, 20, Watchers, harm)
+				store, others := harmWatchers(t, 20, Watchers, harm)
 				time.Sleep(bound) // until the last heartbeats are too old
 				store.put("a", "2")
-				if took := inForce(t, rest, "a", "2"); took > bound {
+				if took := awaitValue(t, others, "a", "2"); took > bound {
 					t.Errorf("the change arrived after %v without watchers", took)
 				}
-				stopAtEnd()
+				stopSite()
 			})
 		})
 	}
@@ -362,7 +362,7 @@
 		store := newFakeStore()
 		store.put("a", "1")
 		members, _ := start(t, store, 20)
-		inForce(t, members, "a", "1")
+		awaitValue(t, members, "a", "1")
 		time.Sleep(3 * time.Second)
 		store.put("a", "2")
 		store.mu.Lock()
@@ -370,11 +370,11 @@
 		store.mu.Unlock()
 		store.put("b", "1")
 		store.put("a", "")
-		inForce(t, members, "a", "")
-		if took := inForce(t, members, "b", "1"); took > bound {
+		awaitValue(t, members, "a", "")
+		if took := awaitValue(t, members, "b", "1"); took > bound {
 			t.Errorf("the change arrived after %v", took)
 		}
-		stopAtEnd()
+		stopSite()
 	})
 }
 
@@ -410,7 +410,7 @@
 		began := time.Now()
 		late := func(h *Hub) { h.Known = func() bool { return time.Since(began) > bound/2 } }
 		members, _ := start(t, store, size, late)
-		if took := inForce(t, members, "a", "1"); took > 100*time.Millisecond {
+		if took := awaitValue(t, members, "a", "1"); took > 100*time.Millisecond {
 			t.Errorf("all nodes have the table after %v", took)
 		}
 		for range 8 {
@@ -422,10 +422,10 @@
 			t.Errorf("%d calls by %d nodes of which %d watch", calls, size, Watchers)
 		}
 		store.put("a", "2")
-		if took := inForce(t, members, "a", "2"); took > bound/2 {
+		if took := awaitValue(t, members, "a", "2"); took > bound/2 {
 			t.Errorf("the change arrived after %v", took)
 		}
-		stopAtEnd()
+		stopSite()
 	})
 }
 
@@ -433,11 +433,11 @@
 // total rate stops growing beyond some size of the site, and that all nodes have new changes within the bound
 // after the store's return.
 func TestNodesSpareAStoreThatIsDown(t *testing.T) {
-	const away = 10 * time.Second
+	const outage = 10 * time.Second
 	for size, most := range map[int]int{
 		// On average a watcher asks every 0.6 s at most and each other node every 1.2 s.
-		26:  (26 + Watchers) * int(away/(bound*6/10)),
-		200: 200 + int(away/backoffPerNode) + Watchers*int(away/maxRetryPause)*2,
+		26:  (26 + Watchers) * int(outage/(bound*6/10)),
+		200: 200 + int(outage/backoffPerNode) + Watchers*int(outage/maxRetryPause)*2,
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			store, members := startCalmSite(t, size)
@@ -447,18 +447,18 @@
 			}
 			store.mu.Unlock()
 			before := store.callCount()
-			time.Sleep(away)
+			time.Sleep(outage)
 			if calls := store.callCount() - before; calls > most {
-				t.Errorf("%d calls by %d nodes in %v, want at most %d", calls, size, away, most)
+				t.Errorf("%d calls by %d nodes in %v, want at most %d", calls, size, outage, most)
 			}
 			store.mu.Lock()
 			clear(store.refused)
 			store.mu.Unlock()
 			store.put("a", "2")
-			if took := inForce(t, members, "a", "2"); took > bound {
+			if took := awaitValue(t, members, "a", "2"); took > bound {
 				t.Errorf("%d nodes: the change arrived %v after the store's return", size, took)
 			}
-			stopAtEnd()
+			stopSite()
 		})
 	}
 }
@@ -467,17 +467,17 @@
 // other watchers before the other nodes turn to the store.
 func TestStandbysReadWithoutReaders(t *testing.T) {
 	for name, harm := range map[string]func(*fakeStore, *network, string){
-		"dead":        func(_ *fakeStore, n *network, reader string) { n.dead[reader] = true },
-		"turned away": func(s *fakeStore, _ *network, reader string) { s.refused[reader] = true },
+		"dead":    func(_ *fakeStore, n *network, reader string) { n.dead[reader] = true },
+		"refused": func(s *fakeStore, _ *network, reader string) { s.refused[reader] = true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				store, rest := harmWatchers(t, 26, Readers, harm)
+				store, others := harmWatchers(t, 26, Readers, harm)
 				store.put("a", "2")
-				if took := inForce(t, rest, "a", "2"); took > bound {
+				if took := awaitValue(t, others, "a", "2"); took > bound {
 					t.Errorf("the change arrived after %v without readers", took)
 				}
-				stopAtEnd()
+				stopSite()
 			})
 		})
 	}
