--- a/tools/days/play.sh
+++ b/tools/days/play.sh
@@ -1,21 +1,21 @@
 #!/bin/bash
-# Plays days of our own on a site of the users' bench: each kind of trouble early,
-# late and twice, alone and together with a stop of all nodes or trouble of the
-# store. Prints a line for each day that breaks a rule, and a count at the end.
+# Runs generated days on a site of the users' bench. Each day has one kind of fault at three
+# times: alone, with a rolling stop of all nodes, with a platform outage, or with a power loss
+# of all nodes. Prints the violations of each day that breaks a rule, and totals at the end.
 #
 #   tools/days/play.sh BENCH SITE [PATTERN]
 #
-# BENCH is the bench's program, SITE a site file, PATTERN a regular expression for the
-# days' names. Days are written outside of the repository. Run it at the root.
+# BENCH is the bench's executable, SITE a site file, PATTERN a regular expression that selects
+# days by name. The days are written to a temporary directory. Run from the repository root.
 #
-# Where the site has tenants, keys are taken away within each of the troubles, a quota is
-# lowered and a tenant sends far more than it.
+# If the site has tenants, each day also revokes keys during the faults, lowers a quota and has
+# one tenant send far more than its quota.
 set -u
 bench=$1 site=$2 pattern=${3:-}
 days=$(mktemp -d)
 trap 'rm -rf "$days"' EXIT
 
-# name, and the trouble without its time
+# Faults: a name, and the fault's fields without its time.
 troubles='
 srv_cut            kind = "srv_cut", share = 0.3, for_s = 5.0
 srv_cut-some       kind = "srv_cut", how = "some", share = 0.4, x = 0.5, for_s = 5.0
@@ -64,7 +64,7 @@
 retry_abuse        kind = "retry_abuse", x = 4.0, share = 0.5, for_s = 5.0
 '
 
-# companions that come with every trouble, by the name of the day's kind
+# together prints the additional event of a variant, which accompanies the fault.
 together() {
   case $1 in
     alone) ;;
@@ -74,7 +74,7 @@
   esac
 }
 
-# what is planned beside, where the site has tenants
+# Additional planned events if the site has tenants.
 plan_of_tenants=''
 if grep -q '^contracts = .*"tenants"' "$site"; then
   plan_of_tenants='
@@ -119,8 +119,8 @@
       grep -E '^own-|^[A-Z]+ at ' <<<"$out" | cut -c1-200 | head -4
     elif ! grep -q "^$day" <<<"$out"; then
       failed=$((failed + 1))
-      echo "$day was not played: $(tail -1 <<<"$out" | cut -c1-160)"
+      echo "$day did not run: $(tail -1 <<<"$out" | cut -c1-160)"
     fi
   done
 done <<<"$troubles"
-echo "$played days, $broken with a rule broken, $failed not played"
+echo "$played days, $broken broke a rule, $failed did not run"
--- a/tools/mutants/play.sh
+++ b/tools/mutants/play.sh
@@ -1,8 +1,11 @@
 #!/bin/bash
-# Takes each mechanism of list.txt away, on a copy of the sources, and has the
-# explorer of package coordinator look for a broken promise.
+# Applies each mutation in list.txt to a copy of the sources and runs the schedule explorer
+# of package coordinator on it, to check that the explorer detects the missing mechanism.
 #
-#   tools/mutants/play.sh [SCHEDULES]     3,000 if not told
+#   tools/mutants/play.sh [SCHEDULES]     default: 3,000 schedules
+#
+# Prints one line per mutation: "found" with the first violation, "not found", or "?" if the
+# mutation doesn't apply or doesn't compile.
 set -euo pipefail
 here=$(cd "$(dirname "$0")" && pwd)
 schedules=${1:-3000}
@@ -22,11 +25,11 @@
   cp "$file" original
   OLD=$old NEW=$new perl -0pi -e '
     my ($old, $new) = map { s/\\n/\n/gr =~ s/\\t/\t/gr } @ENV{qw(OLD NEW)};
-    s/\Q$old\E/$new/ or die "the text is not there\n"' "$file" || { echo "?         $name: the text is not in $file"; cp original "$file"; continue; }
+    s/\Q$old\E/$new/ or die "text not found\n"' "$file" || { echo "?         $name: text not found in $file"; cp original "$file"; continue; }
   if out=$(timeout 600 go test ./pkg/coordinator -run 'TestSchedules|TestBUDGETOfFatalRequestsInSchedules' -explore.schedules="$schedules" -timeout 550s 2>&1); then
     echo "not found $name"
   elif grep -q 'build failed' <<< "$out"; then
-    echo "?         $name: it does not compile"
+    echo "?         $name: does not compile"
   else
     echo "found     $name: $(grep -m1 -oE '_test.go:[0-9]+: .*|panic: .*' <<< "$out" | sed 's/^_test.go:[0-9]*: //')"
   fi
--- a/tools/regression/play.sh
+++ b/tools/regression/play.sh
@@ -1,16 +1,17 @@
 #!/bin/bash
-# Hunts on the sites whose gates were passed, the newest first, and scores them if
-# asked to. Prints a line for each site, with the days that broke a rule.
+# Runs the bench's hunt, or with "score" its score, on the sites whose gates were passed, newest first.
+# Prints a line for each site, and the violations and failed gates. Exits with 1 if there are any or if a site
+# file is missing.
 #
 #   tools/regression/play.sh BENCH PAGES [score]
 #
-# BENCH is the bench's program, PAGES the folder with the users' site files. Run it at
-# the root. The first two sites of all were replaced by the large ones, and the grown one of
-# the first customer by its work as it is now.
+# BENCH is the bench's executable, PAGES the directory with the users' site files. Run from the
+# repository root. The first two sites are not listed, as the large ones replace them;
+# hornada-prod-now-grown replaces the grown site of the same customer.
 set -u
 bench=$1 pages=$2 verb=${3:-hunt}
 
-# folder, site, and the days to hunt: fewer on sites of 60 machines and more
+# Directory, site, and number of days to hunt: fewer on sites with 60 machines or more.
 sites='
 shifted        hornada-prod-now-grown  8
 large          hornada-prod-large      8
--- a/tools/seeds/play.sh
+++ b/tools/seeds/play.sh
@@ -1,16 +1,16 @@
 #!/bin/bash
-# Plays the days that docs/seeds.md lists again. Prints a line for each that
-# breaks a rule or misses the gate, and a count at the end.
+# Reruns the days listed in docs/seeds.md. Prints the failures of each day that breaks a rule
+# or misses the gate, and totals at the end.
 #
 #   tools/seeds/play.sh BENCH DIRECTORY...
 #
-# BENCH is the bench's program, the directories hold the site files. Run it at the
-# root; days whose site file is in none of the directories are left out.
+# BENCH is the bench's executable; the directories contain the site files. Days whose site file
+# is in none of the directories are skipped. Run from the repository root.
 set -u
 bench=$1
 shift
 played=0 failed=0 left=0
-wrong='BROKEN|FAULT|were never served|the floor is' # what the bench says of a day that failed
+wrong='BROKEN|FAULT|were never served|the floor is' # output of the bench for a failed day
 while IFS='|' read -r _ site day _; do
   site=$(tr -d ' ' <<< "$site") day=$(sed 's/^ *//; s/ *$//' <<< "$day")
   file=
@@ -23,7 +23,7 @@
   fi
   case "$day" in
     replay*) out=$("$bench" replay "$file" "${day#replay }" --why "days that failed, again" 2>&1) ;;
-    *) out=$("$bench" run "$file" $day --why "days that failed, again" 2>&1) ;; # its words are arguments
+    *) out=$("$bench" run "$file" $day --why "days that failed, again" 2>&1) ;; # unquoted: the day consists of several arguments
   esac
   played=$((played + 1))
   if grep -qE "$wrong" <<< "$out" || ! grep -q '^worth' <<< "$out"; then
@@ -32,4 +32,4 @@
     grep -E "$wrong" <<< "$out" | cut -c1-200 | head -3
   fi
 done < <(sed -n '/^## Days of the bench/,/^## Schedules/p' docs/seeds.md | grep -E '^\| [a-z]')
-echo "$played played, $failed failed, $left left out"
+echo "$played run, $failed failed, $left skipped"
