--- a/pkg/coordinator/quarantine.go
+++ b/pkg/coordinator/quarantine.go
@@ -127,7 +127,7 @@
 	waiting map[isolatedRun]struct{}
 }
 
-// isolatedRun identifies such a run.
+// isolatedRun identifies an isolated run by its request and its server.
 type isolatedRun struct {
 	request quarantine.Fingerprint
 	server  string
